--- a/src/libcyclamenrun/decisions/admission.cpp
+++ b/src/libcyclamenrun/decisions/admission.cpp
@@ -13,36 +13,36 @@
 
 constexpr std::size_t max_curves = 1024;
 
-// The engine rounds each answer up to whole blocks; this share of memory is
-// never planned with.
+// Usable share of the engine's memory. The rest is lost because the engine
+// rounds each answer up to whole blocks.
 constexpr double usable_memory = 0.99;
 
-// What a prompt token costs a team next to a token of output: reading many
-// tokens at once is far cheaper than making them one by one.
+// Cost of a prompt token relative to an output token: prefill processes many
+// tokens at once and is far cheaper than decoding them one by one.
 constexpr double prompt_token_cost = 0.25;
 
-// A team may fill this many times the room that its own queue leaves: a
-// single team gets two thirds of a queue, and there is always room for one
-// that comes later.
+// A team may queue at most this many times the free room of the queue. A
+// single team thus gets two thirds of the queue, and a team that arrives
+// later always finds room.
 constexpr double room_factor = 2.0;
 
-// A guess at how long work runs, used until the queue has drained a little.
+// Assumed run time of a work item, used until the drain rate is measured.
 constexpr double typical_run_s = 20.0;
 
-// Work that waits longer than this share of the time it has left will not
-// be done in time.
+// A work item that waits for more than 1 / this of the time to its deadline
+// is not expected to complete in time.
 constexpr int wait_share_of_deadline = 2;
 
 constexpr milliseconds least_retry_after{100};
-// Longer than any caller waits: one who would come back in vain had better
-// know at once.
+// Upper bound of retry_after. It exceeds the time that any caller waits, so
+// that a caller that could not be served learns so at once.
 constexpr milliseconds longest_promise{600'000};
 
-// A suspect that has waited this long keeps other work from starting, so
-// that it gets the upstream to itself in the end.
+// A suspect that has waited this long blocks other starts, so that the
+// upstream becomes idle and the suspect can run alone.
 constexpr milliseconds suspect_patience{10'000};
 
-// How much of a new report is believed at once.
+// Weight of a new report in the smoothed excess.
 constexpr double report_gain = 0.2;
 
 } // namespace
@@ -126,7 +126,7 @@
     const double usable =
         usable_memory * static_cast<double>(settings_.memory_tokens);
     if (work.sized && work.prompt_tokens >= usable)
-        return not_run(refusal_reason::too_large, "prompt outgrows memory");
+        return not_run(refusal_reason::too_large, "prompt exceeds the memory");
     return std::nullopt;
 }
 
@@ -169,8 +169,8 @@
 
 refusal admission::full(team_queue& queue, time_point now, const char* which)
 {
-    // Each refused caller is promised a place of its own: were all told the
-    // same time they would come back together and be refused again.
+    // Each refused caller gets its own return time: with one time for all,
+    // the callers would come back together and be refused again.
     queue.promised = std::max(queue.promised, now) + queue.drain.time_for(1.0);
     queue.promised = std::min(queue.promised, now + longest_promise);
     const milliseconds after = time_left(queue.promised, now);
@@ -280,7 +280,7 @@
     add_to(with_next, next);
     const double bound =
         settings_.parts.prediction ? settings_.overflow_bound : 0.5;
-    // Alone it may run at any risk, or it never would.
+    // A work item that runs alone is exempt, or it could never start.
     if (running_ > 0 && with_next.overflow_risk(memory) > bound)
         return false;
     ahead = with_next;
@@ -479,8 +479,8 @@
         reported_excess_ = excess;
         return;
     }
-    // A report is old: the work it speaks of may have ended, which shows as
-    // an excess that is gone with the next. Only a lasting one counts.
+    // A report lags: work items in it may have ended, which shows as an excess
+    // that the next report clears. Smoothing keeps only a lasting excess.
     reported_excess_ +=
         report_gain * (std::max(excess, 0.0) - reported_excess_);
 }
--- a/src/libcyclamenrun/decisions/admission.hpp
+++ b/src/libcyclamenrun/decisions/admission.hpp
@@ -22,7 +22,7 @@
 
 class memory_projection;
 
-/** Work that asks to run. */
+/** A work item that waits to be started at the upstream. */
 struct waiting_work {
     work_id id = 0;
     std::string team;
@@ -32,11 +32,11 @@
     std::uint32_t max_output_tokens = 0;
     std::vector<std::uint64_t> prefix_blocks; ///< chained hashes
     time_point deadline{};
-    bool suspect = false; ///< to run alone
-    bool sized = true;    ///< false: a plain call, a slot and no memory
+    bool suspect = false; ///< may only run alone
+    bool sized = true;    ///< false: a plain call; takes a slot, no memory
 };
 
-/** What the engine says of itself; lags, so it only corrects own counts. */
+/** Load reported by the engine. It lags, so it only corrects own counts. */
 struct engine_load_hint {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -44,14 +44,16 @@
 };
 
 /**
- * Decides which waiting work starts at one upstream, and when. Output
- * lengths are unknown and the engine's memory fills in mid decode, so work
- * starts only while the running answers, as long as answers like them have
- * turned out, would outgrow the memory with no more than a set probability.
- * Which work is next goes by fair share of tokens per team. What cannot be
- * served in time is refused at the door.
+ * Decides which waiting work item starts at one upstream, and when.
  *
- * One per agent. Not thread-safe: the agent's gate holds the lock. No I/O.
+ * Output lengths are unknown and the engine's memory fills during decoding.
+ * A work item therefore starts only if the probability that the running
+ * answers outgrow the memory, estimated from the lengths of earlier answers,
+ * stays within overflow_bound. The order follows a fair share of tokens per
+ * team. A work item that cannot be served in time is refused on arrival.
+ *
+ * One instance per agent. Not thread-safe: the agent's gate holds the lock.
+ * No I/O.
  */
 class admission
 {
@@ -61,30 +63,36 @@
     admission& operator=(const admission&) = delete;
 
     /**
-     * Queues work, or refuses it: queue_full (with a retry_after from the
-     * queue's own drain rate), deadline_passed, too_large, or
-     * duplicate_request for an id that is here already.
+     * Queues a work item, or refuses it with queue_full (retry_after comes
+     * from the queue's own drain rate), deadline_passed, too_large, or
+     * duplicate_request if the id is already waiting or running.
      */
     outcome<void> enqueue(waiting_work work, time_point now);
 
-    /** Work that starts now, in order; it counts as running from here on. */
+    /** Starts the work items that may run; returns them in start order. */
     std::vector<work_id> admit(time_point now);
 
     void tokens_made(work_id id, std::uint32_t count, time_point now);
-    /** The work ended; a complete answer teaches its length. */
+    /**
+     * Removes a work item that ended. If it was running, its length updates
+     * the length predictor, as a lower bound if it is not complete.
+     */
     void finished(work_id id, bool complete, time_point now);
-    /** Drops work, waiting or running; false if there is none by that id. */
+    /** Removes a waiting or running work item; false if the id is unknown. */
     bool remove(work_id id, time_point now);
-    /** Waiting work of which the deadline has passed; it is removed. */
+    /** Removes and returns waiting work items whose deadline has passed. */
     std::vector<work_id> expired(time_point now);
 
-    /** For the engine: which work it should rather keep; higher is kept. */
+    /** Preemption priority for the engine; it keeps higher values longer. */
     int priority(work_id id) const;
 
-    /** Decides by another objective from now on. */
+    /** Switches to the default settings of another objective. */
     void pursue(objective goal);
 
-    /** Engine memory of work that is not ours; counts as taken. */
+    /**
+     * Sets the engine memory used by work outside this process, in tokens.
+     * It counts as taken.
+     */
     void foreign_memory(std::uint64_t tokens);
     void engine_load(const engine_load_hint& hint, time_point now);
 
@@ -94,8 +102,9 @@
     std::uint64_t memory_used() const;
     std::uint64_t memory_total() const { return settings_.memory_tokens; }
     /**
-     * Until the next start: how long a team that has nothing here would wait,
-     * whom fair share puts first. What waits shows in queued().
+     * Expected time until the next start. That is the wait of a team with no
+     * work here, since fair share puts it first; the queue's length is in
+     * queued().
      */
     milliseconds expected_wait(time_point now) const;
     /** When expired() is due next; time_point::max() if never. */
@@ -103,13 +112,13 @@
 
 private:
     struct team_queue {
-        fair_share::account* account = nullptr; ///< held while work is here
+        fair_share::account* account = nullptr; ///< open while works > 0
         std::uint32_t works = 0;                ///< waiting and running
         std::deque<work_id> waiting;
-        std::uint64_t prompt_tokens = 0; ///< waiting
-        double expected_tokens = 0;      ///< of an answer, as last seen
+        std::uint64_t prompt_tokens = 0; ///< of waiting work items
+        double expected_tokens = 0;      ///< expected length of the last one
         drain_rate drain;
-        /// Until when places in this queue have been promised.
+        /// The latest return time given to a refused caller.
         time_point promised{};
 
         explicit team_queue(double rate) : drain(rate) {}
@@ -120,7 +129,7 @@
         time_point queued_at{};
         bool started = false;
         std::uint32_t made = 0;
-        std::uint64_t prefill_tokens = 0; ///< to be read when it started
+        std::uint64_t prefill_tokens = 0; ///< not cached when it started
     };
 
     std::optional<refusal> check(const waiting_work& work, time_point now);
@@ -161,17 +170,17 @@
     std::unordered_map<work_id, record> records_;
     std::unordered_map<std::string, team_queue> queues_;
     std::deque<work_id> suspects_; ///< waiting to run alone, oldest first
-    std::vector<team_queue*> waiting_queues_; ///< with waiting work
+    std::vector<team_queue*> waiting_queues_; ///< with waiting non-suspects
     std::vector<record*> running_records_;
     std::set<std::pair<time_point, work_id>> deadlines_; ///< of waiting work
     std::uint32_t running_ = 0;
     std::uint32_t running_suspects_ = 0;
     std::uint32_t queued_ = 0;
     std::uint64_t queued_prompt_tokens_ = 0;
-    std::uint64_t private_tokens_ = 0; ///< of running work
+    std::uint64_t private_tokens_ = 0; ///< memory of running work, not shared
     std::uint64_t prefill_tokens_ = 0; ///< of running work with no token yet
     std::uint64_t foreign_tokens_ = 0;
-    double reported_excess_ = 0.0; ///< of the engine's report over own count
+    double reported_excess_ = 0.0; ///< engine's reported memory over own count
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/attempt_policy.cpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/** Parts of the objective between which silence is taken for a failure. */
+/** Bounds of the response timeout, as multiples of the objective. */
 constexpr double earliest_silence = 0.6;
 constexpr double latest_silence = 2;
 
@@ -17,7 +17,7 @@
 {
     if (state.sends < most_sends && !state.time_is_up)
         return again;
-    // It ran in an earlier attempt, so "not run" would be untrue.
+    // The request may have run in an earlier attempt: "not run" could be false.
     return state.runs > 0 ? attempt_step::report_lost : attempt_step::refuse;
 }
 
@@ -81,14 +81,14 @@
 silence_limit(const attempt_state& state, milliseconds objective,
               std::optional<milliseconds> usual_bound)
 {
-    // The attempt at hand counts as a run when it is given up.
+    // The current attempt counts as a run if it times out.
     const bool another = state.idempotent &&
                          state.runs + 1 < state.max_attempts &&
                          state.sends < most_sends;
     if (!another || objective <= milliseconds::zero())
         return std::nullopt;
-    // From the first on a second try can still be in time; after the last
-    // it hardly can even be late in time.
+    // After the lower bound a second attempt can still meet the objective.
+    // After the upper bound it can hardly respond before the caller gives up.
     const auto first = earliest_silence * objective.count();
     const auto last = latest_silence * objective.count();
     const auto usual =
--- a/src/libcyclamenrun/decisions/copy_turns.cpp
+++ b/src/libcyclamenrun/decisions/copy_turns.cpp
@@ -27,7 +27,7 @@
         places_.push_back({wanted, now});
         return;
     }
-    // Who has the turn keeps it; of equal ones the first that asked is first.
+    // The holder keeps the turn; equal sizes stay in the order of requests.
     const auto before = std::find_if(
         places_.begin() + 1, places_.end(),
         [&](const place& each) { return each.who.tokens > wanted.tokens; });
@@ -54,7 +54,7 @@
 void copy_turns::drop_silent(time_point now)
 {
     const bool new_turn = turn_ends_ == time_point::max();
-    // Who has the turn need not ask; it has until the turn's end.
+    // The holder need not repeat its request; it has the turn until its end.
     while (!places_.empty() && turn_ends_ <= now) {
         places_.pop_front();
         turn_ends_ = now + longest_copy_turn;
--- a/src/libcyclamenrun/decisions/copy_turns.hpp
+++ b/src/libcyclamenrun/decisions/copy_turns.hpp
@@ -12,28 +12,33 @@
 {
 
 /**
- * Whose generation may be copied from an engine now, one after another, the
- * smallest first: when the notice is too short for all, most are saved so (51
- * streams cut in 36 days instead of 64 in the order of asking).
- * Guards against copies that share the engine's link: each would take as long
- * as all of them, also the short last ones during which callers wait, and if
- * the engine leaves meanwhile all are lost instead of the last few.
+ * Grants copy turns: the generations of an engine are copied from it one after
+ * another, the smallest first.
  *
- * Bounded; no I/O; one thread. Who falls silent loses its place.
+ * Copies that share the engine's link would each take as long as all of them,
+ * also the short final copies during which callers wait; if the engine is
+ * removed meanwhile, all would be lost instead of the last few. Copying the
+ * smallest first saves the most streams when the notice is too short for all.
+ *
+ * Bounded, no I/O, not thread-safe. A waiting generation loses its place if its
+ * gateway stops requesting the turn.
  */
 class copy_turns
 {
 public:
     struct turn {
         std::string id;           ///< of the generation
-        std::string gateway;      ///< who copies it
-        std::uint64_t tokens = 0; ///< of memory to copy
+        std::string gateway;      ///< makes the copy
+        std::uint64_t tokens = 0; ///< memory to copy
     };
 
-    /** True if it has the turn; else it waits, and has to ask again. */
+    /**
+     * Returns true if the generation has the turn. Else it waits, and the
+     * request has to be repeated.
+     */
     bool ask(const turn& wanted, time_point now);
     void end(const std::string& id);
-    /** Who has the turn now. */
+    /** The generation that has the turn. */
     std::optional<turn> holder(time_point now);
 
 private:
@@ -49,10 +54,12 @@
     time_point turn_ends_{};
 };
 
-/** A copy of a large prompt takes 0.4 s between failure domains; one that
- * takes longer is stuck, and the others go on beside it. */
+/**
+ * A copy of a large prompt takes 0.4 s between failure domains. A copy that
+ * exceeds this limit is taken to be stuck, and the next one starts beside it.
+ */
 inline constexpr milliseconds longest_copy_turn{900};
-/** Who waits asks each 50 ms; so much later it no longer wants to. */
+/** Gateways repeat a request every 50 ms; it expires after this time. */
 inline constexpr milliseconds copy_turn_silence{300};
 inline constexpr std::size_t most_copy_turns = 256;
 
--- a/src/libcyclamenrun/decisions/drain_rate.cpp
+++ b/src/libcyclamenrun/decisions/drain_rate.cpp
@@ -10,7 +10,7 @@
 {
 
 constexpr double time_constant_s = 15.0;
-// How many seconds of observation the initial rate counts for.
+// Weight of the initial rate, in seconds of observation.
 constexpr double initial_seconds = 2.0;
 constexpr double least_rate = 1e-3;
 constexpr milliseconds longest{600'000};
--- a/src/libcyclamenrun/decisions/drain_rate.hpp
+++ b/src/libcyclamenrun/decisions/drain_rate.hpp
@@ -7,23 +7,23 @@
 {
 
 /**
- * How fast a queue empties, in items a second, from the queue's own past.
- * Only time in which something waited counts: a quiet hour says nothing of
- * how fast a burst would drain. Older time weighs less.
+ * Measures how fast a queue drains, in items per second. Only time with
+ * waiting items counts, since an idle queue does not show how fast a burst
+ * would drain. Older time has less weight.
  */
 class drain_rate
 {
 public:
-    /** `initial` items a second are assumed until time has told. */
+    /** `initial`: items per second, assumed until there are measurements. */
     explicit drain_rate(double initial);
 
-    /** Time has passed; `waiting` says whether a queue stood in it. */
+    /** Counts the time up to `now` if items were `waiting` during it. */
     void advance(time_point now, bool waiting);
-    /** An item has left the queue for service. */
+    /** Counts items that left the queue to be served. */
     void left(double items = 1.0) { items_ += items; }
 
     double per_second() const { return items_ / seconds_; }
-    /** How long until `items` will have left. */
+    /** Expected time until `items` have left the queue. */
     milliseconds time_for(double items) const;
 
 private:
--- a/src/libcyclamenrun/decisions/engine_outlook.cpp
+++ b/src/libcyclamenrun/decisions/engine_outlook.cpp
@@ -10,19 +10,19 @@
 {
 
 /**
- * A start that was given so long ago is in the engine's word, unless it was
- * not used or is over: the way to the engine takes some milliseconds, the
- * next look at it 100 ms at most.
+ * A start granted this long ago is in the engine's status, unless it was not
+ * used or has ended: the request takes some milliseconds to the engine, and
+ * the engine is polled again within 100 ms.
  */
 constexpr milliseconds unseen_after{150};
-/** Less is not expected of a generation that has come this far, in tokens. */
+/** Lower bound of the output tokens expected from a running generation. */
 constexpr double least_left = 30;
 /**
- * Part of its worth that a generation loses when it is preempted: its stream
- * pauses until its memory is read in again.
+ * Share of its served value that a generation loses when it is preempted: its
+ * stream pauses until its memory is restored.
  */
 constexpr double worth_lost_by_preemption = 0.85;
-/** Weight of the newest prompt in the mean of them. */
+/** Weight of the newest prompt in the moving mean of prompt lengths. */
 constexpr double mean_weight = 1.0 / 16;
 
 } // namespace
@@ -68,7 +68,7 @@
 
 void engine_outlook::drop_unseen(time_point now)
 {
-    // Some are so short that they begin and end between two looks.
+    // Some generations are so short that they start and end between two polls.
     auto old = std::count_if(given_.begin(), given_.end(),
                              [&](const given_start& each) {
                                  return each.given_at + unseen_after <= now;
@@ -125,7 +125,7 @@
 
 milliseconds engine_outlook::unread(time_point now) const
 {
-    // Gateways that hear no monitor send without asking.
+    // A gateway that reaches no monitor sends requests without a start grant.
     const std::size_t unbegun = view_.starting + view_.queued;
     const auto unasked = unbegun - std::min(unbegun, given_.size());
     const double prompt = mean_prompt_ > 0
@@ -146,7 +146,7 @@
 double engine_outlook::planned_memory() const
 {
     double tokens = static_cast<double>(view_.memory_used);
-    // The engine takes a prompt's memory when it begins to read it.
+    // The engine allocates a prompt's memory when it begins to read it.
     auto counted = view_.starting;
     for (const auto& each : given_) {
         if (counted > 0 && each.given_at < viewed_at_)
@@ -182,19 +182,19 @@
                                      const start_request& wanted) const
 {
     const auto* known = find_begun(held.id);
-    // One that came from another engine has been running for a while.
+    // A generation moved from another engine has been running for a while.
     if (known == nullptr)
         return static_cast<double>(wanted.output_tokens) / 2;
     const auto expected = static_cast<double>(known->output_tokens);
     const auto made = static_cast<double>(held.memory_tokens) -
                       static_cast<double>(known->prompt_tokens);
-    // One that is longer than expected may become longer still.
+    // A generation that exceeds its expected length may continue to grow.
     return std::max(expected - made, expected / 2);
 }
 
 double engine_outlook::room_to_grow(const start_request& wanted) const
 {
-    double ends = 0; // a token of each: how many end meanwhile
+    double ends = 0; // expected ends while each generation makes one token
     double count = 0;
     const auto add = [&](double left) {
         ends += 1 / std::max(left, least_left);
@@ -216,7 +216,7 @@
     const double needed =
         planned_memory() + static_cast<double>(wanted.prompt_tokens);
     const double total = static_cast<double>(view_.memory_total);
-    // Asked for hundreds that wait at a full engine.
+    // Cheap check first: a full engine can have hundreds of waiting requests.
     if (needed > total)
         return false;
     const bool empty = view_.generations.empty() && given_.empty();
--- a/src/libcyclamenrun/decisions/fair_share.cpp
+++ b/src/libcyclamenrun/decisions/fair_share.cpp
@@ -30,8 +30,9 @@
 
 void fair_share::drop_idle()
 {
-    // One that stands at the floor would start there anyway. If none does,
-    // all debts are forgotten, which keeps the bound.
+    // An account at the floor loses nothing, since lift() raises a new one to
+    // it. If that frees too few, all idle accounts are dropped with their
+    // debts to keep the bound.
     const auto paid_up = [this](const auto& item) {
         return item.second.holders == 0 && item.second.counter <= floor_;
     };
--- a/src/libcyclamenrun/decisions/fair_share.hpp
+++ b/src/libcyclamenrun/decisions/fair_share.hpp
@@ -9,11 +9,13 @@
 {
 
 /**
- * Virtual token counters: each team is charged the tokens it has had, divided
- * by its weight, and whoever has had least goes first. A team that comes back
- * after a rest starts from where the others stand, so that rest cannot be
- * saved up. Bounded by the work it is asked about: an account lives while
- * someone holds it, and at most `max_idle` others are remembered.
+ * Virtual token counters for a weighted fair share between teams.
+ *
+ * Each team is charged the tokens that it used, divided by its weight, and the
+ * team with the lowest counter goes first. The counter of a team that was idle
+ * is raised to the level of the others, so that idle time earns no credit.
+ * Memory is bounded: an account is kept while it is open, and at most
+ * `max_idle` closed accounts are kept besides.
  */
 class fair_share
 {
@@ -27,17 +29,18 @@
 
     explicit fair_share(std::size_t max_idle) : max_idle_(max_idle) {}
 
-    /** Stays valid until the close() that matches. */
+    /** Opens a team's account; valid until the matching close(). */
     account& open(const std::string& team, std::uint32_t weight);
     void close(account& of);
 
     /**
-     * Its queue was empty and no longer is: it starts with the least of
-     * those that wait, or where service has got to if none does.
+     * Raises the counter of a team whose queue was empty to the lowest
+     * counter of the waiting teams, at most to the floor: the highest counter
+     * that was served so far.
      */
     void lift(account& of, double least_waiting) const;
     void charge(account& of, double tokens);
-    /** The account is served next: nobody may start behind it. */
+    /** Records that the account is served; raises the floor to its counter. */
     void served(const account& of);
 
     std::size_t size() const { return accounts_.size(); }
--- a/src/libcyclamenrun/decisions/length_predictor.cpp
+++ b/src/libcyclamenrun/decisions/length_predictor.cpp
@@ -8,21 +8,21 @@
 namespace
 {
 
-// How many of the latest answers a curve remembers, roughly.
+// Approximate number of recent answers that a curve weighs.
 constexpr float team_memory = 150.0F;
 constexpr float service_memory = 400.0F;
 constexpr float overall_memory = 800.0F;
 
-// For how many answers the curve above counts.
+// Weight of the prior, in answers.
 constexpr float prior_weight_of_service = 8.0F;
 constexpr float prior_weight_of_overall = 8.0F;
 constexpr float prior_weight_stated = 2.0F;
 
-// A curve is worked out again when its own answers change it, and when so many
-// have changed the one above: each end would otherwise cost every team's.
+// A curve is recomputed when its own answers change, and after this many
+// answers overall: otherwise each answer would recompute all curves.
 constexpr std::uint64_t refresh_after = 16;
 
-// A service's curve and a team's must both fit.
+// One curve for a service and one for a team must fit.
 constexpr std::size_t least_curves = 2;
 
 } // namespace
@@ -52,7 +52,7 @@
 length_predictor::entry& length_predictor::find(std::string_view service,
                                                 std::string_view team)
 {
-    // Names hold no slash, so that no two pairs make the same key.
+    // Names contain no slash, so each pair has a unique key.
     key_buffer_.assign(service).append("/").append(team);
     const auto found = index_.find(key_buffer_);
     if (found != index_.end()) {
@@ -74,7 +74,7 @@
                                                   const survival_curve& prior,
                                                   float prior_weight)
 {
-    // Versions start at 0 and grow, so that + 1 tells "never" from "at 0".
+    // Versions start at 0; adding 1 makes 0 mean "never computed".
     const std::uint64_t own = of.curve.version() + 1;
     const std::uint64_t above = overall_.version() + 1;
     if (of.own_version != own || above >= of.prior_version + refresh_after) {
--- a/src/libcyclamenrun/decisions/length_predictor.hpp
+++ b/src/libcyclamenrun/decisions/length_predictor.hpp
@@ -12,10 +12,12 @@
 {
 
 /**
- * Survival curves of answer lengths per service and per team in it. A team's
- * curve leans on its service's, that on the one over all, and that on a
- * stated prior, so that a new team starts from what its service knows.
- * Bounded: beyond `max_curves` the curves used longest ago are dropped.
+ * Survival curves of answer lengths per service and per team of a service.
+ *
+ * The prior of a team's curve is its service's curve, the prior of that is the
+ * overall curve, and the prior of that is a constant hazard. A new team thus
+ * starts from the lengths of its service. Bounded: beyond `max_curves` the
+ * least recently used curves are dropped.
  */
 class length_predictor
 {
@@ -26,7 +28,7 @@
     const survival_curve& curve(std::string_view service,
                                 std::string_view team);
 
-    /** An answer ended (or was cut off) after `tokens`. */
+    /** Adds an answer that ended (or was cut off) after `tokens`. */
     void learn(std::string_view service, std::string_view team,
                std::uint32_t tokens, bool complete);
 
@@ -49,7 +51,7 @@
     std::size_t max_curves_;
     survival_curve overall_;
     std::uint64_t overall_version_ = 0;
-    entry_list entries_; ///< latest used first
+    entry_list entries_; ///< most recently used first
     std::unordered_map<std::string_view, entry_list::iterator> index_;
     std::string key_buffer_;
 };
--- a/src/libcyclamenrun/decisions/load_report.hpp
+++ b/src/libcyclamenrun/decisions/load_report.hpp
@@ -9,7 +9,7 @@
 namespace cyclamenrun
 {
 
-/** What an agent tells of its load; mirrors link.proto. */
+/** Load reported by an agent; mirrors link.proto. */
 struct load_report {
     std::string upstream;
     std::uint64_t incarnation = 0;
--- a/src/libcyclamenrun/decisions/load_view.cpp
+++ b/src/libcyclamenrun/decisions/load_view.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// A bound for the time without any report; by then the count is an estimate.
+// Bounds the memory while no report arrives; the oldest dispatches are dropped.
 constexpr std::size_t max_since = 256;
 
 } // namespace
@@ -17,7 +17,7 @@
 {
     const bool same_life =
         reported_ && report_.incarnation == latest.incarnation;
-    // Reports may overtake each other: one from a reply, one from a heartbeat.
+    // Reports arrive in replies and in heartbeats and may overtake each other.
     if (same_life && latest.uptime < report_.uptime)
         return;
     const time_point start = now - latest.uptime;
--- a/src/libcyclamenrun/decisions/load_view.hpp
+++ b/src/libcyclamenrun/decisions/load_view.hpp
@@ -10,31 +10,32 @@
 {
 
 /**
- * What one entry knows of one upstream's load: the last report, and what the
- * entry itself has sent there since that report was made. Without the latter
- * all requests of a burst would go to whoever looked idle in the last report.
+ * An entry's estimate of one upstream's load: the last report, and the
+ * entry's own dispatches since that report was made. Without the dispatches,
+ * all requests of a burst would go to the upstream that is idle in the last
+ * report.
  *
- * A report's age is told from the agent's uptime in it: the quickest report
- * seen gives the offset between the two clocks, and a later one that is
- * behind it is late by as much.
+ * A report's age follows from the agent's uptime in it. The report with the
+ * least delay gives the offset between the two clocks; a report that is behind
+ * that offset is late by the difference.
  */
 class load_view
 {
 public:
     void report(const load_report& latest, time_point now);
     void dispatched(std::uint64_t tokens, time_point now);
-    /** A dispatch has ended, whichever way. */
+    /** Records that a dispatch has completed, with any result. */
     void settled();
 
     bool leaving() const { return report_.leaving; }
     bool reported() const { return reported_; }
-    /** Running and queued there, own dispatches since included. */
+    /** Running and queued work items, own dispatches included. */
     std::uint32_t works() const;
-    /** Share of memory taken or about to be, 0 when not known. */
+    /** Share of memory in use or needed by queued work; 0 if unknown. */
     double memory_share() const;
-    /** Works that wait there, as far as known. */
+    /** Queued work items, own dispatches included. */
     std::uint32_t waiting() const;
-    /** Expected wait of new work, own dispatches since included. */
+    /** Expected wait of a new work item, own dispatches included. */
     milliseconds expected_wait() const;
     std::uint32_t own_unsettled() const { return unsettled_; }
 
@@ -46,7 +47,7 @@
 
     load_report report_;
     bool reported_ = false;
-    time_point agent_start_{}; ///< by this clock; the earliest estimate
+    time_point agent_start_{}; ///< by the local clock; the earliest estimate
     std::deque<dispatch> since_;
     std::uint64_t since_tokens_ = 0;
     std::uint32_t unsettled_ = 0;
--- a/src/libcyclamenrun/decisions/memory_projection.cpp
+++ b/src/libcyclamenrun/decisions/memory_projection.cpp
@@ -9,13 +9,14 @@
 namespace
 {
 
-// An answer this unlikely to last so long no longer counts.
+// Answers are left out of a horizon that they reach with less probability.
 constexpr float negligible = 0.002F;
 
 /** P(a normal variable exceeds `limit`). */
 double tail(double mean, double variance, double limit)
 {
-    // Half a token keeps the certain case (no variance) a plain comparison.
+    // A deviation of at least half a token avoids dividing by zero when all
+    // lengths are known, and makes the result a plain comparison.
     const double deviation = std::sqrt(std::max(variance, 0.25));
     return 0.5 * std::erfc((limit - mean) / (deviation * std::sqrt(2.0)));
 }
@@ -48,8 +49,8 @@
 void memory_projection::add_at(std::size_t horizon, const answer& of,
                                double alive)
 {
-    // Answers grow on until the next horizon, and a peak in between must not
-    // be missed: who is alive at the start is taken to last to the end.
+    // Answers grow until the next horizon, and a peak in between must not be
+    // missed: an answer alive at this horizon is assumed to reach the next.
     const bool is_now = horizon == 0;
     const bool is_last = horizon + 1 == horizons.size();
     const std::uint32_t ahead =
--- a/src/libcyclamenrun/decisions/placement.cpp
+++ b/src/libcyclamenrun/decisions/placement.cpp
@@ -9,22 +9,22 @@
 namespace
 {
 
-/** Each token takes a little longer beside others, 0.12 ms of 7 a slot. */
+/** Each slot in use adds 0.12 ms to the 7 ms of a token. */
 constexpr double slot_cost = 0.3;
-/** Memory from here on is short: what grows may be preempted. */
+/** Above this fraction memory is short: generations may be preempted. */
 constexpr double short_memory = 0.8;
 constexpr double short_memory_cost = 5.0;
 /**
- * All of an engine's memory must be copied away in the 1.5 s before it is
- * reclaimed, so it is spread: 43 streams were cut in 36 days instead of 51.
+ * Spreads memory over the engines: all of an engine's memory must be copied
+ * to others within the 1.5 s before it is reclaimed.
  */
 constexpr double memory_cost = 0.2;
-/** An upstream that fails half of its requests is as bad as a full one. */
+/** An upstream that fails half of its requests costs as much as a full one. */
 constexpr double failure_cost = 2.0;
-/** Only if nothing else is left; it is tried again after a while. */
+/** Used only if there is no other one, until it is tried again later. */
 constexpr double unreachable_cost = 20.0;
 constexpr double doubtful_cost = 10.0;
-/** Costs that differ by less are drawn among, against herds. */
+/** Smaller differences of cost count as ties, against thundering herds. */
 constexpr double equal_within = 0.02;
 
 } // namespace
@@ -34,7 +34,7 @@
 {
     double cost =
         weights.wait * candidate.wait + slot_cost * candidate.slots_taken;
-    // Beyond its slots a request waits for others to end.
+    // If all slots are in use, a request waits for others to end.
     cost += std::max(0.0, candidate.slots_taken - 1);
     cost += short_memory_cost *
             std::max(0.0, candidate.memory_taken - short_memory);
--- a/src/libcyclamenrun/decisions/placement.hpp
+++ b/src/libcyclamenrun/decisions/placement.hpp
@@ -9,45 +9,45 @@
 namespace cyclamenrun
 {
 
-/** An upstream that could run a request, as it would stand with it. */
+/** An upstream that could run a request; its load includes the request. */
 struct placement_candidate {
-    /** Expected wait for its first token, as a part of the objective. */
+    /** Expected wait for the first token, as a fraction of the objective. */
     double wait = 0;
-    /** Part of its slots that are taken, queued requests included. */
+    /** Fraction of the slots in use, queued requests included. */
     double slots_taken = 0;
-    /** Part of its memory that is taken; 0 for a plain service. */
+    /** Fraction of the memory in use; 0 for a plain service. */
     double memory_taken = 0;
-    /** Part of the latest requests that failed there. */
+    /** Fraction of the recent requests that failed. */
     double failure_rate = 0;
     bool same_failure_domain = true;
-    /** It could not be reached just now. */
+    /** The upstream could not be reached recently. */
     bool unreachable = false;
-    /** Its absence was reported, perhaps wrongly. */
+    /** The upstream was reported as removed, but this is unconfirmed. */
     bool doubtful = false;
 };
 
-/** What counts for a placement besides the upstream's load. */
+/** Weights of the placement cost that differ between kinds of requests. */
 struct placement_weights {
-    /** Of the wait for prompts that are read before. */
+    /** Weight of the wait for the prompts that are read first. */
     double wait = 1;
     /**
-     * Half a millisecond and the price of the bytes of an answer, against the
-     * wait for a prompt that is read: as much as 30 ms of 1.5 s.
+     * Cost of another failure domain: 0.5 ms of latency and the cost of an
+     * answer's bytes count as much as a wait of 30 ms of 1.5 s.
      */
     double other_domain = 0.02;
 };
 
 /**
- * For a generation whose memory is copied: it is admitted before all that
- * waits, but between domains the copy takes twice as long.
+ * Weights for a generation whose memory is copied: the engine admits it before
+ * all waiting requests, and a copy between failure domains takes twice as long.
  */
 inline constexpr placement_weights copy_weights{0, 0.6};
 
-/** Cost of placing a request, lower is better, in parts of its objective. */
+/** Cost of a placement, as a fraction of the objective; lower is better. */
 double placement_cost(const placement_candidate& candidate,
                       const placement_weights& weights = {});
 
-/** Index of a candidate of least cost; equal ones are drawn among. */
+/** Index of a candidate of least cost; ties are broken at random. */
 std::optional<std::size_t>
 choose_placement(std::span<const placement_candidate> candidates,
                  std::mt19937_64& random,
--- a/src/libcyclamenrun/decisions/prefix_cache_view.cpp
+++ b/src/libcyclamenrun/decisions/prefix_cache_view.cpp
@@ -10,8 +10,8 @@
 
 void prefix_cache_view::used(std::span<const std::uint64_t> blocks)
 {
-    // From the last block to the first: a block without those before it is
-    // of no use, so the first must be forgotten last.
+    // From the last block to the first: a block without its predecessors is
+    // of no use, so the first block must be dropped last.
     for (auto block = blocks.rbegin(); block != blocks.rend(); ++block) {
         const auto found = index_.find(*block);
         if (found != index_.end()) {
--- a/src/libcyclamenrun/decisions/prefix_cache_view.hpp
+++ b/src/libcyclamenrun/decisions/prefix_cache_view.hpp
@@ -11,29 +11,28 @@
 {
 
 /**
- * Which prompt blocks an engine probably holds: those of the work it was
- * given last, corrected by the engine's cache events. Events come late and
- * with gaps, so this is a hint that may cost time when wrong and nothing
- * else. Bounded: the blocks used longest ago are forgotten first, as the
- * engine does it.
+ * Estimates which prompt blocks an engine has cached: those of its latest work
+ * items, corrected by the engine's cache events. Events arrive late and with
+ * gaps, so this is only a hint; a wrong one costs time and nothing else.
+ * Bounded: the least recently used blocks are dropped first, as in the engine.
  */
 class prefix_cache_view
 {
 public:
     explicit prefix_cache_view(std::size_t max_blocks);
 
-    /** Work with these blocks was given to the engine. */
+    /** Records that the engine runs a work item with these blocks. */
     void used(std::span<const std::uint64_t> blocks);
     void evicted(std::uint64_t block);
     void clear();
 
-    /** How many of the leading blocks are held. */
+    /** Number of leading blocks that are cached. */
     std::size_t held(std::span<const std::uint64_t> blocks) const;
     std::size_t size() const { return order_.size(); }
 
 private:
     std::size_t max_blocks_;
-    std::list<std::uint64_t> order_; ///< latest used first
+    std::list<std::uint64_t> order_; ///< most recently used first
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
         index_;
 };
--- a/src/libcyclamenrun/decisions/reading_speed.cpp
+++ b/src/libcyclamenrun/decisions/reading_speed.cpp
@@ -9,9 +9,9 @@
 namespace
 {
 
-/** Time of reading after which a sample weighs 1/e: some ten prompts. */
+/** Reading time after which a sample's weight is 1/e: some ten prompts. */
 constexpr double memory_ms = 5000;
-/** No engine is believed to be so far from the prior. */
+/** Largest plausible factor between the prior and an engine's speed. */
 constexpr double most_apart = 50;
 
 } // namespace
--- a/src/libcyclamenrun/decisions/reading_speed.hpp
+++ b/src/libcyclamenrun/decisions/reading_speed.hpp
@@ -9,10 +9,10 @@
 {
 
 /**
- * How many prompt tokens an engine reads in a millisecond beside what it
- * runs, from what it has read in the time in which it was reading. Older time
- * weighs less. It begins with a prior, and no sample takes it further from
- * that than an engine can be.
+ * Estimates how many prompt tokens an engine reads per millisecond while it
+ * decodes running generations, from the tokens read and the time spent
+ * reading. Older time has less weight. The estimate starts from a prior and
+ * stays within a plausible range around it.
  */
 class reading_speed
 {
@@ -23,15 +23,15 @@
      */
     static constexpr double prior_tokens_per_ms = 7;
 
-    /** A prompt of so many tokens was read. */
+    /** Records that a prompt was read. */
     void read(std::uint64_t tokens) { tokens_ += static_cast<double>(tokens); }
-    /** It was reading all the while. */
+    /** Records time during which the engine was reading. */
     void was_busy(duration time);
 
     double tokens_per_ms() const;
 
 private:
-    /** The prior weighs as a second of reading. */
+    /** Weight of the prior: one second of reading. */
     static constexpr double prior_ms = 1000;
 
     double tokens_ = prior_tokens_per_ms * prior_ms;
--- a/src/libcyclamenrun/decisions/relay_choice.cpp
+++ b/src/libcyclamenrun/decisions/relay_choice.cpp
@@ -13,9 +13,9 @@
 namespace
 {
 
-/** One may fail, and the gateways that asked it go to the other. */
+/** If one relay fails, its gateways use the other. */
 constexpr std::size_t least_relays = 2;
-/** Gateways that one relay serves at 0.5% of a core. */
+/** A relay serves this many gateways at 0.5% of a core. */
 constexpr std::size_t gateways_per_relay = 128;
 
 using ranked_candidates =
--- a/src/libcyclamenrun/decisions/relay_choice.hpp
+++ b/src/libcyclamenrun/decisions/relay_choice.hpp
@@ -15,18 +15,19 @@
     std::string failure_domain;
 };
 
-/** Monitors that read the directory for so many gateways. */
+/** Number of relays that a number of gateways needs. */
 std::size_t relay_count(std::size_t gateways);
 
 /**
- * The monitors that a gateway asks to read the directory, the first choice
- * first. Gateways that know the same candidates choose the same few without
- * talking to each other, by a rendezvous hash, so that one that comes or goes
- * changes one place. They lie in different failure domains where there are
- * enough, and the gateways spread over them.
+ * Returns the monitors that read the directory for a gateway, in order of
+ * preference.
  *
- * Answers the load of a large fleet on the directory: its reads grow with the
- * number of relays, not with that of gateways.
+ * Gateways with the same candidates choose the same few relays without
+ * communication, by rendezvous hashing, so that a candidate that is added or
+ * removed changes at most one of the relays. The relays are in different
+ * failure domains if there are enough, and the gateways are spread over them.
+ * The load on the directory thus grows with the number of relays, not with
+ * the number of gateways.
  */
 std::vector<std::string>
 choose_relays(const std::vector<relay_candidate>& candidates,
--- a/src/libcyclamenrun/decisions/response_time.cpp
+++ b/src/libcyclamenrun/decisions/response_time.cpp
@@ -8,11 +8,11 @@
 namespace
 {
 
-/** Weights of the newest sample and factor of the deviation: RFC 6298. */
+/** Weights of a new sample and factor of the deviation, as in RFC 6298. */
 constexpr double mean_weight = 1.0 / 8;
 constexpr double deviation_weight = 1.0 / 4;
 constexpr double deviations = 4;
-/** Routes are few; names that come and go may not grow the table. */
+/** There are few routes; bounds the table if their names keep changing. */
 constexpr std::size_t most_routes = 1024;
 
 } // namespace
--- a/src/libcyclamenrun/decisions/response_time.hpp
+++ b/src/libcyclamenrun/decisions/response_time.hpp
@@ -11,16 +11,16 @@
 {
 
 /**
- * How long upstreams take to begin a response now: a smoothed mean and its
- * deviation, as TCP keeps them for its retransmission timeout (RFC 6298). Only
- * responses count, not requests that were given up, since those would teach
- * it that mute upstreams are the usual thing.
+ * Estimates how long upstreams take to begin a response: a smoothed mean and
+ * its deviation, as TCP computes them for its retransmission timeout (RFC
+ * 6298). Only responses count. Requests that timed out do not, or upstreams
+ * that do not respond would raise the bound that detects them.
  */
 class response_time
 {
 public:
     void add(milliseconds took);
-    /** Later than this is unusual; empty before the first response. */
+    /** Longest usual response time; empty before the first response. */
     std::optional<milliseconds> usual_bound() const;
 
 private:
@@ -29,7 +29,7 @@
     double deviation_ms_ = 0;
 };
 
-/** One for each route, in bounded memory. */
+/** Response times per route, in bounded memory. */
 class response_times
 {
 public:
--- a/src/libcyclamenrun/decisions/retry_budget.hpp
+++ b/src/libcyclamenrun/decisions/retry_budget.hpp
@@ -9,10 +9,10 @@
 {
 
 /**
- * Keeps retries a fixed share of requests, per team, so that when upstreams
- * fail the system's own retries don't multiply the load on what is left.
- * Each request earns a part of a retry; unused parts are kept up to a burst.
- * Bounded: beyond `max_teams` all teams start anew.
+ * Limits retries to a fixed share of requests per team, so that retries do not
+ * multiply the load on the remaining upstreams when others fail. Each request
+ * earns a fraction of a retry; unused fractions accumulate up to `burst`.
+ * Bounded: beyond `max_teams` the budgets of all teams are reset.
  */
 class retry_budget
 {
@@ -20,7 +20,7 @@
     retry_budget(double share, double burst, std::size_t max_teams);
 
     void request(const std::string& team);
-    /** Takes one retry; false when the budget is spent. */
+    /** Spends one retry; false if the budget is exhausted. */
     bool try_retry(const std::string& team);
 
     std::size_t size() const { return tokens_.size(); }
--- a/src/libcyclamenrun/decisions/shared_prefixes.hpp
+++ b/src/libcyclamenrun/decisions/shared_prefixes.hpp
@@ -10,8 +10,8 @@
 {
 
 /**
- * Prompt blocks that running work holds in engine memory, each counted once
- * however many works share it, as the engine does.
+ * Prompt blocks that running work items hold in engine memory. A block that
+ * several work items share is counted once, as in the engine.
  */
 class shared_prefixes
 {
@@ -19,7 +19,7 @@
     void acquire(std::span<const std::uint64_t> blocks);
     void release(std::span<const std::uint64_t> blocks);
 
-    /** How many of the blocks nobody holds yet. */
+    /** Number of the blocks that no work item holds. */
     std::size_t missing(std::span<const std::uint64_t> blocks) const;
     /** Distinct blocks held. */
     std::size_t size() const { return holders_.size(); }
--- a/src/libcyclamenrun/decisions/shared_retry_budget.cpp
+++ b/src/libcyclamenrun/decisions/shared_retry_budget.cpp
@@ -7,11 +7,11 @@
 {
 
 /**
- * Part of the budget that is spent: the rest is for windows that don't
- * coincide and for gateways that count each other late.
+ * Fraction of the budget that is used. The rest allows for windows that do not
+ * coincide and for gateways that learn late how many share the budget.
  */
 constexpr double used_part = 0.8;
-/** Services are few; names that come and go may not grow the table. */
+/** There are few services; bounds the table if their names keep changing. */
 constexpr std::size_t most_services = 1024;
 
 } // namespace
--- a/src/libcyclamenrun/decisions/shared_retry_budget.hpp
+++ b/src/libcyclamenrun/decisions/shared_retry_budget.hpp
@@ -11,19 +11,19 @@
 {
 
 struct retry_budget_settings {
-    /** Arrivals beyond the first, for each request of the window. */
+    /** Retries allowed for each request in the window. */
     double share = 0.2;
-    /** Further ones in a window, over all processes. */
+    /** Additional retries allowed in a window, over all gateways. */
     double extra = 50;
     milliseconds window{10000};
 };
 
 /**
- * This process's part of a budget of retries that all gateways share, for
- * each service, so that retries can't multiply the load on upstreams that
- * fail. Each gateway earns by the requests that it serves itself, and the
- * fixed part is divided by the number of gateways, so that nothing has to be
- * asked of others for a retry. Not thread-safe, no I/O.
+ * This process's part of a retry budget per service that all gateways share,
+ * so that retries can't multiply the load on upstreams that fail. Each gateway
+ * earns retries by its own requests, and the fixed part is divided by the
+ * number of gateways, so that a retry needs no communication between them.
+ * Not thread-safe, no I/O.
  */
 class shared_retry_budget
 {
@@ -34,15 +34,15 @@
     }
 
     unsigned sharers() const { return sharers_; }
-    /** How many gateways share the budget now. */
+    /** Sets the number of gateways that share the budget. */
     void set_sharers(unsigned count) { sharers_ = count > 0 ? count : 1; }
 
     void request(const std::string& service, time_point now);
-    /** Takes one retry; false when the budget is spent. */
+    /** Spends one retry; false if the budget is exhausted. */
     bool try_retry(const std::string& service, time_point now);
-    /** Retries that could be made now. */
+    /** Retries left in the budget; negative if it is overdrawn. */
     double left(const std::string& service, time_point now);
-    /** An arrival that can't be forgone, such as a move of a generation. */
+    /** Counts a retry that must be made, such as a move of a generation. */
     void forced(const std::string& service, time_point now);
 
 private:
@@ -54,7 +54,7 @@
     service_counts& counts_of(const std::string& service);
 
     retry_budget_settings settings_;
-    unsigned sharers_ = 8; ///< until it is known; too many is safe
+    unsigned sharers_ = 8; ///< until set; a number too high is safe
     std::unordered_map<std::string, service_counts> services_;
 };
 
--- a/src/libcyclamenrun/decisions/start_queue.cpp
+++ b/src/libcyclamenrun/decisions/start_queue.cpp
@@ -10,9 +10,9 @@
 {
 
 /**
- * The next start is given this long before the engine has read the prompts
- * before it, so that it is there by then: a few milliseconds for the ways, the
- * rest for a speed that varies.
+ * The next start is granted this long before the engine has read all earlier
+ * prompts, so that the request arrives in time: a few milliseconds for the
+ * network, the rest for variations of the reading speed.
  */
 constexpr milliseconds lookahead{30};
 
@@ -115,7 +115,7 @@
 {
     if (leaving_ || !outlook_.known())
         return !leaving_;
-    // How many it runs at once may not have been told yet.
+    // 0: the number of slots is not known yet.
     const bool slot = slots_ == 0 || outlook_.taken_slots() < slots_;
     return slot &&
            outlook_.place().memory_taken + tokens <= outlook_.memory_total();
--- a/src/libcyclamenrun/decisions/start_queue.hpp
+++ b/src/libcyclamenrun/decisions/start_queue.hpp
@@ -13,34 +13,36 @@
 {
 
 /**
- * The generations that want to start at one engine, and which of them may do
- * so now. Each waits at several engines at once and starts at the first that
- * has room, so that no queue is joined in vain.
+ * Queues the start requests for one engine and grants the starts. A generation
+ * waits at several engines at once and starts at the first that has room, so
+ * that a long queue at one of them does not delay it.
  *
- * Guards against herds: gateways that each choose by what they heard of all
- * engines a moment ago send their requests to the same few, and an engine
- * that is new gets ten at once. Here a start counts at once, whoever asked.
+ * Guards against thundering herds: gateways that choose engines by slightly
+ * old load reports send their requests to the same few engines, and a new
+ * engine gets ten at once. Here each grant counts at once, for all gateways.
  *
- * Who can still be on time goes first; of these the team that holds least of
- * the engine, so that one that floods makes the others no later; then by the
- * time left. A smaller one goes before if the next does not fit. Who is late
- * waits until nobody else does.
+ * Requests that can still meet their deadline go first. Among these the team
+ * that holds the least memory of the engine goes first, so that a team that
+ * floods does not delay the others; then the earliest deadline. If the next
+ * request does not fit, a smaller one goes before it. Late requests wait until
+ * no others are waiting.
  *
- * Bounded; no I/O; one thread. Who falls silent loses its place.
+ * Bounded, no I/O, not thread-safe. A request that is not repeated within
+ * start_silence is dropped.
  */
 class start_queue
 {
 public:
-    /** The engine's word. `leaving`: nothing more may start there. */
+    /** Replaces the engine's status. `leaving`: no more starts are granted. */
     void take_view(const engine_view& view, bool leaving, time_point now);
-    /** Generations that the engine runs at once, as the directory has it. */
+    /** Sets the generations that the engine runs at once, by the directory. */
     void set_slots(unsigned slots) { slots_ = slots; }
 
-    /** It wants to start; asked again and again while it waits. */
+    /** Adds or renews a start request; repeated while the request waits. */
     void ask(const start_request& wanted, time_point now);
-    /** It waits no more, or what it was given is not used or is over. */
+    /** Removes a request, or its grant if that is unused or has ended. */
     void end(const std::string& id);
-    /** Those that may start now, in that order. */
+    /** Grants the starts that are possible now; returns them in order. */
     std::vector<start_request> give(time_point now);
 
     bool was_given(const std::string& id) const
@@ -48,16 +50,16 @@
         return outlook_.was_given(id);
     }
     /**
-     * It is late, and teams that hold less wait as well: whatever is on time
-     * goes before it, and so do their late ones.
+     * True if the request is late and teams that hold less memory are waiting
+     * as well: their requests go before it, the late ones too.
      */
     bool is_passed_over(const start_request& wanted, time_point now) const;
-    /** A running generation of so many tokens could be copied to it. */
+    /** True if a running generation of `tokens` could be copied here. */
     bool has_room_for_copy(std::uint64_t tokens) const;
-    /** The engine as it is with all that was given. */
+    /** The engine's estimated load, start grants included. */
     const engine_outlook& outlook() const { return outlook_; }
     bool leaving() const { return leaving_; }
-    /** When give() is due if nothing else happens; empty: after a view. */
+    /** When give() is due next; empty: after the next status of the engine. */
     std::optional<time_point> next_event(time_point now) const;
     std::size_t waiting() const { return waiting_.size(); }
 
@@ -65,8 +67,8 @@
     struct waiting_start {
         start_request who;
         time_point asked_at;
-        bool late = false;            ///< at the last sort()
-        std::uint64_t team_holds = 0; ///< tokens, at the last sort()
+        bool late = false;            ///< as of the last sort()
+        std::uint64_t team_holds = 0; ///< tokens, as of the last sort()
     };
 
     bool may_read_more(time_point now) const;
@@ -79,9 +81,9 @@
     bool leaving_ = false;
 };
 
-/** A gateway asks again within a fifth of this; see start_search. */
+/** Gateways repeat a request within a fifth of this; see start_search. */
 inline constexpr milliseconds start_silence{700};
-/** Generations that wait at one engine; more are not listened to. */
+/** Requests that wait at one engine; further ones are ignored. */
 inline constexpr std::size_t most_waiting_starts = 512;
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/survival_curve.cpp
+++ b/src/libcyclamenrun/decisions/survival_curve.cpp
@@ -9,15 +9,15 @@
 namespace
 {
 
-// Four buckets to each doubling, counted from 4 so that tokens 0 to 3 have a
-// bucket each.
+// Added to lengths: with four buckets per doubling counted from 4, the lengths
+// 0 to 3 have a bucket each.
 constexpr std::uint32_t offset = 4;
 
-// With nothing learnt, an answer that has come as far as a bucket ends within
-// it with this probability: about two in five reach twice their length.
+// Prior probability that an answer that reaches a bucket ends within it. About
+// two in five answers then reach twice their length.
 constexpr float stated_hazard = 0.2F;
 
-// Keeps a curve from ever saying never.
+// Lower bound of the survival, so that no length is impossible.
 constexpr float least_survival = 1e-6F;
 
 } // namespace
@@ -65,7 +65,7 @@
 
 void survival_curve::compute(const buckets& prior_hazard, float prior_weight)
 {
-    // Who was cut off in a bucket has passed half of it, on average.
+    // Answers that were cut off in a bucket reached its middle, on average.
     float at_risk = 0.0F;
     for (std::size_t i = bucket_count; i-- > 0;) {
         at_risk += ended_[i] + 0.5F * cut_off_[i];
--- a/src/libcyclamenrun/decisions/survival_curve.hpp
+++ b/src/libcyclamenrun/decisions/survival_curve.hpp
@@ -9,42 +9,42 @@
 {
 
 /**
- * The probability that an answer is longer than a number of tokens, learnt
- * from answers as they end.
+ * Estimates the probability that an answer is longer than a number of tokens
+ * from the answers that have ended.
  *
- * Lengths fall into buckets, four to each doubling, so that a few tokens and
- * tens of thousands are told apart in fixed memory. Per bucket it keeps how
- * many answers ended there and how many were cut off (cancelled, expired),
- * which still tell that the answer was at least that long: the estimate is
- * the actuarial one. Counts decay with each answer, so that a shift of
- * lengths is followed. Where a bucket has few answers, the hazard leans on a
- * prior curve.
+ * Lengths fall into buckets, four per doubling, so that fixed memory resolves
+ * a few tokens as well as tens of thousands. Each bucket counts the answers
+ * that ended in it and those that were cut off in it (cancelled, expired).
+ * The latter are censored observations: the answer was at least that long.
+ * The curve is the actuarial (life table) estimate. Counts decay with each
+ * answer, so that the curve follows a shift of lengths. A bucket with few
+ * answers takes its hazard mostly from a prior curve.
  */
 class survival_curve
 {
 public:
     static constexpr std::size_t bucket_count = 64;
 
-    /** `memory` is how many of the latest answers weigh in, roughly. */
+    /** `memory`: approximate number of recent answers that have weight. */
     explicit survival_curve(float memory);
 
-    /** First length of a bucket, in tokens. */
+    /** Least length in a bucket, in tokens. */
     static std::uint32_t edge(std::size_t bucket);
     static std::size_t bucket_of(std::uint32_t tokens);
 
-    /** An answer ended, or was cut off, after `tokens`. */
+    /** Adds an answer that ended, or was cut off, after `tokens`. */
     void learn(std::uint32_t tokens, bool complete);
 
-    /** Works the curve out again, leaning on `prior`. */
+    /** Recomputes the curve; `prior_weight` is in answers. */
     void refresh(const survival_curve& prior, float prior_weight);
-    /** Works the curve out leaning on the stated prior, see the source. */
+    /** Recomputes the curve with a constant hazard as the prior. */
     void refresh_with_stated_prior(float prior_weight);
 
     /** P(length > tokens). */
     float survival(std::uint32_t tokens) const;
-    /** P(length > made + ahead), given that it is longer than `made`. */
+    /** P(length > made + ahead | length > made). */
     float conditional(std::uint32_t made, std::uint32_t ahead) const;
-    /** Expected tokens still to come after `made`, at most up to `cap`. */
+    /** Expected further tokens after `made` if the length is capped. */
     float expected_remaining(std::uint32_t made, std::uint32_t cap) const;
 
     /** Changes with each learn(). */
@@ -61,7 +61,7 @@
     buckets ended_{};
     buckets cut_off_{};
     buckets hazard_{};
-    /// At each edge: survival, and its sum over all shorter lengths.
+    /// At each edge: the survival, and its integral over shorter lengths.
     std::array<float, bucket_count + 1> survival_{};
     std::array<float, bucket_count + 1> integral_{};
 };
--- a/src/libcyclamenrun/decisions/team_limiter.cpp
+++ b/src/libcyclamenrun/decisions/team_limiter.cpp
@@ -9,14 +9,14 @@
 namespace
 {
 
-// A full bucket holds this many seconds of tokens.
+// Capacity of a bucket, in seconds of its rate.
 constexpr double burst_s = 10.0;
 
 constexpr milliseconds least_retry_after{100};
 constexpr milliseconds longest_retry_after{600'000};
 
-// How long a place of max_concurrent takes to come free; there is no better
-// knowledge of it than that answers take seconds.
+// Assumed time until a request of the team ends; answers take seconds, and
+// there is no better estimate.
 constexpr milliseconds place_retry_after{1'000};
 
 milliseconds clamp(double seconds)
@@ -88,7 +88,7 @@
 {
     if (teams_.size() < max_teams_)
         return true;
-    // Whoever is in debt stays, or it would be forgiven by others coming.
+    // A team in debt stays, or new teams could make its debt be dropped.
     std::erase_if(teams_, [](const auto& item) {
         return item.second.running == 0 && item.second.tokens >= 0.0;
     });
--- a/src/libcyclamenrun/decisions/team_limiter.hpp
+++ b/src/libcyclamenrun/decisions/team_limiter.hpp
@@ -11,30 +11,33 @@
 namespace cyclamenrun
 {
 
-/** A team's limits over all entries; 0: no limit. */
+/** Limits of a team over all entries; 0: no limit. */
 struct team_limits {
     std::uint32_t max_concurrent = 0;
     std::uint64_t tokens_per_second = 0;
 };
 
 /**
- * Holds teams to their limits at one entry. Entries don't talk to each
- * other: each enforces its share of a limit, as the balancer spreads callers
- * evenly, but never less than one request at once. Prompts are charged when
- * they start and output as it is made; since its length isn't known ahead the
- * bucket may go into debt, and the team then waits until it is paid off.
- * Bounded: beyond `max_teams`, teams with nothing running are dropped, and
- * if none can be, a new team is refused.
+ * Enforces the limits of teams at one entry.
+ *
+ * Entries don't communicate. The balancer spreads callers evenly, so each entry
+ * enforces its share of a limit, but allows at least one concurrent request.
+ * A token bucket is charged for the prompt at the start and for the output as
+ * it is generated. The output's length is not known ahead, so the bucket can
+ * go into debt; the team is then refused until the debt is paid off.
+ *
+ * Bounded: beyond `max_teams`, teams with no running request and no debt are
+ * dropped; if there are none, a new team is refused.
  */
 class team_limiter
 {
 public:
     explicit team_limiter(std::size_t max_teams);
 
-    /** How many entries share the callers now; 1 or more. */
+    /** Sets the number of entries that share the callers; at least 1. */
     void entries(std::uint32_t count);
 
-    /** Refuses with team_limit and a retry_after. */
+    /** Starts a request, or refuses it with team_limit and a retry_after. */
     outcome<void> start(const std::string& team, const team_limits& limits,
                         std::uint32_t prompt_tokens, time_point now);
     void output(const std::string& team, std::uint32_t tokens);
@@ -46,7 +49,7 @@
     struct state {
         std::uint32_t running = 0;
         double tokens = 0.0; ///< left in the bucket; below 0: debt
-        double rate = 0.0;   ///< this entry's share, a second
+        double rate = 0.0;   ///< this entry's share, in tokens per second
         time_point filled{};
     };
 
--- a/src/libcyclamenrun/decisions/window_counter.hpp
+++ b/src/libcyclamenrun/decisions/window_counter.hpp
@@ -11,8 +11,8 @@
 {
 
 /**
- * Counts what happened in the last `window`, to a tenth of it: what is
- * counted happened at most `window` ago, and all of the last nine tenths is.
+ * Counts events in a sliding window of ten slots. Events older than the window
+ * are not counted; all events of the last nine tenths of the window are.
  */
 class window_counter
 {
