--- a/tests/decisions/test_admission.cpp
+++ b/tests/decisions/test_admission.cpp
@@ -13,7 +13,7 @@
 
 using namespace std::chrono_literals;
 
-// The same cases each time; a failure can be searched for with other seeds.
+// Runs the same cases each time; other seeds can be set to search for failures.
 const int seeded = setenv("RC_PARAMS", "seed=20261202", 0);
 
 const time_point start = time_point{} + 1h;
@@ -31,7 +31,7 @@
     return work;
 }
 
-/** Runs `length` tokens of a work that admit() has started. */
+/** Generates `length` tokens of a started work item and completes it. */
 void run_through(admission& gate, work_id id, std::uint32_t length,
                  time_point now)
 {
@@ -113,22 +113,23 @@
     RC_ASSERT(gate.next_event() == time_point::max());
 }
 
-// A user's dossier starts over in the middle: the engine ran out of memory,
-// since work was admitted by what it held then and all of it grew. With
-// lengths as they have been before, what is admitted fits to the end.
+// Guards against preemption in the middle of an answer: if work were admitted
+// by the memory in use at that time, the engine would run out of memory when
+// all answers grow, and restart some. With lengths like the learnt ones, the
+// admitted work fits until it ends.
 TEST(admission, admits_no_more_than_fits_when_lengths_are_as_learnt)
 {
     admission_settings settings;
     settings.memory_tokens = 20'000;
     settings.overflow_bound = 0.01;
-    settings.max_prefill_tokens = 10'000; // only memory is to hold it back
+    settings.max_prefill_tokens = 10'000; // so that only memory limits
     admission gate(settings);
     teach(gate, "survey", 900, 100);
     for (work_id id = 1; id <= 60; ++id)
         std::ignore = gate.enqueue(work_of(id, "survey"), start);
 
     std::vector<work_id> running = gate.admit(start);
-    EXPECT_GE(running.size(), 14U); // 20 at most could fit to the end
+    EXPECT_GE(running.size(), 14U); // at most 20 could fit until they end
     for (int made = 0; made < 900; made += 30) {
         for (const work_id id : running)
             gate.tokens_made(id, 30, start);
@@ -138,9 +139,9 @@
     }
 }
 
-// A repair shop's single question waits for minutes: one office has sent a
-// hundred long guides just before it, and work runs in order of arrival. The
-// shop's team goes first as soon as there is room.
+// Guards against one team that delays another: in order of arrival, a single
+// request of one team would wait for minutes behind a hundred long ones of
+// another team. It has to start as soon as there is room.
 TEST(admission, a_team_that_sends_much_does_not_hold_up_one_that_sends_little)
 {
     admission_settings settings;
@@ -162,9 +163,9 @@
     EXPECT_EQ(gate.admit(start), std::vector<work_id>{500});
 }
 
-// Under a burst a caller must hear at once that it will not be served, and
-// when to come back. The places promised are apart from each other, or all
-// would come back together and be refused again.
+// In a burst a caller has to be refused at once with a retry_after. The times
+// of several callers have to differ, or the callers would come back together
+// and be refused again.
 TEST(admission, a_full_queue_refuses_with_a_time_from_its_own_drain_rate)
 {
     admission_settings settings;
@@ -178,7 +179,7 @@
         ++next;
     EXPECT_EQ(next, 11U);
 
-    // One work every two seconds, for a minute, and the queue kept full.
+    // One work item every two seconds for a minute, with a full queue.
     time_point now = start;
     for (int i = 0; i < 30; ++i) {
         const auto started = gate.admit(now);
@@ -202,7 +203,7 @@
 TEST(admission, work_that_would_wait_beyond_its_deadline_is_refused_at_once)
 {
     admission_settings settings;
-    settings.max_wait = 1h; // only the deadline is to count
+    settings.max_wait = 1h; // so that only the deadline limits
     settings.max_running = 1;
     admission gate(settings);
     waiting_work late = work_of(1, "survey");
@@ -238,7 +239,8 @@
     ASSERT_TRUE(gate.enqueue(work_of(3, "b"), start));
     EXPECT_EQ(gate.admit(start + 1s), std::vector<work_id>{3});
     ASSERT_TRUE(gate.enqueue(work_of(4, "b"), start));
-    EXPECT_TRUE(gate.admit(start + 11s).empty()); // it has waited enough
+    // The suspect has waited long enough to block other starts.
+    EXPECT_TRUE(gate.admit(start + 11s).empty());
     run_through(gate, 1, 5, start + 11s);
     run_through(gate, 3, 5, start + 11s);
     EXPECT_EQ(gate.admit(start + 12s), std::vector<work_id>{2});
@@ -246,8 +248,8 @@
     EXPECT_EQ(gate.admit(start + 13s), std::vector<work_id>{4});
 }
 
-// A new agent comes up beside an engine that still runs the old one's work:
-// memory that looks free to the agent is not.
+// Guards against overfilling an engine that still runs work of a previous
+// agent: the new agent does not count that memory by itself.
 TEST(admission, memory_of_foreign_work_counts_as_taken)
 {
     admission_settings settings;
@@ -256,7 +258,7 @@
     gate.foreign_memory(9'800);
     ASSERT_TRUE(gate.enqueue(work_of(1, "a"), start));
     ASSERT_TRUE(gate.enqueue(work_of(2, "a"), start));
-    EXPECT_EQ(gate.admit(start).size(), 1U); // alone at any risk
+    EXPECT_EQ(gate.admit(start).size(), 1U); // the first is exempt
     gate.tokens_made(1, 1, start);
     EXPECT_TRUE(gate.admit(start).empty());
     gate.foreign_memory(0);
--- a/tests/decisions/test_gateway_decisions.cpp
+++ b/tests/decisions/test_gateway_decisions.cpp
@@ -18,8 +18,9 @@
     return time_point(milliseconds(ms));
 }
 
-// A tag is written and the answer is lost on the way. Sent once more it would
-// be written twice; answered "not run" its caller would send it again.
+// Guards against running a request twice: a write runs and its response is
+// lost. A retry would write twice, and so would the caller's own retry after a
+// "not run" refusal.
 TEST(attempt_policy, never_repeats_what_may_have_run_unless_that_is_harmless)
 {
     attempt_state state;
@@ -59,8 +60,8 @@
               attempt_step::refuse);
 }
 
-// An idempotent call has run once and failed; the second upstream turns it
-// away. "Not run" would be untrue: the first has run it.
+// Guards against a false "not run": an idempotent call has run once and failed,
+// and the second upstream turns it away.
 TEST(attempt_policy, refuses_as_not_run_only_what_has_never_run)
 {
     attempt_state state;
@@ -96,8 +97,8 @@
     EXPECT_EQ(taken, 8); // four fifths of 50 / 5
 }
 
-// Upstreams fail, and each request is tried again: without a budget the load
-// on what is left doubles. Over any window the retries stay within the share.
+// Guards against retries that double the load on the remaining upstreams when
+// others fail: in any window the retries stay within the share.
 TEST(shared_retry_budget, holds_in_any_window)
 {
     retry_budget_settings settings;
@@ -148,7 +149,7 @@
     doubtful.doubtful = true;
     for (const auto& bad : {waits, full, fails, doubtful})
         EXPECT_LT(placement_cost(good), placement_cost(bad));
-    // Better one that may be gone than none.
+    // An unconfirmed upstream is better than none.
     std::mt19937_64 random(1);
     EXPECT_EQ(choose_placement(std::vector{doubtful}, random), 0U);
     EXPECT_FALSE(choose_placement(std::vector<placement_candidate>(), random));
@@ -176,8 +177,9 @@
         EXPECT_GT(count, 60);
 }
 
-// Two engines would begin a generation as soon, and one holds twice the
-// memory. If that one is reclaimed, not all of it can be copied in time.
+// Guards against memory that piles up on one engine: if that engine is
+// reclaimed, not all of its memory can be copied in time. With equal waits the
+// engine with less memory in use is preferred.
 TEST(placement, spreads_memory_over_engines)
 {
     placement_candidate full;
@@ -201,10 +203,8 @@
     EXPECT_FALSE(turns.holder(at(20)));
 }
 
-// A gateway that has the turn dies. The others must not wait until the
-// engine is gone.
-// An engine leaves with many generations, and the notice is too short to copy
-// them all. Each that is copied is a caller whose answer is whole.
+// Guards against copying few large generations of an engine that is removed:
+// if the notice is too short for all, the smallest first save the most streams.
 TEST(copy_turns, let_the_smallest_go_first)
 {
     copy_turns turns;
@@ -220,6 +220,8 @@
     EXPECT_FALSE(turns.holder(now));
 }
 
+// Guards against a turn whose gateway crashed: the others must not wait until
+// the engine is removed.
 TEST(copy_turns, end_by_themselves)
 {
     copy_turns turns;
@@ -265,8 +267,8 @@
     EXPECT_FALSE(silence_limit(state, objective, {}));
 }
 
-// Callers come in crowds, and answers take long because all upstreams have
-// queues. To take requests out of them would only make the queues longer.
+// Guards against timeouts under load: if all upstreams have queues, responses
+// take long, and taking requests out of the queues makes the queues longer.
 TEST(silence_limit, follows_what_is_usual_now)
 {
     constexpr milliseconds objective{100};
@@ -281,8 +283,8 @@
               milliseconds(200));
 }
 
-// A hundred callers are refused in one moment. If all came back in the same
-// one, the queue would be as long as before.
+// Guards against a thundering herd: a hundred callers that are refused at the
+// same time and retry at the same time would fill the queue again.
 TEST(spread_retry, keeps_callers_from_coming_back_in_one_wave)
 {
     std::mt19937_64 random(1);
@@ -304,7 +306,7 @@
         times.add("a", milliseconds(i % 2 == 0 ? 20 : 30));
     EXPECT_GE(times.usual_bound("a"), milliseconds(40));
     EXPECT_LE(times.usual_bound("a"), milliseconds(50));
-    // The service has become slow.
+    // The service becomes slow.
     for (int i = 0; i < 40; ++i)
         times.add("a", milliseconds(200));
     EXPECT_GE(times.usual_bound("a"), milliseconds(195));
--- a/tests/decisions/test_herds.cpp
+++ b/tests/decisions/test_herds.cpp
@@ -14,8 +14,8 @@
 namespace
 {
 
-// A small fleet in virtual time: 25 gateways before 46 engines of which a
-// sixth leaves each 3.3 s and comes back empty 4 s later. Time goes in steps.
+// Simulates a small fleet in fixed time steps: 25 gateways and 46 engines. A
+// sixth of the engines is removed every 3.3 s and comes back empty after 4 s.
 
 constexpr int step_ms = 10;
 constexpr int engines = 46;
@@ -27,7 +27,7 @@
 constexpr int look_ms = 100;
 constexpr int objective_ms = 1500;
 constexpr int length_ms = 30000;
-/** Callers who have got nothing by then have left. */
+/** Callers disconnect if nothing has arrived by then. */
 constexpr int patience_ms = 4 * objective_ms;
 constexpr std::uint64_t calm_team_count = 20;
 const std::string flooding_team = "flood";
@@ -48,11 +48,11 @@
     std::string team;
 };
 
-/** How a team's generations fared. */
+/** Results of a team's generations. */
 struct team_result {
     int in_time = 0;
     int late = 0;
-    int left = 0; ///< their callers gave up before they began
+    int left = 0; ///< callers that disconnected before the start
 
     int begun() const { return in_time + late; }
     double late_share() const
@@ -61,12 +61,12 @@
     }
 };
 
-/** Reads one prompt after another, beside what it runs; a token a step. */
+/** Reads one prompt at a time; each running generation makes a token a step. */
 struct engine {
-    std::deque<generation> queue; ///< the first is read if it has memory
+    std::deque<generation> queue; ///< the first is read if its memory fits
     bool reading = false;
     std::vector<generation> running;
-    int back_at_ms = 0; ///< it is away until then
+    int back_at_ms = 0; ///< the engine is removed until then
 
     double used() const
     {
@@ -124,7 +124,8 @@
     fleet(const fleet&) = delete;
     fleet& operator=(const fleet&) = delete;
 
-    /** Share of first parts that came after the objective, or not at all. */
+    /** Runs the simulation; returns the share of late or missing first parts.
+     */
     double late_share(int until_ms = length_ms)
     {
         for (now_ms = 0; now_ms < until_ms; now_ms += step_ms) {
@@ -145,10 +146,10 @@
         return all().late_share();
     }
     int begun() const { return all().begun(); }
-    /** Of all teams but those that flood. */
+    /** The result of all teams but the flooding one. */
     team_result calm_teams() const { return all(flooding_team); }
 
-    /** One team sends so many a second beside all others; 0: none does. */
+    /** Adds a team that sends `per_s` requests per second; 0: none. */
     void flood(double per_s) { flood_per_s_ = per_s; }
 
 protected:
@@ -185,7 +186,7 @@
         drawn.arrived_ms = now_ms;
         drawn.prompt = std::uniform_real_distribution<>(1000, 5000)(random);
         drawn.unread = drawn.prompt;
-        // Half are of a few tokens, the others of hundreds.
+        // Half of the outputs have a few tokens, the others hundreds.
         std::exponential_distribution<> length(1.0 / 600);
         drawn.output =
             random() % 2 == 0 ? 10 : std::min(1768.0, length(random));
@@ -208,7 +209,7 @@
     int drawn_ = 0;
 };
 
-/** Each gateway chooses by loads that are old, and its own dispatches. */
+/** Each gateway chooses by old load reports and its own dispatches. */
 class choosing_fleet : public fleet
 {
 public:
@@ -260,7 +261,7 @@
         gateways, std::vector<std::vector<generation>>(engines)};
 };
 
-/** Generations wait at some engines and start at the first with room. */
+/** Generations wait at several engines and start at the first with room. */
 class asking_fleet : public fleet
 {
 public:
@@ -358,11 +359,10 @@
     bool knows_teams_;
 };
 
-// A fleet that has room for its callers, most of whom are kept waiting: each
-// gateway sends to the few engines that looked empty a moment ago, and one
-// that is new gets ten at once. Late first parts, mean of three seeds: 18%
-// where gateways choose by loads that are 200 ms old at most, 1% where
-// generations wait at several engines and start at the first with room.
+// Guards against thundering herds: with load reports that are up to 200 ms
+// old, all gateways send to the few engines that were empty in the reports, and
+// callers wait although the fleet has room. With start requests at several
+// engines, few first parts are late.
 TEST(herds, keep_no_callers_waiting_where_engines_say_who_may_start)
 {
     double chosen = 0;
@@ -374,14 +374,15 @@
         asked += asking.late_share() / 3;
         EXPECT_GE(asking.begun(), choosing.begun());
     }
-    RecordProperty("late_by_beliefs", std::to_string(chosen));
-    RecordProperty("late_by_asking", std::to_string(asked));
+    RecordProperty("late_by_load_reports", std::to_string(chosen));
+    RecordProperty("late_by_start_requests", std::to_string(asked));
     EXPECT_GT(chosen, 0.05);
     EXPECT_LT(asked, chosen / 4);
 }
 
-// One of twenty-one teams sends as much as all others together, and the
-// engines are full. The others' callers wait behind it and are late.
+// Guards against a team that floods: one of twenty-one teams sends as much as
+// all others together and the engines are full. In order of arrival, the
+// requests of the other teams wait behind the flood and are late.
 TEST(herds, let_no_team_that_floods_make_the_others_late)
 {
     constexpr double flood_per_s = 75;
--- a/tests/decisions/test_length_predictor.cpp
+++ b/tests/decisions/test_length_predictor.cpp
@@ -49,8 +49,8 @@
     EXPECT_GT(lengths.curve("redactor", "new").survival(1'500), 0.8F);
 }
 
-// A model is changed and answers become four times as long: admission by the
-// old curve would overfill the engine for as long as it is believed.
+// Guards against a stale curve: when a new model's answers are four times as
+// long, admission by the old curve overfills the engine.
 TEST(length_predictor, follows_a_shift_of_lengths)
 {
     length_predictor lengths(64);
--- a/tests/decisions/test_limits.cpp
+++ b/tests/decisions/test_limits.cpp
@@ -12,8 +12,9 @@
 
 const time_point start = time_point{} + 1h;
 
-// Half of the engines are lost. If each of their requests were tried three
-// times, what is left would get three times its load and fail as well.
+// Guards against retries that overload the remaining engines: if half of the
+// engines are lost and each of their requests is sent three times, the other
+// half gets a multiple of its load and fails as well.
 TEST(retry_budget, retries_stay_a_share_of_requests)
 {
     retry_budget budget(0.1, 5, 100);
@@ -43,15 +44,15 @@
     EXPECT_EQ(started, 9);
 
     team_limiter limiter(10);
-    limiter.entries(100); // never less than one
+    limiter.entries(100); // the share is at least one
     EXPECT_TRUE(limiter.start("survey", limits, 10, start));
     EXPECT_FALSE(limiter.start("survey", limits, 10, start));
     limiter.finished("survey");
     EXPECT_TRUE(limiter.start("survey", limits, 10, start));
 }
 
-// Nobody knows how long an answer will be, so a team may overdraw its tokens;
-// what it is told to wait must then be what it takes to pay that off.
+// The length of an answer is not known ahead, so a team may overdraw its token
+// bucket. The retry_after has to be the time that pays off the debt.
 TEST(team_limiter, a_retry_after_is_when_the_tokens_are_paid_off)
 {
     team_limiter limiter(10);
--- a/tests/decisions/test_relay_choice.cpp
+++ b/tests/decisions/test_relay_choice.cpp
@@ -49,8 +49,8 @@
         EXPECT_GT(gateways, 370 / 6) << host;
 }
 
-// A failure domain is cut off with the relay in it: the second one must lie
-// elsewhere, whatever the hash says.
+// Guards against losing all relays with one failure domain: the second relay
+// has to be in another one, whatever the hash order is.
 TEST(relay_choice, takes_different_failure_domains)
 {
     for (int shift = 0; shift < 50; ++shift) {
@@ -77,8 +77,8 @@
     EXPECT_EQ(choose_relays(candidates(5, 1), "g", 2).size(), 2U);
 }
 
-// A sixth of the engines is replaced every few seconds. Each relay that
-// changes reads the directory anew, so only those that went may change.
+// Guards against needless changes of relays: a new relay has to read the whole
+// directory. When VMs are replaced, only the removed relays may change.
 TEST(relay_choice, changes_only_what_has_gone)
 {
     auto all = candidates(115, 5);
--- a/tests/decisions/test_router.cpp
+++ b/tests/decisions/test_router.cpp
@@ -46,8 +46,8 @@
     return request;
 }
 
-// A burst arrives between two load reports. By the last report one runner is
-// a little emptier than the rest, and all of the burst would go there.
+// Guards against a thundering herd: by the last report alone, a burst between
+// two load reports would go to the one runner with the least load.
 TEST(router, a_burst_between_two_reports_is_spread)
 {
     router routes({}, 1);
@@ -69,8 +69,9 @@
         EXPECT_NEAR(count, 10, 1) << index;
 }
 
-// Load reports come two seconds late: what was sent in the meantime is not in
-// them, and must go on counting until a report that was made later comes.
+// Guards against dispatches that are not counted: load reports arrive two
+// seconds late, so a dispatch sent meanwhile is in none of them. It has to
+// count until a report arrives that was made after it.
 TEST(router, a_late_report_does_not_hide_what_was_sent_after_it_was_made)
 {
     router routes({}, 1);
--- a/tests/decisions/test_start_queue.cpp
+++ b/tests/decisions/test_start_queue.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::uint64_t memory = 20000;
 constexpr unsigned slots = 24;
-/** An hour after the epoch: zero stands for "never". */
+/** An hour after the epoch, since the epoch itself stands for "never". */
 const time_point start{std::chrono::hours(1)};
 
 time_point at(int ms)
@@ -37,7 +37,7 @@
     return view;
 }
 
-/** An engine that runs generations of so many tokens of memory each. */
+/** An engine that runs generations with the given memory sizes in tokens. */
 engine_view engine_with(const std::vector<std::uint64_t>& sizes)
 {
     auto view = idle_engine();
@@ -71,9 +71,9 @@
 
 using names = std::vector<std::string>;
 
-// An engine has just come. Ten gateways see that it is empty and all send to
-// it, so that the last of their callers waits for nine prompts to be read
-// while engines beside it have nothing to read.
+// Guards against a thundering herd on a new engine: ten gateways see that it is
+// empty and all send to it, so that the last request waits for nine prompts
+// while other engines have nothing to read.
 TEST_F(start_queues, give_a_new_engine_one_start_at_a_time)
 {
     queue.take_view(idle_engine(), false, at(0));
@@ -81,7 +81,7 @@
         queue.ask(wanting(std::to_string(i)), at(0));
     EXPECT_EQ(give(0), names{"0"});
     EXPECT_EQ(give(100), names{});
-    // 2,000 tokens are read in 286 ms; the next comes a little before.
+    // 2,000 tokens are read in 286 ms; the next grant is 30 ms earlier.
     EXPECT_EQ(queue.next_event(at(100)), at(256));
     EXPECT_EQ(give(256), names{"1"});
     EXPECT_EQ(queue.waiting(), 8U);
@@ -103,8 +103,8 @@
     EXPECT_EQ(give(0), names{"sooner"});
 }
 
-// The engine is behind. A caller whose answer is late already takes the place
-// of one whose answer would be on time, and then that one is late as well.
+// Guards against late requests that make others late: at an engine with a
+// backlog, a late request that goes first delays one that could be on time.
 TEST_F(start_queues, let_the_late_wait_for_those_who_can_be_on_time)
 {
     queue.take_view(idle_engine(), false, at(0));
@@ -122,7 +122,8 @@
     return request;
 }
 
-/** Three of one team's generations, 40% of the memory, and one of another's. */
+/** Runs three generations of one team, 40% of the memory, and one of another.
+ */
 void run_a_flood(start_queue& queue)
 {
     std::vector<std::uint64_t> sizes;
@@ -140,8 +141,8 @@
     }
 }
 
-// A team sends many times its usual: its generations fill the engine, and
-// the callers of other teams wait behind it until they are late.
+// Guards against a team that floods: its generations fill the engine, and the
+// requests of other teams wait behind it until they are late.
 TEST_F(start_queues, let_other_teams_before_one_that_holds_most)
 {
     run_a_flood(queue);
@@ -150,7 +151,7 @@
     EXPECT_EQ(give(1200), names{"c2"});
 }
 
-// Nobody else wants the engine: a flood may have all of it.
+// If no other team waits, a team that floods may use the whole engine.
 TEST_F(start_queues, hold_no_team_back_where_no_other_waits)
 {
     run_a_flood(queue);
@@ -158,8 +159,8 @@
     EXPECT_EQ(give(1200), names{"f4"});
 }
 
-// A flood's callers that are late already wait behind all others for as long
-// as it lasts, and leave in the end with nothing: they are to be told.
+// Late requests of a team that floods wait behind all others until their
+// callers disconnect. The queue has to report them so that they can be refused.
 TEST_F(start_queues, say_who_is_late_and_passed_over)
 {
     run_a_flood(queue);
@@ -172,7 +173,7 @@
     EXPECT_FALSE(queue.is_passed_over(of_team("new", "other", 1200), at(1200)));
 }
 
-// A long prompt waits for memory while a short one behind it would fit.
+// A long prompt that waits for memory must not block a short one that fits.
 TEST_F(start_queues, let_a_smaller_one_go_before_what_does_not_fit)
 {
     queue.take_view(engine_with({4000, 4000, 4000}), false, at(0));
@@ -183,8 +184,8 @@
     EXPECT_EQ(give(200), names{"large"});
 }
 
-// What runs grows, token by token. Filled to the brim, the engine would drop
-// an answer in mid stream to make room, and read it in again later.
+// Guards against preemption: running generations grow token by token, and an
+// engine that is full would preempt one of them and restore it later.
 TEST_F(start_queues, leave_room_for_what_runs_to_grow)
 {
     queue.take_view(engine_with({4000, 4000, 4000, 4000}), false, at(0));
@@ -192,7 +193,7 @@
     EXPECT_EQ(give(0), names{});
     queue.ask(wanting("b", 2000), at(0));
     EXPECT_EQ(give(0), names{"b"});
-    // Alone it may be as large as the memory.
+    // On an empty engine a generation may need all of the memory.
     queue.end("a");
     queue.take_view(idle_engine(), false, at(1000));
     queue.ask(wanting("whole", memory), at(1000));
@@ -204,20 +205,20 @@
     queue.take_view(engine_with({8000}), false, at(0));
     queue.ask(wanting("a", 6000), at(0));
     ASSERT_EQ(give(0), names{"a"});
-    // Its prompt is being read, and its memory is in the engine's word.
+    // The prompt is being read, and the status includes its memory.
     auto view = engine_with({8000});
     view.running = 2;
     view.starting = 1;
     view.memory_used += 6000;
     queue.take_view(view, false, at(100));
     queue.ask(wanting("b", 5000), at(100));
-    EXPECT_EQ(give(840), names{}); // 19,000 and no room to grow
+    EXPECT_EQ(give(840), names{}); // 19,000 tokens leave no room to grow
     queue.ask(wanting("b", 2000), at(800));
     EXPECT_EQ(give(840), names{"b"});
 }
 
-// A summary of ten tokens begins and ends between two looks at the engine. Its
-// start must not count there for ever.
+// Guards against a grant that is never dropped: a generation of ten tokens can
+// start and end between two polls of the engine.
 TEST_F(start_queues, forget_a_start_that_came_and_went_unseen)
 {
     queue.take_view(idle_engine(), false, at(0));
@@ -229,7 +230,8 @@
     EXPECT_FALSE(queue.was_given("short"));
 }
 
-// A gateway that got two starts uses one. The other must go to whom waits.
+// A gateway that is granted two starts uses one of them. The other one has to
+// be granted to the next request.
 TEST_F(start_queues, give_to_another_what_is_not_used)
 {
     queue.take_view(idle_engine(), false, at(0));
@@ -240,7 +242,8 @@
     EXPECT_EQ(give(3), names{"b"});
 }
 
-// A gateway dies while its requests wait. Nobody would use their starts.
+// Guards against grants to a gateway that crashed while its requests waited:
+// those grants would not be used.
 TEST_F(start_queues, forget_who_falls_silent)
 {
     queue.take_view(idle_engine(), false, at(0));
@@ -269,7 +272,7 @@
     EXPECT_EQ(give(50), names{"a"});
 }
 
-// A gateway that hears no monitor sends without asking.
+// A gateway that reaches no monitor sends requests without a start grant.
 TEST_F(start_queues, count_what_was_sent_unasked)
 {
     queue.take_view(idle_engine(), false, at(0));
@@ -284,8 +287,9 @@
     EXPECT_EQ(give(290), names{});
 }
 
-// A monitor has just started again beside a crowded engine: it has let nobody
-// start there yet and must not take the prompts that wait for nothing.
+// Guards against overloading an engine after a restart of its monitor: without
+// grants of its own, the monitor has to estimate the queued prompts by the
+// length of the first one.
 TEST_F(start_queues, take_the_first_in_the_queue_for_the_like_of_all)
 {
     auto view = idle_engine();
@@ -310,13 +314,13 @@
 {
     reading_speed speed;
     EXPECT_DOUBLE_EQ(speed.tokens_per_ms(), 7);
-    // An engine three times as fast, seen for ten seconds.
+    // An engine three times as fast as the prior, for ten seconds.
     for (int i = 0; i < 100; ++i) {
         speed.was_busy(milliseconds(100));
         speed.read(2100);
     }
     EXPECT_NEAR(speed.tokens_per_ms(), 21, 3);
-    // It turns slow; half a minute later that is known.
+    // The engine becomes slow; the estimate follows within half a minute.
     for (int i = 0; i < 300; ++i) {
         speed.was_busy(milliseconds(100));
         speed.read(200);
@@ -324,7 +328,7 @@
     EXPECT_NEAR(speed.tokens_per_ms(), 2, 1);
 }
 
-// A word that is spoiled must not stop an engine for good.
+// A corrupt report must not stop an engine permanently.
 TEST(reading_speeds, stay_within_reason)
 {
     reading_speed speed;
