--- a/src/libcyclamenrun/decisions/admission.cpp
+++ b/src/libcyclamenrun/decisions/admission.cpp
@@ -15,7 +15,7 @@
 
 // Usable share of the engine's memory. The rest is lost because the engine
 // rounds each answer up to whole blocks.
-constexpr double usable_memory = 0.99;
+constexpr double usable_memory_share = 0.99;
 
 // Cost of a prompt token relative to an output token: prefill processes many
 // tokens at once and is far cheaper than decoding them one by one.
@@ -27,20 +27,20 @@
 constexpr double room_factor = 2.0;
 
 // Assumed run time of a work item, used until the drain rate is measured.
-constexpr double typical_run_s = 20.0;
+constexpr double assumed_run_s = 20.0;
 
 // A work item that waits for more than 1 / this of the time to its deadline
 // is not expected to complete in time.
-constexpr int wait_share_of_deadline = 2;
+constexpr int deadline_wait_divisor = 2;
 
-constexpr milliseconds least_retry_after{100};
+constexpr milliseconds min_retry_after{100};
 // Upper bound of retry_after. It exceeds the time that any caller waits, so
 // that a caller that could not be served learns so at once.
-constexpr milliseconds longest_promise{600'000};
+constexpr milliseconds max_retry_after{600'000};
 
 // A suspect that has waited this long blocks other starts, so that the
 // upstream becomes idle and the suspect can run alone.
-constexpr milliseconds suspect_patience{10'000};
+constexpr milliseconds max_suspect_wait{10'000};
 
 // Weight of a new report in the smoothed excess.
 constexpr double report_gain = 0.2;
@@ -57,7 +57,7 @@
 
 double admission::initial_rate() const
 {
-    return std::max(settings_.max_running, 1U) / typical_run_s;
+    return std::max(settings_.max_running, 1U) / assumed_run_s;
 }
 
 outcome<void> admission::enqueue(waiting_work work, time_point now)
@@ -69,12 +69,12 @@
         work.prefix_blocks.resize(whole_blocks);
     if (auto refused = check(work, now))
         return tl::unexpected(std::move(*refused));
-    team_queue& queue = queue_of(work);
+    team_queue& queue = queue_for(work);
     if (auto refused = check_room(work, queue, now))
         return tl::unexpected(std::move(*refused));
 
     queue.drain.advance(now, !queue.waiting.empty());
-    if (queue.works++ == 0)
+    if (queue.work_items++ == 0)
         queue.account = &shares_.open(work.team, work.team_weight);
     queue.expected_tokens = expected_tokens(work);
     if (work.suspect)
@@ -110,7 +110,7 @@
 void admission::join(team_queue& queue, work_id id)
 {
     if (queue.waiting.empty()) {
-        shares_.lift(*queue.account, least_waiting_counter());
+        shares_.raise_to_floor(*queue.account, least_waiting_counter());
         waiting_queues_.push_back(&queue);
     }
     queue.waiting.push_back(id);
@@ -124,7 +124,7 @@
     if (work.deadline <= now)
         return not_run(refusal_reason::deadline_passed);
     const double usable =
-        usable_memory * static_cast<double>(settings_.memory_tokens);
+        usable_memory_share * static_cast<double>(settings_.memory_tokens);
     if (work.sized && work.prompt_tokens >= usable)
         return not_run(refusal_reason::too_large, "prompt exceeds the memory");
     return std::nullopt;
@@ -134,12 +134,12 @@
                                              team_queue& queue, time_point now)
 {
     if (queued_ >= settings_.max_queued)
-        return full(queue, now, "requests");
+        return refuse_full(queue, now, "requests");
     if (queued_prompt_tokens_ + work.prompt_tokens >
         settings_.max_queued_prompt_tokens)
-        return full(queue, now, "prompt tokens");
+        return refuse_full(queue, now, "prompt tokens");
     if (over_share(work, queue))
-        return full(queue, now, "requests of this team");
+        return refuse_full(queue, now, "requests of this team");
     if (queue.waiting.empty())
         return std::nullopt;
     queue.drain.advance(now, true);
@@ -147,9 +147,9 @@
         queue.drain.time_for(static_cast<double>(queue.waiting.size()) + 1.0);
     const milliseconds bound =
         std::min(settings_.max_wait,
-                 time_left(work.deadline, now) / wait_share_of_deadline);
+                 time_left(work.deadline, now) / deadline_wait_divisor);
     if (wait > bound)
-        return full(queue, now, "expected wait");
+        return refuse_full(queue, now, "expected wait");
     return std::nullopt;
 }
 
@@ -167,21 +167,23 @@
     return waiting >= room_factor * room || tokens > room_factor * token_room;
 }
 
-refusal admission::full(team_queue& queue, time_point now, const char* which)
+refusal admission::refuse_full(team_queue& queue, time_point now,
+                               const char* resource)
 {
     // Each refused caller gets its own return time: with one time for all,
     // the callers would come back together and be refused again.
-    queue.promised = std::max(queue.promised, now) + queue.drain.time_for(1.0);
-    queue.promised = std::min(queue.promised, now + longest_promise);
-    const milliseconds after = time_left(queue.promised, now);
-    return not_run(refusal_reason::queue_full, which,
-                   std::max(after, least_retry_after));
+    queue.last_retry_at =
+        std::max(queue.last_retry_at, now) + queue.drain.time_for(1.0);
+    queue.last_retry_at = std::min(queue.last_retry_at, now + max_retry_after);
+    const milliseconds after = time_left(queue.last_retry_at, now);
+    return not_run(refusal_reason::queue_full, resource,
+                   std::max(after, min_retry_after));
 }
 
-admission::team_queue& admission::queue_of(const waiting_work& work)
+admission::team_queue& admission::queue_for(const waiting_work& work)
 {
-    static const std::string everyone;
-    const std::string& key = settings_.parts.fair_share ? work.team : everyone;
+    static const std::string all_teams;
+    const std::string& key = settings_.parts.fair_share ? work.team : all_teams;
     const auto found = queues_.find(key);
     if (found != queues_.end())
         return found->second;
@@ -195,7 +197,7 @@
 void admission::drop_idle_queues()
 {
     std::erase_if(queues_,
-                  [](const auto& item) { return item.second.works == 0; });
+                  [](const auto& item) { return item.second.work_items == 0; });
 }
 
 void admission::advance(time_point now)
@@ -209,9 +211,9 @@
     std::vector<work_id> started;
     if (queued_ == 0)
         return started;
-    memory_projection ahead = project();
+    memory_projection projection = project_memory();
     while (record* next = next_waiting(now)) {
-        if (!may_start(*next, ahead))
+        if (!may_start(*next, projection))
             break;
         start(*next, now);
         started.push_back(next->work.id);
@@ -239,92 +241,92 @@
     team_queue* queue = next_queue();
     if (!suspects_.empty()) {
         record& suspect = records_.at(suspects_.front());
-        if (!queue || now - suspect.queued_at > suspect_patience)
+        if (!queue || now - suspect.queued_at > max_suspect_wait)
             return &suspect;
     }
     return queue ? &records_.at(queue->waiting.front()) : nullptr;
 }
 
-bool admission::may_start(const record& next, memory_projection& ahead)
+bool admission::may_start(const record& next, memory_projection& projection)
 {
     if (running_ >= settings_.max_running)
         return false;
-    if (suspect_holds(next))
+    if (blocked_by_suspect(next))
         return false;
     if (!next.work.sized)
         return true;
     if (prefill_tokens_ > 0 && prefill_tokens_ + uncached_tokens(next.work) >
                                    settings_.max_prefill_tokens)
         return false;
-    return fits_memory(next, ahead);
+    return fits_memory(next, projection);
 }
 
-bool admission::suspect_holds(const record& next) const
+bool admission::blocked_by_suspect(const record& next) const
 {
     return running_suspects_ > 0 || (next.work.suspect && running_ > 0);
 }
 
-bool admission::fits_memory(const record& next, memory_projection& ahead)
+bool admission::fits_memory(const record& next, memory_projection& projection)
 {
     double shared = static_cast<double>(prefixes_.size());
-    double fresh_blocks = 0.0;
+    double new_blocks = 0.0;
     if (settings_.parts.prefix)
-        fresh_blocks =
+        new_blocks =
             static_cast<double>(prefixes_.missing(next.work.prefix_blocks));
-    shared = (shared + fresh_blocks) * settings_.block_tokens;
+    shared = (shared + new_blocks) * settings_.block_tokens;
     const double memory =
-        usable_memory * static_cast<double>(settings_.memory_tokens) -
-        taken_outside() - shared;
+        usable_memory_share * static_cast<double>(settings_.memory_tokens) -
+        untracked_tokens() - shared;
 
-    memory_projection with_next = ahead;
+    memory_projection with_next = projection;
     add_to(with_next, next);
     const double bound =
         settings_.parts.prediction ? settings_.overflow_bound : 0.5;
     // A work item that runs alone is exempt, or it could never start.
     if (running_ > 0 && with_next.overflow_risk(memory) > bound)
         return false;
-    ahead = with_next;
+    projection = with_next;
     return true;
 }
 
-double admission::taken_outside() const
+double admission::untracked_tokens() const
 {
-    return static_cast<double>(foreign_tokens_) + reported_excess_;
+    return static_cast<double>(external_tokens_) + reported_excess_;
 }
 
-memory_projection admission::project()
+memory_projection admission::project_memory()
 {
-    memory_projection ahead;
+    memory_projection projection;
     for (const record* running : running_records_)
-        add_to(ahead, *running);
-    return ahead;
+        add_to(projection, *running);
+    return projection;
 }
 
-void admission::add_to(memory_projection& ahead, const record& of)
+void admission::add_to(memory_projection& projection, const record& item)
 {
-    if (!of.work.sized)
+    if (!item.work.sized)
         return;
-    const memory_projection::answer answer{private_tokens(of), of.made,
-                                           of.work.max_output_tokens};
+    const memory_projection::answer answer{
+        private_tokens(item), item.output_tokens, item.work.max_output_tokens};
     if (!settings_.parts.prediction) {
-        ahead.add_known(answer, 0);
+        projection.add_known(answer, 0);
         return;
     }
     if (settings_.known_length) {
-        if (const auto length = settings_.known_length(of.work.id)) {
-            ahead.add_known(answer, *length);
+        if (const auto length = settings_.known_length(item.work.id)) {
+            projection.add_known(answer, *length);
             return;
         }
     }
-    ahead.add(answer, lengths_.curve(of.work.service, of.work.team));
+    projection.add(answer, lengths_.curve(item.work.service, item.work.team));
 }
 
 void admission::start(record& next, time_point now)
 {
     unqueue(next, now);
-    next.queue->drain.left();
-    drain_.left();
-    shares_.served(*next.queue->account);
+    next.queue->drain.record_departure();
+    drain_.record_departure();
+    shares_.record_served(*next.queue->account);
     next.started = true;
     running_records_.push_back(&next);
     ++running_;
@@ -351,13 +353,13 @@
            cache_.held(work.prefix_blocks) * settings_.block_tokens;
 }
 
-std::uint64_t admission::private_tokens(const record& of) const
+std::uint64_t admission::private_tokens(const record& item) const
 {
-    const std::uint64_t prompt = of.work.prompt_tokens;
+    const std::uint64_t prompt = item.work.prompt_tokens;
     if (!settings_.parts.prefix)
-        return prompt + of.made;
-    return prompt + of.made -
-           of.work.prefix_blocks.size() * settings_.block_tokens;
+        return prompt + item.output_tokens;
+    return prompt + item.output_tokens -
+           item.work.prefix_blocks.size() * settings_.block_tokens;
 }
 
 void admission::tokens_made(work_id id, std::uint32_t count, time_point)
@@ -365,12 +367,12 @@
     const auto found = records_.find(id);
     if (found == records_.end() || !found->second.started || count == 0)
         return;
-    record& of = found->second;
-    if (of.made == 0 && of.work.sized)
-        prefill_tokens_ -= of.prefill_tokens;
-    of.made += count;
-    private_tokens_ += of.work.sized ? count : 0;
-    shares_.charge(*of.queue->account, count);
+    record& item = found->second;
+    if (item.output_tokens == 0 && item.work.sized)
+        prefill_tokens_ -= item.prefill_tokens;
+    item.output_tokens += count;
+    private_tokens_ += item.work.sized ? count : 0;
+    shares_.charge(*item.queue->account, count);
 }
 
 void admission::finished(work_id id, bool complete, time_point now)
@@ -389,55 +391,56 @@
     return true;
 }
 
-void admission::drop(record& of, bool complete, time_point now)
+void admission::drop(record& item, bool complete, time_point now)
 {
     advance(now);
-    if (of.started) {
-        stop(of);
-        if (of.work.sized)
-            lengths_.learn(of.work.service, of.work.team, of.made, complete);
+    if (item.started) {
+        stop(item);
+        if (item.work.sized)
+            lengths_.learn(item.work.service, item.work.team,
+                           item.output_tokens, complete);
     } else {
-        unqueue(of, now);
+        unqueue(item, now);
     }
-    team_queue& queue = *of.queue;
-    if (--queue.works == 0) {
+    team_queue& queue = *item.queue;
+    if (--queue.work_items == 0) {
         shares_.close(*queue.account);
         queue.account = nullptr;
     }
-    records_.erase(of.work.id);
+    records_.erase(item.work.id);
 }
 
-void admission::unqueue(record& of, time_point now)
+void admission::unqueue(record& item, time_point now)
 {
-    of.queue->drain.advance(now, true);
-    if (of.work.suspect) {
-        std::erase(suspects_, of.work.id);
+    item.queue->drain.advance(now, true);
+    if (item.work.suspect) {
+        std::erase(suspects_, item.work.id);
     } else {
-        std::erase(of.queue->waiting, of.work.id);
-        if (of.queue->waiting.empty())
-            std::erase(waiting_queues_, of.queue);
+        std::erase(item.queue->waiting, item.work.id);
+        if (item.queue->waiting.empty())
+            std::erase(waiting_queues_, item.queue);
     }
-    of.queue->prompt_tokens -= of.work.prompt_tokens;
-    deadlines_.erase({of.work.deadline, of.work.id});
+    item.queue->prompt_tokens -= item.work.prompt_tokens;
+    deadlines_.erase({item.work.deadline, item.work.id});
     --queued_;
-    queued_prompt_tokens_ -= of.work.prompt_tokens;
+    queued_prompt_tokens_ -= item.work.prompt_tokens;
 }
 
-void admission::stop(record& of)
+void admission::stop(record& item)
 {
     const auto found =
-        std::find(running_records_.begin(), running_records_.end(), &of);
+        std::find(running_records_.begin(), running_records_.end(), &item);
     *found = running_records_.back();
     running_records_.pop_back();
     --running_;
-    running_suspects_ -= of.work.suspect ? 1 : 0;
-    if (!of.work.sized)
+    running_suspects_ -= item.work.suspect ? 1 : 0;
+    if (!item.work.sized)
         return;
-    if (of.made == 0)
-        prefill_tokens_ -= of.prefill_tokens;
-    private_tokens_ -= private_tokens(of);
+    if (item.output_tokens == 0)
+        prefill_tokens_ -= item.prefill_tokens;
+    private_tokens_ -= private_tokens(item);
     if (settings_.parts.prefix)
-        prefixes_.release(of.work.prefix_blocks);
+        prefixes_.release(item.work.prefix_blocks);
 }
 
 std::vector<work_id> admission::expired(time_point now)
@@ -452,10 +455,10 @@
 
 void admission::pursue(objective goal)
 {
-    const auto tuned = default_admission(goal);
+    const auto defaults = default_admission(goal);
     settings_.goal = goal;
-    settings_.overflow_bound = tuned.overflow_bound;
-    settings_.short_first = tuned.short_first;
+    settings_.overflow_bound = defaults.overflow_bound;
+    settings_.short_first = defaults.short_first;
 }
 
 int admission::priority(work_id id) const
@@ -466,15 +469,16 @@
 
 void admission::foreign_memory(std::uint64_t tokens)
 {
-    foreign_tokens_ = tokens;
+    external_tokens_ = tokens;
 }
 
 void admission::engine_load(const engine_load_hint& hint, time_point)
 {
-    const auto own = static_cast<double>(
+    const auto own_count = static_cast<double>(
         private_tokens_ + prefixes_.size() * settings_.block_tokens +
-        foreign_tokens_);
-    const double excess = static_cast<double>(hint.memory_tokens_used) - own;
+        external_tokens_);
+    const double excess =
+        static_cast<double>(hint.memory_tokens_used) - own_count;
     if (!settings_.parts.own_counts) {
         reported_excess_ = excess;
         return;
@@ -489,7 +493,7 @@
 {
     const std::uint64_t counted = private_tokens_ +
                                   prefixes_.size() * settings_.block_tokens +
-                                  foreign_tokens_;
+                                  external_tokens_;
     const double corrected = static_cast<double>(counted) + reported_excess_;
     return static_cast<std::uint64_t>(std::max(corrected, 0.0));
 }
--- a/src/libcyclamenrun/decisions/admission.hpp
+++ b/src/libcyclamenrun/decisions/admission.hpp
@@ -112,14 +112,14 @@
 
 private:
     struct team_queue {
-        fair_share::account* account = nullptr; ///< open while works > 0
-        std::uint32_t works = 0;                ///< waiting and running
+        fair_share::account* account = nullptr; ///< open while work_items > 0
+        std::uint32_t work_items = 0;           ///< waiting and running
         std::deque<work_id> waiting;
         std::uint64_t prompt_tokens = 0; ///< of waiting work items
         double expected_tokens = 0;      ///< expected length of the last one
         drain_rate drain;
         /// The latest return time given to a refused caller.
-        time_point promised{};
+        time_point last_retry_at{};
 
         explicit team_queue(double rate) : drain(rate) {}
     };
@@ -128,17 +128,18 @@
         team_queue* queue = nullptr;
         time_point queued_at{};
         bool started = false;
-        std::uint32_t made = 0;
+        std::uint32_t output_tokens = 0;
         std::uint64_t prefill_tokens = 0; ///< not cached when it started
     };
 
     std::optional<refusal> check(const waiting_work& work, time_point now);
     std::optional<refusal> check_room(const waiting_work& work,
                                       team_queue& queue, time_point now);
-    refusal full(team_queue& queue, time_point now, const char* which);
+    refusal refuse_full(team_queue& queue, time_point now,
+                        const char* resource);
     bool over_share(const waiting_work& work, const team_queue& queue) const;
 
-    team_queue& queue_of(const waiting_work& work);
+    team_queue& queue_for(const waiting_work& work);
     double least_waiting_counter() const;
     double expected_tokens(const waiting_work& work);
     void join(team_queue& queue, work_id id);
@@ -148,18 +149,18 @@
 
     team_queue* next_queue();
     record* next_waiting(time_point now);
-    bool may_start(const record& next, memory_projection& ahead);
-    bool suspect_holds(const record& next) const;
-    bool fits_memory(const record& next, memory_projection& ahead);
-    memory_projection project();
-    void add_to(memory_projection& ahead, const record& of);
+    bool may_start(const record& next, memory_projection& projection);
+    bool blocked_by_suspect(const record& next) const;
+    bool fits_memory(const record& next, memory_projection& projection);
+    memory_projection project_memory();
+    void add_to(memory_projection& projection, const record& item);
     void start(record& next, time_point now);
-    void unqueue(record& of, time_point now);
-    void stop(record& of);
-    void drop(record& of, bool complete, time_point now);
+    void unqueue(record& item, time_point now);
+    void stop(record& item);
+    void drop(record& item, bool complete, time_point now);
     std::uint64_t uncached_tokens(const waiting_work& work) const;
-    std::uint64_t private_tokens(const record& of) const;
-    double taken_outside() const;
+    std::uint64_t private_tokens(const record& item) const;
+    double untracked_tokens() const;
 
     admission_settings settings_;
     length_predictor lengths_;
@@ -179,7 +180,7 @@
     std::uint64_t queued_prompt_tokens_ = 0;
     std::uint64_t private_tokens_ = 0; ///< memory of running work, not shared
     std::uint64_t prefill_tokens_ = 0; ///< of running work with no token yet
-    std::uint64_t foreign_tokens_ = 0;
+    std::uint64_t external_tokens_ = 0;
     double reported_excess_ = 0.0; ///< engine's reported memory over own count
 };
 
--- a/src/libcyclamenrun/decisions/attempt_policy.cpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.cpp
@@ -10,12 +10,12 @@
 {
 
 /** Bounds of the response timeout, as multiples of the objective. */
-constexpr double earliest_silence = 0.6;
-constexpr double latest_silence = 2;
+constexpr double min_timeout_objectives = 0.6;
+constexpr double max_timeout_objectives = 2;
 
-attempt_step when_not_run(attempt_step again, const attempt_state& state)
+attempt_step step_if_not_run(attempt_step again, const attempt_state& state)
 {
-    if (state.sends < most_sends && !state.time_is_up)
+    if (state.sends < max_sends && !state.time_is_up)
         return again;
     // The request may have run in an earlier attempt: "not run" could be false.
     return state.runs > 0 ? attempt_step::report_lost : attempt_step::refuse;
@@ -63,12 +63,12 @@
         return attempt_step::cut;
     const bool may_repeat = state.idempotent && !state.time_is_up &&
                             state.runs < state.max_attempts &&
-                            state.sends < most_sends;
+                            state.sends < max_sends;
     switch (result) {
     case attempt_result::not_sent:
-        return when_not_run(attempt_step::again_free, state);
+        return step_if_not_run(attempt_step::again_free, state);
     case attempt_result::turned_away:
-        return when_not_run(attempt_step::again, state);
+        return step_if_not_run(attempt_step::again, state);
     case attempt_result::failed:
         return may_repeat ? attempt_step::again : attempt_step::deliver;
     case attempt_result::lost:
@@ -82,18 +82,18 @@
               std::optional<milliseconds> usual_bound)
 {
     // The current attempt counts as a run if it times out.
-    const bool another = state.idempotent &&
-                         state.runs + 1 < state.max_attempts &&
-                         state.sends < most_sends;
-    if (!another || objective <= milliseconds::zero())
+    const bool can_retry = state.idempotent &&
+                           state.runs + 1 < state.max_attempts &&
+                           state.sends < max_sends;
+    if (!can_retry || objective <= milliseconds::zero())
         return std::nullopt;
     // After the lower bound a second attempt can still meet the objective.
     // After the upper bound it can hardly respond before the caller gives up.
-    const auto first = earliest_silence * objective.count();
-    const auto last = latest_silence * objective.count();
+    const auto lowest = min_timeout_objectives * objective.count();
+    const auto highest = max_timeout_objectives * objective.count();
     const auto usual =
-        usual_bound ? static_cast<double>(usual_bound->count()) : last;
-    return milliseconds(std::llround(std::clamp(usual, first, last)));
+        usual_bound ? static_cast<double>(usual_bound->count()) : highest;
+    return milliseconds(std::llround(std::clamp(usual, lowest, highest)));
 }
 
 milliseconds spread_retry(milliseconds after, std::mt19937_64& random)
--- a/src/libcyclamenrun/decisions/attempt_policy.hpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.hpp
@@ -77,7 +77,7 @@
  * the service is most likely full, and the caller can decide better whether
  * to wait.
  */
-inline constexpr unsigned most_sends = 4;
+inline constexpr unsigned max_sends = 4;
 
 } // namespace cyclamenrun
 
--- a/src/libcyclamenrun/decisions/copy_turns.hpp
+++ b/src/libcyclamenrun/decisions/copy_turns.hpp
@@ -36,19 +36,19 @@
      * Returns true if the generation has the turn. Else it waits, and the
      * request has to be repeated.
      */
-    bool ask(const turn& wanted, time_point now);
+    bool ask(const turn& requested, time_point now);
     void end(const std::string& id);
     /** The generation that has the turn. */
     std::optional<turn> holder(time_point now);
 
 private:
     struct place {
-        turn who;
-        time_point asked_at;
+        turn requested;
+        time_point requested_at;
     };
 
-    void insert(const turn& wanted, time_point now);
-    void drop_silent(time_point now);
+    void insert(const turn& requested, time_point now);
+    void drop_expired(time_point now);
 
     std::deque<place> places_; ///< the first has the turn
     time_point turn_ends_{};
@@ -58,10 +58,10 @@
  * A copy of a large prompt takes 0.4 s between failure domains. A copy that
  * exceeds this limit is taken to be stuck, and the next one starts beside it.
  */
-inline constexpr milliseconds longest_copy_turn{900};
+inline constexpr milliseconds copy_turn_duration_limit{900};
 /** Gateways repeat a request every 50 ms; it expires after this time. */
-inline constexpr milliseconds copy_turn_silence{300};
-inline constexpr std::size_t most_copy_turns = 256;
+inline constexpr milliseconds copy_turn_request_timeout{300};
+inline constexpr std::size_t max_copy_turns = 256;
 
 } // namespace cyclamenrun
 
--- a/src/libcyclamenrun/decisions/drain_rate.cpp
+++ b/src/libcyclamenrun/decisions/drain_rate.cpp
@@ -12,8 +12,8 @@
 constexpr double time_constant_s = 15.0;
 // Weight of the initial rate, in seconds of observation.
 constexpr double initial_seconds = 2.0;
-constexpr double least_rate = 1e-3;
-constexpr milliseconds longest{600'000};
+constexpr double min_rate_per_s = 1e-3;
+constexpr milliseconds max_time{600'000};
 
 } // namespace
 
@@ -24,20 +24,21 @@
 
 void drain_rate::advance(time_point now, bool waiting)
 {
-    const double elapsed = std::chrono::duration<double>(now - last_).count();
-    const bool known = last_ != time_point{};
-    last_ = now;
-    if (!known || !waiting || elapsed <= 0.0)
+    const double elapsed =
+        std::chrono::duration<double>(now - last_advance_).count();
+    const bool has_start = last_advance_ != time_point{};
+    last_advance_ = now;
+    if (!has_start || !waiting || elapsed <= 0.0)
         return;
-    const double kept = std::exp(-elapsed / time_constant_s);
-    items_ *= kept;
-    seconds_ = seconds_ * kept + elapsed;
+    const double decay = std::exp(-elapsed / time_constant_s);
+    items_ *= decay;
+    seconds_ = seconds_ * decay + elapsed;
 }
 
 milliseconds drain_rate::time_for(double items) const
 {
-    const double seconds = items / std::max(per_second(), least_rate);
-    return std::min(longest, milliseconds(std::llround(seconds * 1000.0)));
+    const double seconds = items / std::max(per_second(), min_rate_per_s);
+    return std::min(max_time, milliseconds(std::llround(seconds * 1000.0)));
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/drain_rate.hpp
+++ b/src/libcyclamenrun/decisions/drain_rate.hpp
@@ -20,14 +20,14 @@
     /** Counts the time up to `now` if items were `waiting` during it. */
     void advance(time_point now, bool waiting);
     /** Counts items that left the queue to be served. */
-    void left(double items = 1.0) { items_ += items; }
+    void record_departure(double items = 1.0) { items_ += items; }
 
     double per_second() const { return items_ / seconds_; }
     /** Expected time until `items` have left the queue. */
     milliseconds time_for(double items) const;
 
 private:
-    time_point last_{};
+    time_point last_advance_{};
     double items_;
     double seconds_;
 };
--- a/src/libcyclamenrun/decisions/engine_outlook.cpp
+++ b/src/libcyclamenrun/decisions/engine_outlook.cpp
@@ -14,78 +14,79 @@
  * used or has ended: the request takes some milliseconds to the engine, and
  * the engine is polled again within 100 ms.
  */
-constexpr milliseconds unseen_after{150};
+constexpr milliseconds stale_grant_age{150};
 /** Lower bound of the output tokens expected from a running generation. */
-constexpr double least_left = 30;
+constexpr double min_expected_tokens = 30;
 /**
  * Share of its served value that a generation loses when it is preempted: its
  * stream pauses until its memory is restored.
  */
-constexpr double worth_lost_by_preemption = 0.85;
+constexpr double value_lost_by_preemption = 0.85;
 /** Weight of the newest prompt in the moving mean of prompt lengths. */
 constexpr double mean_weight = 1.0 / 16;
 
 } // namespace
 
-void engine_outlook::take_view(const engine_view& view, time_point now)
+void engine_outlook::take_view(const engine_view& status, time_point now)
 {
-    note_reading(now);
-    view_ = view;
-    viewed_at_ = now;
-    std::erase_if(begun_, [&](const start_request& each) {
+    record_reading(now);
+    status_ = status;
+    status_at_ = now;
+    std::erase_if(started_, [&](const start_request& each) {
         return std::none_of(
-            view_.generations.begin(), view_.generations.end(),
+            status_.generations.begin(), status_.generations.end(),
             [&](const held_generation& held) { return held.id == each.id; });
     });
-    move_begun(now);
-    drop_unseen(now);
+    record_started(now);
+    drop_stale_grants(now);
 }
 
-void engine_outlook::note_reading(time_point now)
+void engine_outlook::record_reading(time_point now)
 {
-    const bool reading = view_.starting > 0 && !given_.empty() &&
-                         given_.front().reading_since != time_point{};
+    const bool reading = status_.starting > 0 && !granted_.empty() &&
+                         granted_.front().reading_since != time_point{};
     if (reading)
-        speed_.was_busy(now -
-                        std::max(viewed_at_, given_.front().reading_since));
+        speed_.record_reading_time(
+            now - std::max(status_at_, granted_.front().reading_since));
 }
 
-void engine_outlook::move_begun(time_point now)
+void engine_outlook::record_started(time_point now)
 {
-    for (const auto& held : view_.generations) {
-        const auto found = std::find_if(
-            given_.begin(), given_.end(),
-            [&](const given_start& each) { return each.who.id == held.id; });
-        if (found == given_.end())
+    for (const auto& held : status_.generations) {
+        const auto found = std::find_if(granted_.begin(), granted_.end(),
+                                        [&](const granted_start& each) {
+                                            return each.request.id == held.id;
+                                        });
+        if (found == granted_.end())
             continue;
-        speed_.read(found->who.prompt_tokens);
-        begun_.push_back(found->who);
-        given_.erase(found);
-        if (!given_.empty())
-            given_.front().reading_since = now;
+        speed_.record_prompt(found->request.prompt_tokens);
+        started_.push_back(found->request);
+        granted_.erase(found);
+        if (!granted_.empty())
+            granted_.front().reading_since = now;
     }
 }
 
-void engine_outlook::drop_unseen(time_point now)
+void engine_outlook::drop_stale_grants(time_point now)
 {
     // Some generations are so short that they start and end between two polls.
-    auto old = std::count_if(given_.begin(), given_.end(),
-                             [&](const given_start& each) {
-                                 return each.given_at + unseen_after <= now;
-                             });
-    const auto there =
-        static_cast<std::ptrdiff_t>(view_.starting) + view_.queued;
-    for (; old > there; --old) {
-        speed_.read(given_.front().who.prompt_tokens);
-        given_.pop_front();
+    auto stale = std::count_if(
+        granted_.begin(), granted_.end(), [&](const granted_start& each) {
+            return each.granted_at + stale_grant_age <= now;
+        });
+    const auto reported =
+        static_cast<std::ptrdiff_t>(status_.starting) + status_.queued;
+    for (; stale > reported; --stale) {
+        speed_.record_prompt(granted_.front().request.prompt_tokens);
+        granted_.pop_front();
     }
-    if (!given_.empty() && given_.front().reading_since == time_point{})
-        given_.front().reading_since = now;
+    if (!granted_.empty() && granted_.front().reading_since == time_point{})
+        granted_.front().reading_since = now;
 }
 
-void engine_outlook::give(const start_request& start, time_point now)
+void engine_outlook::grant(const start_request& start, time_point now)
 {
-    given_.push_back({start, now, given_.empty() ? now : time_point{}});
+    granted_.push_back({start, now, granted_.empty() ? now : time_point{}});
     const auto prompt = static_cast<double>(start.prompt_tokens);
     mean_prompt_ = mean_prompt_ <= 0
                        ? prompt
@@ -95,21 +96,22 @@
 bool engine_outlook::was_given(const std::string& id) const
 {
     return std::any_of(
-        given_.begin(), given_.end(),
-        [&](const given_start& each) { return each.who.id == id; });
+        granted_.begin(), granted_.end(),
+        [&](const granted_start& each) { return each.request.id == id; });
 }
 
-void engine_outlook::forget(const std::string& id)
+void engine_outlook::drop_grant(const std::string& id)
 {
-    std::erase_if(given_,
-                  [&](const given_start& each) { return each.who.id == id; });
+    std::erase_if(granted_, [&](const granted_start& each) {
+        return each.request.id == id;
+    });
 }
 
 std::size_t engine_outlook::taken_slots() const
 {
-    const std::size_t unbegun = view_.starting + view_.queued;
-    return view_.running - std::min(view_.running, view_.starting) +
-           std::max(unbegun, given_.size());
+    const std::size_t not_started = status_.starting + status_.queued;
+    return status_.running - std::min(status_.running, status_.starting) +
+           std::max(not_started, granted_.size());
 }
 
 given_place engine_outlook::place() const
@@ -126,101 +128,104 @@
 milliseconds engine_outlook::unread(time_point now) const
 {
     // A gateway that reaches no monitor sends requests without a start grant.
-    const std::size_t unbegun = view_.starting + view_.queued;
-    const auto unasked = unbegun - std::min(unbegun, given_.size());
+    const std::size_t not_started = status_.starting + status_.queued;
+    const auto ungranted = not_started - std::min(not_started, granted_.size());
     const double prompt = mean_prompt_ > 0
                               ? mean_prompt_
-                              : static_cast<double>(view_.next_tokens);
-    auto left = reading_time(
-        static_cast<std::uint64_t>(static_cast<double>(unasked) * prompt));
-    for (const auto& each : given_)
-        left += reading_time(each.who.prompt_tokens);
-    if (given_.empty() || given_.front().reading_since == time_point{})
-        return left;
-    const auto read = std::chrono::duration_cast<milliseconds>(
-        now - given_.front().reading_since);
-    return left -
-           std::min(read, reading_time(given_.front().who.prompt_tokens));
+                              : static_cast<double>(status_.next_tokens);
+    auto remaining = reading_time(
+        static_cast<std::uint64_t>(static_cast<double>(ungranted) * prompt));
+    for (const auto& each : granted_)
+        remaining += reading_time(each.request.prompt_tokens);
+    if (granted_.empty() || granted_.front().reading_since == time_point{})
+        return remaining;
+    const auto elapsed = std::chrono::duration_cast<milliseconds>(
+        now - granted_.front().reading_since);
+    return remaining -
+           std::min(elapsed,
+                    reading_time(granted_.front().request.prompt_tokens));
 }
 
 double engine_outlook::planned_memory() const
 {
-    double tokens = static_cast<double>(view_.memory_used);
+    double tokens = static_cast<double>(status_.memory_used);
     // The engine allocates a prompt's memory when it begins to read it.
-    auto counted = view_.starting;
-    for (const auto& each : given_) {
-        if (counted > 0 && each.given_at < viewed_at_)
-            --counted;
+    auto allocated = status_.starting;
+    for (const auto& each : granted_) {
+        if (allocated > 0 && each.granted_at < status_at_)
+            --allocated;
         else
-            tokens += static_cast<double>(each.who.prompt_tokens);
+            tokens += static_cast<double>(each.request.prompt_tokens);
     }
     return tokens;
 }
 
-const start_request* engine_outlook::find_begun(const std::string& id) const
+const start_request* engine_outlook::find_started(const std::string& id) const
 {
     const auto found =
-        std::find_if(begun_.begin(), begun_.end(),
+        std::find_if(started_.begin(), started_.end(),
                      [&](const start_request& each) { return each.id == id; });
-    return found == begun_.end() ? nullptr : &*found;
+    return found == started_.end() ? nullptr : &*found;
 }
 
 std::map<std::string, std::uint64_t> engine_outlook::memory_by_team() const
 {
     std::map<std::string, std::uint64_t> tokens;
-    for (const auto& each : given_)
-        tokens[each.who.team] += each.who.prompt_tokens;
-    for (const auto& held : view_.generations) {
-        const auto* known = find_begun(held.id);
+    for (const auto& each : granted_)
+        tokens[each.request.team] += each.request.prompt_tokens;
+    for (const auto& held : status_.generations) {
+        const auto* known = find_started(held.id);
         if (known != nullptr)
             tokens[known->team] += held.memory_tokens;
     }
     return tokens;
 }
 
-double engine_outlook::expected_left(const held_generation& held,
-                                     const start_request& wanted) const
+double
+engine_outlook::expected_further_tokens(const held_generation& held,
+                                        const start_request& request) const
 {
-    const auto* known = find_begun(held.id);
+    const auto* known = find_started(held.id);
     // A generation moved from another engine has been running for a while.
     if (known == nullptr)
-        return static_cast<double>(wanted.output_tokens) / 2;
+        return static_cast<double>(request.output_tokens) / 2;
     const auto expected = static_cast<double>(known->output_tokens);
-    const auto made = static_cast<double>(held.memory_tokens) -
-                      static_cast<double>(known->prompt_tokens);
+    const auto generated = static_cast<double>(held.memory_tokens) -
+                           static_cast<double>(known->prompt_tokens);
     // A generation that exceeds its expected length may continue to grow.
-    return std::max(expected - made, expected / 2);
+    return std::max(expected - generated, expected / 2);
 }
 
-double engine_outlook::room_to_grow(const start_request& wanted) const
+double engine_outlook::room_to_grow(const start_request& request) const
 {
-    double ends = 0; // expected ends while each generation makes one token
+    // Expected ends while each generation makes one token.
+    double ends_per_step = 0;
     double count = 0;
-    const auto add = [&](double left) {
-        ends += 1 / std::max(left, least_left);
+    const auto add = [&](double remaining) {
+        ends_per_step += 1 / std::max(remaining, min_expected_tokens);
         ++count;
     };
-    for (const auto& held : view_.generations)
-        add(expected_left(held, wanted));
-    for (const auto& each : given_)
-        add(static_cast<double>(each.who.output_tokens));
-    add(static_cast<double>(wanted.output_tokens));
-    const double mean = count / ends;
-    const double total = static_cast<double>(view_.memory_total);
+    for (const auto& held : status_.generations)
+        add(expected_further_tokens(held, request));
+    for (const auto& each : granted_)
+        add(static_cast<double>(each.request.output_tokens));
+    add(static_cast<double>(request.output_tokens));
+    const double mean = count / ends_per_step;
+    const double total = static_cast<double>(status_.memory_total);
     return mean *
-           std::log(std::max(1.0, worth_lost_by_preemption * total / mean));
+           std::log(std::max(1.0, value_lost_by_preemption * total / mean));
 }
 
-bool engine_outlook::has_memory_for(const start_request& wanted) const
+bool engine_outlook::has_memory_for(const start_request& request) const
 {
     const double needed =
-        planned_memory() + static_cast<double>(wanted.prompt_tokens);
-    const double total = static_cast<double>(view_.memory_total);
+        planned_memory() + static_cast<double>(request.prompt_tokens);
+    const double total = static_cast<double>(status_.memory_total);
     // Cheap check first: a full engine can have hundreds of waiting requests.
     if (needed > total)
         return false;
-    const bool empty = view_.generations.empty() && given_.empty();
-    return needed + (empty ? 0.0 : room_to_grow(wanted)) <= total;
+    const bool empty = status_.generations.empty() && granted_.empty();
+    return needed + (empty ? 0.0 : room_to_grow(request)) <= total;
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/engine_outlook.hpp
+++ b/src/libcyclamenrun/decisions/engine_outlook.hpp
@@ -55,16 +55,16 @@
 {
 public:
     /** Replaces the status, and drops the start grants that it includes. */
-    void take_view(const engine_view& view, time_point now);
+    void take_view(const engine_view& status, time_point now);
 
     /** Records a start grant. */
-    void give(const start_request& start, time_point now);
+    void grant(const start_request& start, time_point now);
     bool was_given(const std::string& id) const;
     /** Drops the start grant of a generation that ended or did not use it. */
-    void forget(const std::string& id);
+    void drop_grant(const std::string& id);
 
-    bool known() const { return view_.memory_total > 0; }
-    std::uint64_t memory_total() const { return view_.memory_total; }
+    bool known() const { return status_.memory_total > 0; }
+    std::uint64_t memory_total() const { return status_.memory_total; }
     /** Slots of the generations that run, wait or have a start grant. */
     std::size_t taken_slots() const;
     /** Slots and memory in use, start grants included. */
@@ -77,21 +77,21 @@
     /** Memory of each team in tokens, that of start grants included. */
     std::map<std::string, std::uint64_t> memory_by_team() const;
     /** True if the prompt fits and leaves room for running ones to grow. */
-    bool has_memory_for(const start_request& wanted) const;
+    bool has_memory_for(const start_request& request) const;
 
 private:
-    struct given_start {
-        start_request who;
-        time_point given_at;
+    struct granted_start {
+        start_request request;
+        time_point granted_at;
         time_point reading_since; ///< the epoch: still behind other prompts
     };
 
-    void move_begun(time_point now);
-    void drop_unseen(time_point now);
-    void note_reading(time_point now);
+    void record_started(time_point now);
+    void drop_stale_grants(time_point now);
+    void record_reading(time_point now);
     double planned_memory() const;
     /** Null if this monitor did not grant the generation's start. */
-    const start_request* find_begun(const std::string& id) const;
+    const start_request* find_started(const std::string& id) const;
     /**
      * Returns the memory in tokens that stays free so that the running
      * generations can grow until one of them ends. With `m` tokens left on
@@ -99,16 +99,17 @@
      * one ends is exp(-g / m), for any number of them. If they need more than
      * is free, the engine preempts one. Each start takes this risk once, and
      * keeping `g` free costs g / memory of all starts. The sum of both costs
-     * is least at g = m ln(loss * memory / m).
+     * is least at g = m ln(loss * memory / m), where `loss` is the value lost
+     * by a preemption.
      */
-    double room_to_grow(const start_request& wanted) const;
-    double expected_left(const held_generation& held,
-                         const start_request& wanted) const;
+    double room_to_grow(const start_request& request) const;
+    double expected_further_tokens(const held_generation& held,
+                                   const start_request& request) const;
 
-    engine_view view_;
-    time_point viewed_at_{};
-    std::deque<given_start> given_; ///< not started yet, in order of grants
-    std::vector<start_request> begun_;
+    engine_view status_;
+    time_point status_at_{};
+    std::deque<granted_start> granted_; ///< not started yet, in order of grants
+    std::vector<start_request> started_;
     double mean_prompt_ = 0; ///< of granted starts, in tokens
     reading_speed speed_;
 };
--- a/src/libcyclamenrun/decisions/fair_share.cpp
+++ b/src/libcyclamenrun/decisions/fair_share.cpp
@@ -19,9 +19,9 @@
     return opened;
 }
 
-void fair_share::close(account& of)
+void fair_share::close(account& target)
 {
-    if (--of.holders > 0)
+    if (--target.holders > 0)
         return;
     ++idle_;
     if (idle_ > max_idle_)
@@ -30,33 +30,31 @@
 
 void fair_share::drop_idle()
 {
-    // An account at the floor loses nothing, since lift() raises a new one to
-    // it. If that frees too few, all idle accounts are dropped with their
-    // debts to keep the bound.
-    const auto paid_up = [this](const auto& item) {
+    // An account at the floor loses nothing, since raise_to_floor() raises a
+    // new one to it. If that frees too few, all idle accounts are dropped with
+    // their debts to keep the bound.
+    const auto at_floor = [this](const auto& item) {
         return item.second.holders == 0 && item.second.counter <= floor_;
     };
-    const auto unheld = [](const auto& item) {
-        return item.second.holders == 0;
-    };
-    idle_ -= std::erase_if(accounts_, paid_up);
+    const auto idle = [](const auto& item) { return item.second.holders == 0; };
+    idle_ -= std::erase_if(accounts_, at_floor);
     if (idle_ > max_idle_)
-        idle_ -= std::erase_if(accounts_, unheld);
+        idle_ -= std::erase_if(accounts_, idle);
 }
 
-void fair_share::lift(account& of, double least_waiting) const
+void fair_share::raise_to_floor(account& target, double lowest_waiting) const
 {
-    of.counter = std::max(of.counter, std::min(floor_, least_waiting));
+    target.counter = std::max(target.counter, std::min(floor_, lowest_waiting));
 }
 
-void fair_share::charge(account& of, double tokens)
+void fair_share::charge(account& target, double tokens)
 {
-    of.counter += tokens / of.weight;
+    target.counter += tokens / target.weight;
 }
 
-void fair_share::served(const account& of)
+void fair_share::record_served(const account& target)
 {
-    floor_ = std::max(floor_, of.counter);
+    floor_ = std::max(floor_, target.counter);
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/fair_share.hpp
+++ b/src/libcyclamenrun/decisions/fair_share.hpp
@@ -31,17 +31,17 @@
 
     /** Opens a team's account; valid until the matching close(). */
     account& open(const std::string& team, std::uint32_t weight);
-    void close(account& of);
+    void close(account& target);
 
     /**
      * Raises the counter of a team whose queue was empty to the lowest
      * counter of the waiting teams, at most to the floor: the highest counter
      * that was served so far.
      */
-    void lift(account& of, double least_waiting) const;
-    void charge(account& of, double tokens);
+    void raise_to_floor(account& target, double lowest_waiting) const;
+    void charge(account& target, double tokens);
     /** Records that the account is served; raises the floor to its counter. */
-    void served(const account& of);
+    void record_served(const account& target);
 
     std::size_t size() const { return accounts_.size(); }
 
--- a/src/libcyclamenrun/decisions/length_predictor.hpp
+++ b/src/libcyclamenrun/decisions/length_predictor.hpp
@@ -44,7 +44,7 @@
     using entry_list = std::list<entry>;
 
     entry& find(std::string_view service, std::string_view team);
-    const survival_curve& refreshed(entry& of, const survival_curve& prior,
+    const survival_curve& refreshed(entry& target, const survival_curve& prior,
                                     float prior_weight);
     const survival_curve& refreshed_overall();
 
--- a/src/libcyclamenrun/decisions/load_view.hpp
+++ b/src/libcyclamenrun/decisions/load_view.hpp
@@ -30,14 +30,14 @@
     bool leaving() const { return report_.leaving; }
     bool reported() const { return reported_; }
     /** Running and queued work items, own dispatches included. */
-    std::uint32_t works() const;
+    std::uint32_t work_items() const;
     /** Share of memory in use or needed by queued work; 0 if unknown. */
     double memory_share() const;
     /** Queued work items, own dispatches included. */
     std::uint32_t waiting() const;
     /** Expected wait of a new work item, own dispatches included. */
     milliseconds expected_wait() const;
-    std::uint32_t own_unsettled() const { return unsettled_; }
+    std::uint32_t outstanding() const { return outstanding_; }
 
 private:
     struct dispatch {
@@ -48,9 +48,9 @@
     load_report report_;
     bool reported_ = false;
     time_point agent_start_{}; ///< by the local clock; the earliest estimate
-    std::deque<dispatch> since_;
-    std::uint64_t since_tokens_ = 0;
-    std::uint32_t unsettled_ = 0;
+    std::deque<dispatch> dispatches_;
+    std::uint64_t dispatched_tokens_ = 0;
+    std::uint32_t outstanding_ = 0;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/memory_projection.cpp
+++ b/src/libcyclamenrun/decisions/memory_projection.cpp
@@ -10,10 +10,10 @@
 {
 
 // Answers are left out of a horizon that they reach with less probability.
-constexpr float negligible = 0.002F;
+constexpr float negligible_probability = 0.002F;
 
 /** P(a normal variable exceeds `limit`). */
-double tail(double mean, double variance, double limit)
+double exceedance_probability(double mean, double variance, double limit)
 {
     // A deviation of at least half a token avoids dividing by zero when all
     // lengths are known, and makes the result a plain comparison.
@@ -23,30 +23,30 @@
 
 } // namespace
 
-void memory_projection::add(const answer& of, const survival_curve& curve)
+void memory_projection::add(const answer& running, const survival_curve& curve)
 {
-    const float now = curve.survival(of.made);
+    const float survival_now = curve.survival(running.made);
     for (std::size_t i = 0; i < horizons.size(); ++i) {
-        const std::uint32_t length = of.made + horizons[i];
-        if (i > 0 && length >= of.max_output)
+        const std::uint32_t length = running.made + horizons[i];
+        if (i > 0 && length >= running.max_output)
             return;
-        const float alive = curve.survival(length) / now;
-        if (alive < negligible)
+        const float alive = curve.survival(length) / survival_now;
+        if (alive < negligible_probability)
             return;
-        add_at(i, of, static_cast<double>(alive));
+        add_at(i, running, static_cast<double>(alive));
     }
 }
 
-void memory_projection::add_known(const answer& of, std::uint32_t length)
+void memory_projection::add_known(const answer& running, std::uint32_t length)
 {
     for (std::size_t i = 0; i < horizons.size(); ++i) {
-        if (i > 0 && of.made + horizons[i] >= length)
+        if (i > 0 && running.made + horizons[i] >= length)
             return;
-        add_at(i, of, 1.0);
+        add_at(i, running, 1.0);
     }
 }
 
-void memory_projection::add_at(std::size_t horizon, const answer& of,
+void memory_projection::add_at(std::size_t horizon, const answer& running,
                                double alive)
 {
     // Answers grow until the next horizon, and a peak in between must not be
@@ -55,7 +55,7 @@
     const bool is_last = horizon + 1 == horizons.size();
     const std::uint32_t ahead =
         is_now || is_last ? horizons[horizon] : horizons[horizon + 1];
-    const auto tokens = static_cast<double>(of.held_tokens + ahead);
+    const auto tokens = static_cast<double>(running.held_tokens + ahead);
     mean_[horizon] += tokens * alive;
     variance_[horizon] += tokens * tokens * alive * (1.0 - alive);
 }
@@ -64,8 +64,8 @@
 {
     double highest = 0.0;
     for (std::size_t i = 0; i < horizons.size(); ++i)
-        highest =
-            std::max(highest, tail(mean_[i], variance_[i], memory_tokens));
+        highest = std::max(highest, exceedance_probability(
+                                        mean_[i], variance_[i], memory_tokens));
     return highest;
 }
 
--- a/src/libcyclamenrun/decisions/memory_projection.hpp
+++ b/src/libcyclamenrun/decisions/memory_projection.hpp
@@ -26,9 +26,9 @@
         std::uint32_t max_output = 0;
     };
 
-    void add(const answer& of, const survival_curve& curve);
+    void add(const answer& running, const survival_curve& curve);
     /** Adds an answer whose final length is known. */
-    void add_known(const answer& of, std::uint32_t length);
+    void add_known(const answer& running, std::uint32_t length);
 
     /** Highest probability at any horizon that memory is too small. */
     double overflow_risk(double memory_tokens) const;
@@ -39,7 +39,7 @@
         0,   16,  32,   64,   96,   128,  192,  256,  384,
         512, 768, 1024, 1536, 2048, 3072, 4096, 6144, 8192};
 
-    void add_at(std::size_t horizon, const answer& of, double alive);
+    void add_at(std::size_t horizon, const answer& running, double alive);
 
     std::array<double, horizons.size()> mean_{};
     std::array<double, horizons.size()> variance_{};
--- a/src/libcyclamenrun/decisions/placement.cpp
+++ b/src/libcyclamenrun/decisions/placement.cpp
@@ -12,7 +12,7 @@
 /** Each slot in use adds 0.12 ms to the 7 ms of a token. */
 constexpr double slot_cost = 0.3;
 /** Above this fraction memory is short: generations may be preempted. */
-constexpr double short_memory = 0.8;
+constexpr double short_memory_share = 0.8;
 constexpr double short_memory_cost = 5.0;
 /**
  * Spreads memory over the engines: all of an engine's memory must be copied
@@ -23,9 +23,9 @@
 constexpr double failure_cost = 2.0;
 /** Used only if there is no other one, until it is tried again later. */
 constexpr double unreachable_cost = 20.0;
-constexpr double doubtful_cost = 10.0;
+constexpr double unconfirmed_cost = 10.0;
 /** Smaller differences of cost count as ties, against thundering herds. */
-constexpr double equal_within = 0.02;
+constexpr double tie_tolerance = 0.02;
 
 } // namespace
 
@@ -37,7 +37,7 @@
     // If all slots are in use, a request waits for others to end.
     cost += std::max(0.0, candidate.slots_taken - 1);
     cost += short_memory_cost *
-            std::max(0.0, candidate.memory_taken - short_memory);
+            std::max(0.0, candidate.memory_taken - short_memory_share);
     cost += memory_cost * candidate.memory_taken;
     cost += failure_cost * candidate.failure_rate;
     if (!candidate.same_failure_domain)
@@ -45,7 +45,7 @@
     if (candidate.unreachable)
         cost += unreachable_cost;
     if (candidate.doubtful)
-        cost += doubtful_cost;
+        cost += unconfirmed_cost;
     return cost;
 }
 
@@ -63,7 +63,7 @@
     const double least = *std::min_element(costs.begin(), costs.end());
     std::vector<std::size_t> best;
     for (std::size_t i = 0; i < costs.size(); ++i) {
-        if (costs[i] <= least + equal_within)
+        if (costs[i] <= least + tie_tolerance)
             best.push_back(i);
     }
     return best[random() % best.size()];
--- a/src/libcyclamenrun/decisions/reading_speed.cpp
+++ b/src/libcyclamenrun/decisions/reading_speed.cpp
@@ -10,26 +10,27 @@
 {
 
 /** Reading time after which a sample's weight is 1/e: some ten prompts. */
-constexpr double memory_ms = 5000;
+constexpr double decay_ms = 5000;
 /** Largest plausible factor between the prior and an engine's speed. */
-constexpr double most_apart = 50;
+constexpr double max_factor_from_prior = 50;
 
 } // namespace
 
-void reading_speed::was_busy(duration time)
+void reading_speed::record_reading_time(duration time)
 {
     const double ms = std::chrono::duration<double, std::milli>(time).count();
     if (ms <= 0)
         return;
-    const double kept = std::exp(-ms / memory_ms);
-    tokens_ *= kept;
-    busy_ms_ = busy_ms_ * kept + ms;
+    const double decay = std::exp(-ms / decay_ms);
+    tokens_ *= decay;
+    busy_ms_ = busy_ms_ * decay + ms;
 }
 
 double reading_speed::tokens_per_ms() const
 {
-    return std::clamp(tokens_ / busy_ms_, prior_tokens_per_ms / most_apart,
-                      prior_tokens_per_ms * most_apart);
+    return std::clamp(tokens_ / busy_ms_,
+                      prior_tokens_per_ms / max_factor_from_prior,
+                      prior_tokens_per_ms * max_factor_from_prior);
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/reading_speed.hpp
+++ b/src/libcyclamenrun/decisions/reading_speed.hpp
@@ -24,9 +24,12 @@
     static constexpr double prior_tokens_per_ms = 7;
 
     /** Records that a prompt was read. */
-    void read(std::uint64_t tokens) { tokens_ += static_cast<double>(tokens); }
+    void record_prompt(std::uint64_t tokens)
+    {
+        tokens_ += static_cast<double>(tokens);
+    }
     /** Records time during which the engine was reading. */
-    void was_busy(duration time);
+    void record_reading_time(duration time);
 
     double tokens_per_ms() const;
 
--- a/src/libcyclamenrun/decisions/relay_choice.cpp
+++ b/src/libcyclamenrun/decisions/relay_choice.cpp
@@ -14,7 +14,7 @@
 {
 
 /** If one relay fails, its gateways use the other. */
-constexpr std::size_t least_relays = 2;
+constexpr std::size_t min_relays = 2;
 /** A relay serves this many gateways at 0.5% of a core. */
 constexpr std::size_t gateways_per_relay = 128;
 
@@ -35,7 +35,7 @@
 
 std::size_t relay_count(std::size_t gateways)
 {
-    return std::max(least_relays,
+    return std::max(min_relays,
                     (gateways + gateways_per_relay - 1) / gateways_per_relay);
 }
 
@@ -46,19 +46,21 @@
     const auto ranked = rank(candidates);
     std::vector<std::string> chosen;
     std::set<std::string> domains;
-    const auto take = [&](bool new_domain) {
+    const auto add_candidates = [&](bool new_domain) {
         for (const auto& [score, candidate] : ranked) {
-            const bool taken = std::find(chosen.begin(), chosen.end(),
-                                         candidate->host) != chosen.end();
-            const bool known = domains.contains(candidate->failure_domain);
-            if (chosen.size() == count || taken || (new_domain && known))
+            const bool is_chosen = std::find(chosen.begin(), chosen.end(),
+                                             candidate->host) != chosen.end();
+            const bool domain_used =
+                domains.contains(candidate->failure_domain);
+            if (chosen.size() == count || is_chosen ||
+                (new_domain && domain_used))
                 continue;
             chosen.push_back(candidate->host);
             domains.insert(candidate->failure_domain);
         }
     };
-    take(true);
-    take(false);
+    add_candidates(true);
+    add_candidates(false);
     const auto seed = hash64(gateway);
     std::sort(chosen.begin(), chosen.end(),
               [&](const std::string& left, const std::string& right) {
--- a/src/libcyclamenrun/decisions/response_time.cpp
+++ b/src/libcyclamenrun/decisions/response_time.cpp
@@ -11,17 +11,17 @@
 /** Weights of a new sample and factor of the deviation, as in RFC 6298. */
 constexpr double mean_weight = 1.0 / 8;
 constexpr double deviation_weight = 1.0 / 4;
-constexpr double deviations = 4;
+constexpr double deviation_factor = 4;
 /** There are few routes; bounds the table if their names keep changing. */
-constexpr std::size_t most_routes = 1024;
+constexpr std::size_t max_routes = 1024;
 
 } // namespace
 
-void response_time::add(milliseconds took)
+void response_time::add(milliseconds elapsed)
 {
-    const auto sample = static_cast<double>(took.count());
-    if (!known_) {
-        known_ = true;
+    const auto sample = static_cast<double>(elapsed.count());
+    if (!has_samples_) {
+        has_samples_ = true;
         mean_ms_ = sample;
         deviation_ms_ = sample / 2;
         return;
@@ -33,16 +33,17 @@
 
 std::optional<milliseconds> response_time::usual_bound() const
 {
-    if (!known_)
+    if (!has_samples_)
         return std::nullopt;
-    return milliseconds(std::llround(mean_ms_ + deviations * deviation_ms_));
+    return milliseconds(
+        std::llround(mean_ms_ + deviation_factor * deviation_ms_));
 }
 
-void response_times::add(const std::string& route, milliseconds took)
+void response_times::add(const std::string& route, milliseconds elapsed)
 {
-    if (routes_.size() >= most_routes && !routes_.contains(route))
+    if (routes_.size() >= max_routes && !routes_.contains(route))
         routes_.clear();
-    routes_[route].add(took);
+    routes_[route].add(elapsed);
 }
 
 std::optional<milliseconds>
--- a/src/libcyclamenrun/decisions/response_time.hpp
+++ b/src/libcyclamenrun/decisions/response_time.hpp
@@ -19,12 +19,12 @@
 class response_time
 {
 public:
-    void add(milliseconds took);
+    void add(milliseconds elapsed);
     /** Longest usual response time; empty before the first response. */
     std::optional<milliseconds> usual_bound() const;
 
 private:
-    bool known_ = false;
+    bool has_samples_ = false;
     double mean_ms_ = 0;
     double deviation_ms_ = 0;
 };
@@ -33,7 +33,7 @@
 class response_times
 {
 public:
-    void add(const std::string& route, milliseconds took);
+    void add(const std::string& route, milliseconds elapsed);
     std::optional<milliseconds> usual_bound(const std::string& route) const;
 
 private:
--- a/src/libcyclamenrun/decisions/shared_retry_budget.cpp
+++ b/src/libcyclamenrun/decisions/shared_retry_budget.cpp
@@ -10,9 +10,9 @@
  * Fraction of the budget that is used. The rest allows for windows that do not
  * coincide and for gateways that learn late how many share the budget.
  */
-constexpr double used_part = 0.8;
+constexpr double used_share = 0.8;
 /** There are few services; bounds the table if their names keep changing. */
-constexpr std::size_t most_services = 1024;
+constexpr std::size_t max_services = 1024;
 
 } // namespace
 
@@ -22,7 +22,7 @@
     const auto found = services_.find(service);
     if (found != services_.end())
         return found->second;
-    if (services_.size() >= most_services)
+    if (services_.size() >= max_services)
         services_.clear();
     return services_
         .emplace(service, service_counts{window_counter(settings_.window),
@@ -41,7 +41,7 @@
     const double earned =
         settings_.share * static_cast<double>(counts.requests.count(now)) +
         settings_.extra / sharers_;
-    return used_part * earned - static_cast<double>(counts.retries.count(now));
+    return used_share * earned - static_cast<double>(counts.retries.count(now));
 }
 
 bool shared_retry_budget::try_retry(const std::string& service, time_point now)
--- a/src/libcyclamenrun/decisions/start_queue.cpp
+++ b/src/libcyclamenrun/decisions/start_queue.cpp
@@ -14,10 +14,10 @@
  * prompts, so that the request arrives in time: a few milliseconds for the
  * network, the rest for variations of the reading speed.
  */
-constexpr milliseconds lookahead{30};
+constexpr milliseconds grant_lead_time{30};
 
-std::uint64_t held_by(const std::map<std::string, std::uint64_t>& held,
-                      const std::string& team)
+std::uint64_t memory_of(const std::map<std::string, std::uint64_t>& held,
+                        const std::string& team)
 {
     const auto found = held.find(team);
     return found == held.end() ? 0 : found->second;
@@ -25,90 +25,94 @@
 
 } // namespace
 
-void start_queue::take_view(const engine_view& view, bool leaving,
+void start_queue::take_view(const engine_view& status, bool leaving,
                             time_point now)
 {
     leaving_ = leaving;
-    outlook_.take_view(view, now);
+    outlook_.take_view(status, now);
 }
 
-void start_queue::ask(const start_request& wanted, time_point now)
+void start_queue::ask(const start_request& request, time_point now)
 {
-    const auto found = std::find_if(
-        waiting_.begin(), waiting_.end(),
-        [&](const waiting_start& each) { return each.who.id == wanted.id; });
+    const auto found = std::find_if(waiting_.begin(), waiting_.end(),
+                                    [&](const waiting_start& each) {
+                                        return each.request.id == request.id;
+                                    });
     if (found != waiting_.end())
-        *found = {wanted, now};
-    else if (!was_given(wanted.id) && waiting_.size() < most_waiting_starts)
-        waiting_.push_back({wanted, now});
+        *found = {request, now};
+    else if (!was_given(request.id) && waiting_.size() < most_waiting_starts)
+        waiting_.push_back({request, now});
 }
 
 void start_queue::end(const std::string& id)
 {
-    std::erase_if(waiting_,
-                  [&](const waiting_start& each) { return each.who.id == id; });
-    outlook_.forget(id);
+    std::erase_if(waiting_, [&](const waiting_start& each) {
+        return each.request.id == id;
+    });
+    outlook_.drop_grant(id);
 }
 
-bool start_queue::is_late(const start_request& wanted, time_point now) const
+bool start_queue::is_late(const start_request& request, time_point now) const
 {
-    return now + outlook_.reading_time(wanted.prompt_tokens) > wanted.first_due;
+    return now + outlook_.reading_time(request.prompt_tokens) >
+           request.first_due;
 }
 
 void start_queue::sort(time_point now)
 {
     const auto held = outlook_.memory_by_team();
     for (auto& each : waiting_) {
-        each.late = is_late(each.who, now);
-        each.team_holds = held_by(held, each.who.team);
+        each.late = is_late(each.request, now);
+        each.team_memory = memory_of(held, each.request.team);
     }
-    std::stable_sort(waiting_.begin(), waiting_.end(),
-                     [](const waiting_start& a, const waiting_start& b) {
-                         return std::tie(a.late, a.team_holds,
-                                         a.who.first_due) <
-                                std::tie(b.late, b.team_holds, b.who.first_due);
-                     });
+    std::stable_sort(
+        waiting_.begin(), waiting_.end(),
+        [](const waiting_start& a, const waiting_start& b) {
+            return std::tie(a.late, a.team_memory, a.request.first_due) <
+                   std::tie(b.late, b.team_memory, b.request.first_due);
+        });
 }
 
-bool start_queue::is_passed_over(const start_request& wanted,
+bool start_queue::is_passed_over(const start_request& request,
                                  time_point now) const
 {
-    if (!is_late(wanted, now))
+    if (!is_late(request, now))
         return false;
     const auto held = outlook_.memory_by_team();
-    const auto own = held_by(held, wanted.team);
-    return std::any_of(waiting_.begin(), waiting_.end(),
-                       [&](const waiting_start& each) {
-                           return held_by(held, each.who.team) < own;
-                       });
+    const auto own_memory = memory_of(held, request.team);
+    return std::any_of(
+        waiting_.begin(), waiting_.end(), [&](const waiting_start& each) {
+            return memory_of(held, each.request.team) < own_memory;
+        });
 }
 
-bool start_queue::may_read_more(time_point now) const
+bool start_queue::can_read_more(time_point now) const
 {
-    return outlook_.unread(now) <= lookahead && outlook_.taken_slots() < slots_;
+    return outlook_.unread(now) <= grant_lead_time &&
+           outlook_.taken_slots() < slots_;
 }
 
 std::vector<start_request> start_queue::give(time_point now)
 {
     std::erase_if(waiting_, [&](const waiting_start& each) {
-        return each.asked_at + start_silence <= now;
+        return each.requested_at + start_request_timeout <= now;
     });
-    std::vector<start_request> given;
+    std::vector<start_request> granted;
     if (leaving_ || !outlook_.known())
-        return given;
-    while (!waiting_.empty() && may_read_more(now)) {
+        return granted;
+    while (!waiting_.empty() && can_read_more(now)) {
         sort(now);
         const auto next = std::find_if(
             waiting_.begin(), waiting_.end(), [&](const waiting_start& each) {
-                return outlook_.has_memory_for(each.who);
+                return outlook_.has_memory_for(each.request);
             });
         if (next == waiting_.end())
             break;
-        outlook_.give(next->who, now);
-        given.push_back(std::move(next->who));
+        outlook_.grant(next->request, now);
+        granted.push_back(std::move(next->request));
         waiting_.erase(next);
     }
-    return given;
+    return granted;
 }
 
 bool start_queue::has_room_for_copy(std::uint64_t tokens) const
@@ -124,9 +128,9 @@
 std::optional<time_point> start_queue::next_event(time_point now) const
 {
     const auto unread = outlook_.unread(now);
-    if (waiting_.empty() || unread <= lookahead)
+    if (waiting_.empty() || unread <= grant_lead_time)
         return std::nullopt;
-    return now + unread - lookahead;
+    return now + unread - grant_lead_time;
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/start_queue.hpp
+++ b/src/libcyclamenrun/decisions/start_queue.hpp
@@ -28,18 +28,18 @@
  * no others are waiting.
  *
  * Bounded, no I/O, not thread-safe. A request that is not repeated within
- * start_silence is dropped.
+ * start_request_timeout is dropped.
  */
 class start_queue
 {
 public:
     /** Replaces the engine's status. `leaving`: no more starts are granted. */
-    void take_view(const engine_view& view, bool leaving, time_point now);
+    void take_view(const engine_view& status, bool leaving, time_point now);
     /** Sets the generations that the engine runs at once, by the directory. */
     void set_slots(unsigned slots) { slots_ = slots; }
 
     /** Adds or renews a start request; repeated while the request waits. */
-    void ask(const start_request& wanted, time_point now);
+    void ask(const start_request& request, time_point now);
     /** Removes a request, or its grant if that is unused or has ended. */
     void end(const std::string& id);
     /** Grants the starts that are possible now; returns them in order. */
@@ -53,7 +53,7 @@
      * True if the request is late and teams that hold less memory are waiting
      * as well: their requests go before it, the late ones too.
      */
-    bool is_passed_over(const start_request& wanted, time_point now) const;
+    bool is_passed_over(const start_request& request, time_point now) const;
     /** True if a running generation of `tokens` could be copied here. */
     bool has_room_for_copy(std::uint64_t tokens) const;
     /** The engine's estimated load, start grants included. */
@@ -65,15 +65,15 @@
 
 private:
     struct waiting_start {
-        start_request who;
-        time_point asked_at;
-        bool late = false;            ///< as of the last sort()
-        std::uint64_t team_holds = 0; ///< tokens, as of the last sort()
+        start_request request;
+        time_point requested_at;
+        bool late = false;             ///< as of the last sort()
+        std::uint64_t team_memory = 0; ///< tokens, as of the last sort()
     };
 
-    bool may_read_more(time_point now) const;
+    bool can_read_more(time_point now) const;
     void sort(time_point now);
-    bool is_late(const start_request& wanted, time_point now) const;
+    bool is_late(const start_request& request, time_point now) const;
 
     engine_outlook outlook_;
     std::deque<waiting_start> waiting_;
@@ -82,7 +82,7 @@
 };
 
 /** Gateways repeat a request within a fifth of this; see start_search. */
-inline constexpr milliseconds start_silence{700};
+inline constexpr milliseconds start_request_timeout{700};
 /** Requests that wait at one engine; further ones are ignored. */
 inline constexpr std::size_t most_waiting_starts = 512;
 
--- a/src/libcyclamenrun/decisions/survival_curve.cpp
+++ b/src/libcyclamenrun/decisions/survival_curve.cpp
@@ -11,32 +11,33 @@
 
 // Added to lengths: with four buckets per doubling counted from 4, the lengths
 // 0 to 3 have a bucket each.
-constexpr std::uint32_t offset = 4;
+constexpr std::uint32_t length_offset = 4;
 
 // Prior probability that an answer that reaches a bucket ends within it. About
 // two in five answers then reach twice their length.
-constexpr float stated_hazard = 0.2F;
+constexpr float constant_hazard = 0.2F;
 
 // Lower bound of the survival, so that no length is impossible.
-constexpr float least_survival = 1e-6F;
+constexpr float min_survival = 1e-6F;
 
 } // namespace
 
 survival_curve::survival_curve(float memory) : decay_(1.0F - 1.0F / memory)
 {
-    refresh_with_stated_prior(1.0F);
+    refresh_with_constant_prior(1.0F);
 }
 
 std::uint32_t survival_curve::edge(std::size_t bucket)
 {
-    return ((offset + static_cast<std::uint32_t>(bucket % 4)) << (bucket / 4)) -
-           offset;
+    return ((length_offset + static_cast<std::uint32_t>(bucket % 4))
+            << (bucket / 4)) -
+           length_offset;
 }
 
 std::size_t survival_curve::bucket_of(std::uint32_t tokens)
 {
     const std::uint32_t shifted =
-        std::min(tokens, edge(bucket_count) - 1) + offset;
+        std::min(tokens, edge(bucket_count) - 1) + length_offset;
     const auto octave = static_cast<std::size_t>(std::bit_width(shifted)) - 3;
     return octave * 4 + ((shifted >> octave) & 3U);
 }
@@ -56,11 +57,11 @@
     compute(prior.hazard_, prior_weight);
 }
 
-void survival_curve::refresh_with_stated_prior(float prior_weight)
+void survival_curve::refresh_with_constant_prior(float prior_weight)
 {
-    buckets stated;
-    stated.fill(stated_hazard);
-    compute(stated, prior_weight);
+    buckets constant;
+    constant.fill(constant_hazard);
+    compute(constant, prior_weight);
 }
 
 void survival_curve::compute(const buckets& prior_hazard, float prior_weight)
@@ -77,7 +78,7 @@
     integral_[0] = 0.0F;
     for (std::size_t i = 0; i < bucket_count; ++i) {
         survival_[i + 1] =
-            std::max(survival_[i] * (1.0F - hazard_[i]), least_survival);
+            std::max(survival_[i] * (1.0F - hazard_[i]), min_survival);
         const auto width = static_cast<float>(edge(i + 1) - edge(i));
         integral_[i + 1] =
             integral_[i] + width * 0.5F * (survival_[i] + survival_[i + 1]);
@@ -89,10 +90,10 @@
     const std::size_t bucket = bucket_of(tokens);
     const std::uint32_t start = edge(bucket);
     const auto width = static_cast<float>(edge(bucket + 1) - start);
-    const auto into =
+    const auto fraction =
         std::min(static_cast<float>(tokens - start) / width, 1.0F);
     return survival_[bucket] +
-           into * (survival_[bucket + 1] - survival_[bucket]);
+           fraction * (survival_[bucket + 1] - survival_[bucket]);
 }
 
 float survival_curve::conditional(std::uint32_t made, std::uint32_t ahead) const
--- a/src/libcyclamenrun/decisions/survival_curve.hpp
+++ b/src/libcyclamenrun/decisions/survival_curve.hpp
@@ -38,7 +38,7 @@
     /** Recomputes the curve; `prior_weight` is in answers. */
     void refresh(const survival_curve& prior, float prior_weight);
     /** Recomputes the curve with a constant hazard as the prior. */
-    void refresh_with_stated_prior(float prior_weight);
+    void refresh_with_constant_prior(float prior_weight);
 
     /** P(length > tokens). */
     float survival(std::uint32_t tokens) const;
--- a/src/libcyclamenrun/decisions/team_limiter.cpp
+++ b/src/libcyclamenrun/decisions/team_limiter.cpp
@@ -10,26 +10,25 @@
 {
 
 // Capacity of a bucket, in seconds of its rate.
-constexpr double burst_s = 10.0;
+constexpr double bucket_s = 10.0;
 
-constexpr milliseconds least_retry_after{100};
-constexpr milliseconds longest_retry_after{600'000};
+constexpr milliseconds min_retry_after{100};
+constexpr milliseconds max_retry_after{600'000};
 
 // Assumed time until a request of the team ends; answers take seconds, and
 // there is no better estimate.
-constexpr milliseconds place_retry_after{1'000};
+constexpr milliseconds slot_retry_after{1'000};
 
-milliseconds clamp(double seconds)
+milliseconds to_retry_after(double seconds)
 {
-    const double most = static_cast<double>(longest_retry_after.count());
-    const double ms = std::min(seconds * 1000.0, most);
-    return std::max(milliseconds(std::llround(std::ceil(ms))),
-                    least_retry_after);
+    const double longest_ms = static_cast<double>(max_retry_after.count());
+    const double ms = std::min(seconds * 1000.0, longest_ms);
+    return std::max(milliseconds(std::llround(std::ceil(ms))), min_retry_after);
 }
 
-refusal over_limit(const char* which, milliseconds after)
+refusal over_limit(const char* limit, milliseconds after)
 {
-    return not_run(refusal_reason::team_limit, which, after);
+    return not_run(refusal_reason::team_limit, limit, after);
 }
 
 } // namespace
@@ -54,34 +53,37 @@
     if (found == teams_.end()) {
         if (!make_room())
             return tl::unexpected(
-                over_limit("teams at this entry", place_retry_after));
+                over_limit("teams at this entry", slot_retry_after));
         found = teams_.emplace(team, state{}).first;
     }
-    state& of = found->second;
+    state& current = found->second;
     if (limits.max_concurrent > 0 &&
-        of.running >= share_of(limits.max_concurrent))
-        return tl::unexpected(over_limit("max_concurrent", place_retry_after));
-    fill(of, limits, now);
-    if (of.rate > 0.0) {
-        if (of.tokens <= 0.0)
+        current.running >= share_of(limits.max_concurrent))
+        return tl::unexpected(over_limit("max_concurrent", slot_retry_after));
+    fill(current, limits, now);
+    if (current.rate > 0.0) {
+        if (current.tokens <= 0.0)
             return tl::unexpected(
-                over_limit("tokens_per_second", clamp(-of.tokens / of.rate)));
-        of.tokens -= prompt_tokens;
+                over_limit("tokens_per_second",
+                           to_retry_after(-current.tokens / current.rate)));
+        current.tokens -= prompt_tokens;
     }
-    ++of.running;
+    ++current.running;
     return {};
 }
 
-void team_limiter::fill(state& of, const team_limits& limits,
+void team_limiter::fill(state& current, const team_limits& limits,
                         time_point now) const
 {
-    const bool is_new = of.rate == 0.0;
-    of.rate = static_cast<double>(limits.tokens_per_second) / entries_;
-    const double most = of.rate * burst_s;
+    const bool is_new = current.rate == 0.0;
+    current.rate = static_cast<double>(limits.tokens_per_second) / entries_;
+    const double capacity = current.rate * bucket_s;
     const double elapsed =
-        std::chrono::duration<double>(now - of.filled).count();
-    of.filled = now;
-    of.tokens = is_new ? most : std::min(of.tokens + elapsed * of.rate, most);
+        std::chrono::duration<double>(now - current.filled_at).count();
+    current.filled_at = now;
+    current.tokens =
+        is_new ? capacity
+               : std::min(current.tokens + elapsed * current.rate, capacity);
 }
 
 bool team_limiter::make_room()
--- a/src/libcyclamenrun/decisions/team_limiter.hpp
+++ b/src/libcyclamenrun/decisions/team_limiter.hpp
@@ -50,11 +50,11 @@
         std::uint32_t running = 0;
         double tokens = 0.0; ///< left in the bucket; below 0: debt
         double rate = 0.0;   ///< this entry's share, in tokens per second
-        time_point filled{};
+        time_point filled_at{};
     };
 
     bool make_room();
-    void fill(state& of, const team_limits& limits, time_point now) const;
+    void fill(state& current, const team_limits& limits, time_point now) const;
     std::uint32_t share_of(std::uint32_t limit) const;
 
     std::size_t max_teams_;
--- a/src/libcyclamenrun/decisions/window_counter.hpp
+++ b/src/libcyclamenrun/decisions/window_counter.hpp
@@ -17,17 +17,20 @@
 class window_counter
 {
 public:
-    explicit window_counter(milliseconds window) : slot_(window / slots) {}
+    explicit window_counter(milliseconds window)
+        : slot_duration_(window / slot_count)
+    {
+    }
 
     void add(time_point now)
     {
-        move_to(now);
-        ++counts_.at(static_cast<std::size_t>(last_ % slots));
+        advance_to(now);
+        ++counts_.at(static_cast<std::size_t>(latest_slot_ % slot_count));
     }
 
     std::uint64_t count(time_point now)
     {
-        move_to(now);
+        advance_to(now);
         std::uint64_t sum = 0;
         for (const auto count : counts_)
             sum += count;
@@ -35,22 +38,23 @@
     }
 
 private:
-    static constexpr std::int64_t slots = 10;
+    static constexpr std::int64_t slot_count = 10;
 
-    void move_to(time_point now)
+    void advance_to(time_point now)
     {
-        const auto slot = now.time_since_epoch() / slot_;
-        if (slot - last_ >= slots)
+        const auto slot = now.time_since_epoch() / slot_duration_;
+        if (slot - latest_slot_ >= slot_count)
             counts_.fill(0);
         else
-            while (last_ < slot)
-                counts_.at(static_cast<std::size_t>(++last_ % slots)) = 0;
-        last_ = std::max<std::int64_t>(last_, slot);
+            while (latest_slot_ < slot)
+                counts_.at(
+                    static_cast<std::size_t>(++latest_slot_ % slot_count)) = 0;
+        latest_slot_ = std::max<std::int64_t>(latest_slot_, slot);
     }
 
-    duration slot_;
-    std::int64_t last_ = 0;
-    std::array<std::uint64_t, slots> counts_{};
+    duration slot_duration_;
+    std::int64_t latest_slot_ = 0;
+    std::array<std::uint64_t, slot_count> counts_{};
 };
 
 } // namespace cyclamenrun
--- a/tests/decisions/test_gateway_decisions.cpp
+++ b/tests/decisions/test_gateway_decisions.cpp
@@ -21,7 +21,7 @@
 // Guards against running a request twice: a write runs and its response is
 // lost. A retry would write twice, and so would the caller's own retry after a
 // "not run" refusal.
-TEST(attempt_policy, never_repeats_what_may_have_run_unless_that_is_harmless)
+TEST(attempt_policy, retries_what_may_have_run_only_if_idempotent)
 {
     attempt_state state;
     state.runs = 1;
@@ -47,7 +47,7 @@
     EXPECT_EQ(next_step(attempt_result::failed, state), attempt_step::deliver);
 }
 
-TEST(attempt_policy, tries_elsewhere_what_has_not_run)
+TEST(attempt_policy, retries_what_has_not_run)
 {
     attempt_state state;
     state.sends = 1;
@@ -55,7 +55,7 @@
               attempt_step::again);
     EXPECT_EQ(next_step(attempt_result::not_sent, state),
               attempt_step::again_free);
-    state.sends = most_sends;
+    state.sends = max_sends;
     EXPECT_EQ(next_step(attempt_result::turned_away, state),
               attempt_step::refuse);
 }
@@ -68,7 +68,7 @@
     state.idempotent = true;
     state.max_attempts = 2;
     state.runs = 1;
-    state.sends = most_sends;
+    state.sends = max_sends;
     EXPECT_EQ(next_step(attempt_result::turned_away, state),
               attempt_step::report_lost);
 }
@@ -123,7 +123,7 @@
     EXPECT_GT(retries.size(), 150U);
 }
 
-TEST(shared_retry_budget, counts_what_can_not_be_forgone)
+TEST(shared_retry_budget, counts_forced_retries)
 {
     retry_budget_settings settings;
     settings.share = 0;
@@ -136,7 +136,7 @@
     EXPECT_TRUE(budget.try_retry("s", at(10000)));
 }
 
-TEST(placement, avoids_prompts_that_wait_memory_that_is_short_and_failures)
+TEST(placement, avoids_waits_short_memory_and_failures)
 {
     placement_candidate good;
     auto waits = good;
@@ -166,7 +166,7 @@
               placement_cost(far, copy_weights));
 }
 
-TEST(placement, draws_among_equals_against_herds)
+TEST(placement, breaks_ties_at_random)
 {
     const std::vector<placement_candidate> same(4);
     std::mt19937_64 random(3);
@@ -189,7 +189,7 @@
     EXPECT_GT(placement_cost(full), placement_cost(empty) + 0.05);
 }
 
-TEST(copy_turns, go_round_in_the_order_of_asking)
+TEST(copy_turns, are_granted_in_the_order_of_requests)
 {
     copy_turns turns;
     EXPECT_TRUE(turns.ask({"a", "g1"}, at(0)));
@@ -205,7 +205,7 @@
 
 // Guards against copying few large generations of an engine that is removed:
 // if the notice is too short for all, the smallest first save the most streams.
-TEST(copy_turns, let_the_smallest_go_first)
+TEST(copy_turns, are_granted_to_the_smallest_first)
 {
     copy_turns turns;
     const time_point now{std::chrono::hours(1)};
@@ -222,16 +222,16 @@
 
 // Guards against a turn whose gateway crashed: the others must not wait until
 // the engine is removed.
-TEST(copy_turns, end_by_themselves)
+TEST(copy_turns, end_after_their_duration_limit)
 {
     copy_turns turns;
     ASSERT_TRUE(turns.ask({"a", "g1"}, at(0)));
-    const int end = static_cast<int>(longest_copy_turn.count());
+    const int end = static_cast<int>(copy_turn_duration_limit.count());
     EXPECT_FALSE(turns.ask({"b", "g2"}, at(end - 1)));
     EXPECT_TRUE(turns.ask({"b", "g2"}, at(end)));
 }
 
-TEST(copy_turns, forget_who_waits_in_silence)
+TEST(copy_turns, drop_requests_that_are_not_repeated)
 {
     copy_turns turns;
     ASSERT_TRUE(turns.ask({"a", "g1"}, at(0)));
@@ -244,14 +244,14 @@
 TEST(copy_turns, are_bounded)
 {
     copy_turns turns;
-    for (std::size_t i = 0; i < 2 * most_copy_turns; ++i)
+    for (std::size_t i = 0; i < 2 * max_copy_turns; ++i)
         turns.ask({std::to_string(i), "g"}, at(0));
-    for (std::size_t i = 0; i < most_copy_turns; ++i)
+    for (std::size_t i = 0; i < max_copy_turns; ++i)
         turns.end(std::to_string(i));
     EXPECT_FALSE(turns.holder(at(0)));
 }
 
-TEST(silence_limit, is_for_requests_that_may_run_once_more)
+TEST(response_timeouts, apply_to_requests_that_may_run_once_more)
 {
     constexpr milliseconds objective{100};
     attempt_state state;
@@ -269,7 +269,7 @@
 
 // Guards against timeouts under load: if all upstreams have queues, responses
 // take long, and taking requests out of the queues makes the queues longer.
-TEST(silence_limit, follows_what_is_usual_now)
+TEST(response_timeouts, follow_the_usual_response_time)
 {
     constexpr milliseconds objective{100};
     attempt_state state;
@@ -285,7 +285,7 @@
 
 // Guards against a thundering herd: a hundred callers that are refused at the
 // same time and retry at the same time would fill the queue again.
-TEST(spread_retry, keeps_callers_from_coming_back_in_one_wave)
+TEST(retry_delays, are_spread_against_thundering_herds)
 {
     std::mt19937_64 random(1);
     std::set<milliseconds> times;
@@ -298,7 +298,7 @@
     EXPECT_GT(times.size(), 50U);
 }
 
-TEST(response_time, bounds_what_is_usual)
+TEST(response_time, bounds_the_usual_response_time)
 {
     response_times times;
     EXPECT_FALSE(times.usual_bound("a"));
--- a/tests/decisions/test_herds.cpp
+++ b/tests/decisions/test_herds.cpp
@@ -20,15 +20,15 @@
 constexpr int step_ms = 10;
 constexpr int engines = 46;
 constexpr int gateways = 25;
-constexpr double memory = 21856;
-constexpr double read_per_ms = 7;
+constexpr double memory_tokens = 21856;
+constexpr double read_tokens_per_ms = 7;
 constexpr double arrivals_per_s = 75;
 constexpr int load_age_ms = 200;
-constexpr int look_ms = 100;
+constexpr int poll_ms = 100;
 constexpr int objective_ms = 1500;
 constexpr int length_ms = 30000;
 /** Callers disconnect if nothing has arrived by then. */
-constexpr int patience_ms = 4 * objective_ms;
+constexpr int caller_timeout_ms = 4 * objective_ms;
 constexpr std::uint64_t calm_team_count = 20;
 const std::string flooding_team = "flood";
 const time_point epoch{std::chrono::hours(1)};
@@ -52,12 +52,13 @@
 struct team_result {
     int in_time = 0;
     int late = 0;
-    int left = 0; ///< callers that disconnected before the start
+    int disconnected = 0; ///< callers that disconnected before the start
 
     int begun() const { return in_time + late; }
     double late_share() const
     {
-        return static_cast<double>(late + left) / std::max(1, begun() + left);
+        return static_cast<double>(late + disconnected) /
+               std::max(1, begun() + disconnected);
     }
 };
 
@@ -79,7 +80,7 @@
     void step(int now, std::map<std::string, team_result>& results)
     {
         if (!reading && !queue.empty())
-            reading = used() + queue.front().prompt <= memory;
+            reading = used() + queue.front().prompt <= memory_tokens;
         for (auto& each : running)
             each.made += 1;
         std::erase_if(running, [](const generation& each) {
@@ -88,7 +89,7 @@
         if (!reading)
             return;
         auto& head = queue.front();
-        head.unread -= read_per_ms * step_ms;
+        head.unread -= read_tokens_per_ms * step_ms;
         if (head.unread > 0)
             return;
         auto& result = results[head.team];
@@ -108,7 +109,7 @@
         result.queued =
             static_cast<std::uint32_t>(queue.size()) - result.starting;
         result.memory_used = static_cast<std::uint64_t>(used());
-        result.memory_total = static_cast<std::uint64_t>(memory);
+        result.memory_total = static_cast<std::uint64_t>(memory_tokens);
         for (const auto& each : running)
             result.generations.push_back(
                 {each.id, static_cast<std::uint64_t>(each.prompt + each.made)});
@@ -124,13 +125,12 @@
     fleet(const fleet&) = delete;
     fleet& operator=(const fleet&) = delete;
 
-    /** Runs the simulation; returns the share of late or missing first parts.
-     */
+    /** Runs the fleet; returns the share of late or missing first parts. */
     double late_share(int until_ms = length_ms)
     {
         for (now_ms = 0; now_ms < until_ms; now_ms += step_ms) {
             if (now_ms % 3300 == 0)
-                take_some_away();
+                remove_engines();
             std::poisson_distribution<int> arrivals(arrivals_per_s * step_ms /
                                                     1000);
             for (int i = arrivals(random); i > 0; --i)
@@ -139,7 +139,7 @@
                                                   1000);
             for (int i = flood_per_s_ > 0 ? floods(random) : 0; i > 0; --i)
                 arrive(draw(flooding_team));
-            decide();
+            make_decisions();
             for (auto& each : upstreams)
                 each.step(now_ms, results_);
         }
@@ -153,12 +153,18 @@
     void flood(double per_s) { flood_per_s_ = per_s; }
 
 protected:
-    virtual void arrive(generation&& wants) = 0;
-    virtual void decide() {}
-    virtual void went(int) {}
+    virtual void arrive(generation&& request) = 0;
+    virtual void make_decisions() {}
+    virtual void engine_removed(int) {}
 
-    void note_left(const generation& who) { ++results_[who.team].left; }
-    bool away(int index) const { return upstreams[index].back_at_ms > now_ms; }
+    void record_disconnected(const generation& ended)
+    {
+        ++results_[ended.team].disconnected;
+    }
+    bool is_removed(int index) const
+    {
+        return upstreams[index].back_at_ms > now_ms;
+    }
     int draw_gateway() { return static_cast<int>(random() % gateways); }
 
     int now_ms = 0;
@@ -166,15 +172,15 @@
     std::vector<engine> upstreams{engines};
 
 private:
-    team_result all(const std::string& but = {}) const
+    team_result all(const std::string& except = {}) const
     {
         team_result sum;
         for (const auto& [team, result] : results_) {
-            if (team == but)
+            if (team == except)
                 continue;
             sum.in_time += result.in_time;
             sum.late += result.late;
-            sum.left += result.left;
+            sum.disconnected += result.disconnected;
         }
         return sum;
     }
@@ -194,13 +200,13 @@
         return drawn;
     }
 
-    void take_some_away()
+    void remove_engines()
     {
         for (int i = 0; i < engines / 6; ++i) {
             const int index = static_cast<int>(random() % engines);
             upstreams[index] = engine{};
             upstreams[index].back_at_ms = now_ms + 4000;
-            went(index);
+            engine_removed(index);
         }
     }
 
@@ -216,30 +222,30 @@
     using fleet::fleet;
 
 protected:
-    void arrive(generation&& wants) override
+    void arrive(generation&& request) override
     {
         const int gateway = draw_gateway();
         std::vector<placement_candidate> places;
         std::vector<int> indexes;
         for (int i = 0; i < engines; ++i) {
-            if (away(i))
+            if (is_removed(i))
                 continue;
-            auto place = told_[i];
+            auto place = reported_[i];
             for (const auto& own : own_[gateway][i]) {
-                place.wait += own.prompt / read_per_ms / objective_ms;
-                place.memory_taken += own.prompt / memory;
+                place.wait += own.prompt / read_tokens_per_ms / objective_ms;
+                place.memory_taken += own.prompt / memory_tokens;
             }
-            place.memory_taken += wants.prompt / memory;
+            place.memory_taken += request.prompt / memory_tokens;
             places.push_back(place);
             indexes.push_back(i);
         }
         const auto chosen = choose_placement(places, random);
         const int index = indexes[*chosen];
-        own_[gateway][index].push_back(wants);
-        upstreams[index].queue.push_back(std::move(wants));
+        own_[gateway][index].push_back(request);
+        upstreams[index].queue.push_back(std::move(request));
     }
 
-    void decide() override
+    void make_decisions() override
     {
         if (now_ms % load_age_ms != 0)
             return;
@@ -247,25 +253,26 @@
             double unread = 0;
             for (const auto& each : upstreams[i].queue)
                 unread += each.unread;
-            told_[i].wait = unread / read_per_ms / objective_ms;
-            told_[i].slots_taken =
+            reported_[i].wait = unread / read_tokens_per_ms / objective_ms;
+            reported_[i].slots_taken =
                 static_cast<double>(upstreams[i].running.size()) / 24;
-            told_[i].memory_taken = (upstreams[i].used() + unread) / memory;
+            reported_[i].memory_taken =
+                (upstreams[i].used() + unread) / memory_tokens;
         }
         own_.assign(gateways, std::vector<std::vector<generation>>(engines));
     }
 
 private:
-    std::vector<placement_candidate> told_{engines};
+    std::vector<placement_candidate> reported_{engines};
     std::vector<std::vector<std::vector<generation>>> own_{
         gateways, std::vector<std::vector<generation>>(engines)};
 };
 
 /** Generations wait at several engines and start at the first with room. */
-class asking_fleet : public fleet
+class queueing_fleet : public fleet
 {
 public:
-    explicit asking_fleet(std::uint64_t seed, bool knows_teams = true)
+    explicit queueing_fleet(std::uint64_t seed, bool knows_teams = true)
         : fleet(seed), knows_teams_(knows_teams)
     {
         for (auto& each : queues_) {
@@ -276,81 +283,82 @@
 
 protected:
     struct search {
-        generation wants;
-        std::vector<int> asked;
+        generation request;
+        std::vector<int> queried;
     };
 
-    void arrive(generation&& wants) override
+    void arrive(generation&& request) override
     {
-        searches_.push_back({std::move(wants), {}});
-        ask_more(searches_.back());
+        searches_.push_back({std::move(request), {}});
+        request_more(searches_.back());
     }
 
-    void went(int index) override
+    void engine_removed(int index) override
     {
         queues_[index] = std::make_unique<start_queue>();
         queues_[index]->set_slots(24);
     }
 
-    void decide() override
+    void make_decisions() override
     {
         for (int i = 0; i < engines; ++i) {
-            if (now_ms % look_ms == 0 && !away(i))
+            if (now_ms % poll_ms == 0 && !is_removed(i))
                 queues_[i]->take_view(upstreams[i].view(), false, at(now_ms));
-            for (const auto& given : queues_[i]->give(at(now_ms)))
-                begin(i, given.id);
+            for (const auto& granted : queues_[i]->give(at(now_ms)))
+                start(i, granted.id);
         }
         std::erase_if(searches_, [&](const search& each) {
-            const bool leaves = now_ms - each.wants.arrived_ms >= patience_ms;
-            if (leaves)
-                leave(each);
-            return leaves;
+            const bool times_out =
+                now_ms - each.request.arrived_ms >= caller_timeout_ms;
+            if (times_out)
+                disconnect(each);
+            return times_out;
         });
         for (auto& each : searches_) {
-            if ((now_ms - each.wants.arrived_ms) % 150 == 140)
-                ask_more(each);
+            if ((now_ms - each.request.arrived_ms) % 150 == 140)
+                request_more(each);
         }
     }
 
 private:
-    void ask_more(search& of)
+    void request_more(search& of)
     {
-        for (int i = 0; i < 8 && of.asked.size() < 32; ++i) {
+        for (int i = 0; i < 8 && of.queried.size() < 32; ++i) {
             const int index = static_cast<int>(random() % engines);
-            if (!away(index))
-                of.asked.push_back(index);
+            if (!is_removed(index))
+                of.queried.push_back(index);
         }
         start_request wanted;
-        wanted.id = of.wants.id;
-        wanted.team = knows_teams_ ? of.wants.team : std::string();
-        wanted.prompt_tokens = static_cast<std::uint64_t>(of.wants.prompt);
-        wanted.output_tokens = of.wants.output > 10 ? 600 : 10;
-        wanted.first_due = at(of.wants.arrived_ms + objective_ms);
-        for (const int index : of.asked)
+        wanted.id = of.request.id;
+        wanted.team = knows_teams_ ? of.request.team : std::string();
+        wanted.prompt_tokens = static_cast<std::uint64_t>(of.request.prompt);
+        wanted.output_tokens = of.request.output > 10 ? 600 : 10;
+        wanted.first_due = at(of.request.arrived_ms + objective_ms);
+        for (const int index : of.queried)
             queues_[index]->ask(wanted, at(now_ms));
     }
 
-    void leave(const search& who)
+    void disconnect(const search& ended)
     {
-        for (const int index : who.asked)
-            queues_[index]->end(who.wants.id);
-        note_left(who.wants);
+        for (const int index : ended.queried)
+            queues_[index]->end(ended.request.id);
+        record_disconnected(ended.request);
     }
 
-    void begin(int index, const std::string& id)
+    void start(int index, const std::string& id)
     {
         const auto found = std::find_if(
             searches_.begin(), searches_.end(),
-            [&](const search& each) { return each.wants.id == id; });
+            [&](const search& each) { return each.request.id == id; });
         if (found == searches_.end()) {
             queues_[index]->end(id);
             return;
         }
-        for (const int other : found->asked) {
+        for (const int other : found->queried) {
             if (other != index)
                 queues_[other]->end(id);
         }
-        upstreams[index].queue.push_back(std::move(found->wants));
+        upstreams[index].queue.push_back(std::move(found->request));
         searches_.erase(found);
     }
 
@@ -363,21 +371,21 @@
 // old, all gateways send to the few engines that were empty in the reports, and
 // callers wait although the fleet has room. With start requests at several
 // engines, few first parts are late.
-TEST(herds, keep_no_callers_waiting_where_engines_say_who_may_start)
+TEST(herds, keep_no_callers_waiting_where_engines_grant_starts)
 {
-    double chosen = 0;
-    double asked = 0;
+    double late_by_reports = 0;
+    double late_by_requests = 0;
     for (const std::uint64_t seed : {1, 2, 3}) {
         choosing_fleet choosing(seed);
-        chosen += choosing.late_share() / 3;
-        asking_fleet asking(seed);
-        asked += asking.late_share() / 3;
-        EXPECT_GE(asking.begun(), choosing.begun());
+        late_by_reports += choosing.late_share() / 3;
+        queueing_fleet queueing(seed);
+        late_by_requests += queueing.late_share() / 3;
+        EXPECT_GE(queueing.begun(), choosing.begun());
     }
-    RecordProperty("late_by_load_reports", std::to_string(chosen));
-    RecordProperty("late_by_start_requests", std::to_string(asked));
-    EXPECT_GT(chosen, 0.05);
-    EXPECT_LT(asked, chosen / 4);
+    RecordProperty("late_by_load_reports", std::to_string(late_by_reports));
+    RecordProperty("late_by_start_requests", std::to_string(late_by_requests));
+    EXPECT_GT(late_by_reports, 0.05);
+    EXPECT_LT(late_by_requests, late_by_reports / 4);
 }
 
 // Guards against a team that floods: one of twenty-one teams sends as much as
@@ -387,11 +395,11 @@
 {
     constexpr double flood_per_s = 75;
     constexpr int flood_ms = 9000;
-    asking_fleet unaware(1, false);
+    queueing_fleet unaware(1, false);
     unaware.flood(flood_per_s);
     unaware.late_share(flood_ms);
     const double in_order = unaware.calm_teams().late_share();
-    asking_fleet aware(1);
+    queueing_fleet aware(1);
     aware.flood(flood_per_s);
     aware.late_share(flood_ms);
     const double shared = aware.calm_teams().late_share();
--- a/tests/decisions/test_length_predictor.cpp
+++ b/tests/decisions/test_length_predictor.cpp
@@ -27,7 +27,7 @@
               survival_curve::bucket_count - 1);
 }
 
-TEST(survival_curve, an_answer_cut_off_says_that_it_was_at_least_so_long)
+TEST(survival_curve, a_cut_off_answer_counts_as_a_lower_bound)
 {
     survival_curve cut(1000.0F);
     survival_curve ended(1000.0F);
@@ -35,8 +35,8 @@
         cut.learn(100, i % 2 == 0);
         ended.learn(100, true);
     }
-    cut.refresh_with_stated_prior(1.0F);
-    ended.refresh_with_stated_prior(1.0F);
+    cut.refresh_with_constant_prior(1.0F);
+    ended.refresh_with_constant_prior(1.0F);
     EXPECT_GT(cut.survival(60), 0.9F);
     EXPECT_NEAR(ended.survival(200), 0.0F, 0.02F);
     EXPECT_GT(cut.survival(130), ended.survival(130) + 0.2F);
--- a/tests/decisions/test_relay_choice.cpp
+++ b/tests/decisions/test_relay_choice.cpp
@@ -51,7 +51,7 @@
 
 // Guards against losing all relays with one failure domain: the second relay
 // has to be in another one, whatever the hash order is.
-TEST(relay_choice, takes_different_failure_domains)
+TEST(relay_choice, uses_different_failure_domains)
 {
     for (int shift = 0; shift < 50; ++shift) {
         auto all = candidates(40, 2);
@@ -70,7 +70,7 @@
     }
 }
 
-TEST(relay_choice, takes_what_there_is)
+TEST(relay_choice, accepts_fewer_candidates_than_requested)
 {
     EXPECT_TRUE(choose_relays({}, "g", 2).empty());
     EXPECT_EQ(choose_relays(candidates(1, 1), "g", 2).size(), 1U);
@@ -79,7 +79,7 @@
 
 // Guards against needless changes of relays: a new relay has to read the whole
 // directory. When VMs are replaced, only the removed relays may change.
-TEST(relay_choice, changes_only_what_has_gone)
+TEST(relay_choice, replaces_only_removed_relays)
 {
     auto all = candidates(115, 5);
     const auto before = choose_relays(all, "g", 2);
--- a/tests/decisions/test_router.cpp
+++ b/tests/decisions/test_router.cpp
@@ -28,12 +28,12 @@
 
 load_report report_of(const std::string& upstream, milliseconds uptime)
 {
-    load_report told;
-    told.upstream = upstream;
-    told.incarnation = 1;
-    told.uptime = uptime;
-    told.memory_tokens_total = 10'000;
-    return told;
+    load_report load;
+    load.upstream = upstream;
+    load.incarnation = 1;
+    load.uptime = uptime;
+    load.memory_tokens_total = 10'000;
+    return load;
 }
 
 route_request request_of(std::uint64_t prefix)
@@ -53,9 +53,9 @@
     router routes({}, 1);
     const auto candidates = runners(5);
     for (const auto& one : candidates) {
-        load_report told = report_of(one.upstream, 1s);
-        told.memory_tokens_used = one.upstream == "runner-2" ? 4'900 : 5'000;
-        routes.report(told, start);
+        load_report load = report_of(one.upstream, 1s);
+        load.memory_tokens_used = one.upstream == "runner-2" ? 4'900 : 5'000;
+        routes.report(load, start);
     }
     std::map<std::size_t, int> sent;
     for (int i = 0; i < 50; ++i) {
@@ -102,13 +102,13 @@
     const std::size_t home = *routes.choose(request, candidates, start);
     const std::string& name = candidates[home].upstream;
     routes.cached(name, request.prefix_blocks);
-    load_report told = report_of(name, 2s);
-    told.memory_tokens_used = 2'000;
-    routes.report(told, start + 1s);
+    load_report load = report_of(name, 2s);
+    load.memory_tokens_used = 2'000;
+    routes.report(load, start + 1s);
     EXPECT_EQ(routes.choose(request, candidates, start + 1s).value(), home);
-    told.uptime = 3s;
-    told.memory_tokens_used = 6'000;
-    routes.report(told, start + 2s);
+    load.uptime = 3s;
+    load.memory_tokens_used = 6'000;
+    routes.report(load, start + 2s);
     EXPECT_NE(routes.choose(request, candidates, start + 2s).value(), home);
 }
 
@@ -119,9 +119,9 @@
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         router routes({}, seed);
         for (const auto& one : candidates) {
-            load_report told = report_of(one.upstream, 1s);
-            told.memory_tokens_used = 5'000;
-            routes.report(told, start);
+            load_report load = report_of(one.upstream, 1s);
+            load.memory_tokens_used = 5'000;
+            routes.report(load, start);
         }
         route_request request = request_of(99);
         request.suspect = true;
--- a/tests/decisions/test_start_queue.cpp
+++ b/tests/decisions/test_start_queue.cpp
@@ -18,8 +18,8 @@
     return start + milliseconds(ms);
 }
 
-start_request wanting(const std::string& id, std::uint64_t prompt = 2000,
-                      int due_ms = 1500, std::uint64_t output = 400)
+start_request request_for(const std::string& id, std::uint64_t prompt = 2000,
+                          int due_ms = 1500, std::uint64_t output = 400)
 {
     start_request request;
     request.id = id;
@@ -50,11 +50,11 @@
     return view;
 }
 
-std::vector<std::string> ids(const std::vector<start_request>& given)
+std::vector<std::string> ids(const std::vector<start_request>& granted)
 {
     std::vector<std::string> result;
-    result.reserve(given.size());
-    for (const auto& each : given)
+    result.reserve(granted.size());
+    for (const auto& each : granted)
         result.push_back(each.id);
     return result;
 }
@@ -64,7 +64,7 @@
 protected:
     start_queues() { queue.set_slots(slots); }
 
-    std::vector<std::string> give(int ms) { return ids(queue.give(at(ms))); }
+    std::vector<std::string> grant(int ms) { return ids(queue.give(at(ms))); }
 
     start_queue queue;
 };
@@ -74,57 +74,56 @@
 // Guards against a thundering herd on a new engine: ten gateways see that it is
 // empty and all send to it, so that the last request waits for nine prompts
 // while other engines have nothing to read.
-TEST_F(start_queues, give_a_new_engine_one_start_at_a_time)
+TEST_F(start_queues, grant_one_start_at_a_time_at_a_new_engine)
 {
     queue.take_view(idle_engine(), false, at(0));
     for (int i = 0; i < 10; ++i)
-        queue.ask(wanting(std::to_string(i)), at(0));
-    EXPECT_EQ(give(0), names{"0"});
-    EXPECT_EQ(give(100), names{});
+        queue.ask(request_for(std::to_string(i)), at(0));
+    EXPECT_EQ(grant(0), names{"0"});
+    EXPECT_EQ(grant(100), names{});
     // 2,000 tokens are read in 286 ms; the next grant is 30 ms earlier.
     EXPECT_EQ(queue.next_event(at(100)), at(256));
-    EXPECT_EQ(give(256), names{"1"});
+    EXPECT_EQ(grant(256), names{"1"});
     EXPECT_EQ(queue.waiting(), 8U);
 }
 
-TEST_F(start_queues, nothing_starts_before_the_engine_has_said_a_word)
+TEST_F(start_queues, grant_nothing_before_the_first_status)
 {
-    queue.ask(wanting("a"), at(0));
-    EXPECT_EQ(give(0), names{});
+    queue.ask(request_for("a"), at(0));
+    EXPECT_EQ(grant(0), names{});
     queue.take_view(idle_engine(), false, at(10));
-    EXPECT_EQ(give(10), names{"a"});
+    EXPECT_EQ(grant(10), names{"a"});
 }
 
-TEST_F(start_queues, let_those_first_whose_time_is_up_first)
+TEST_F(start_queues, grant_the_earliest_deadline_first)
 {
     queue.take_view(idle_engine(), false, at(0));
-    queue.ask(wanting("later", 2000, 1500), at(0));
-    queue.ask(wanting("sooner", 2000, 900), at(0));
-    EXPECT_EQ(give(0), names{"sooner"});
+    queue.ask(request_for("later", 2000, 1500), at(0));
+    queue.ask(request_for("sooner", 2000, 900), at(0));
+    EXPECT_EQ(grant(0), names{"sooner"});
 }
 
 // Guards against late requests that make others late: at an engine with a
 // backlog, a late request that goes first delays one that could be on time.
-TEST_F(start_queues, let_the_late_wait_for_those_who_can_be_on_time)
+TEST_F(start_queues, grant_late_requests_after_those_on_time)
 {
     queue.take_view(idle_engine(), false, at(0));
-    queue.ask(wanting("late", 2000, 100), at(0));
-    queue.ask(wanting("on_time", 2000, 1500), at(0));
-    EXPECT_EQ(give(0), names{"on_time"});
-    EXPECT_EQ(give(260), names{"late"});
+    queue.ask(request_for("late", 2000, 100), at(0));
+    queue.ask(request_for("on_time", 2000, 1500), at(0));
+    EXPECT_EQ(grant(0), names{"on_time"});
+    EXPECT_EQ(grant(260), names{"late"});
 }
 
 start_request of_team(const std::string& team, const std::string& id,
                       int due_ms = 1500)
 {
-    auto request = wanting(id, 2000, due_ms);
+    auto request = request_for(id, 2000, due_ms);
     request.team = team;
     return request;
 }
 
-/** Runs three generations of one team, 40% of the memory, and one of another.
- */
-void run_a_flood(start_queue& queue)
+/** Runs three generations of one team, 40% of the memory, one of another. */
+void run_flood(start_queue& queue)
 {
     std::vector<std::uint64_t> sizes;
     std::vector<std::string> running;
@@ -143,27 +142,27 @@
 
 // Guards against a team that floods: its generations fill the engine, and the
 // requests of other teams wait behind it until they are late.
-TEST_F(start_queues, let_other_teams_before_one_that_holds_most)
+TEST_F(start_queues, grant_first_to_teams_that_hold_less)
 {
-    run_a_flood(queue);
+    run_flood(queue);
     queue.ask(of_team("flood", "f4", 1600), at(1200));
     queue.ask(of_team("calm", "c2", 1700), at(1200));
-    EXPECT_EQ(give(1200), names{"c2"});
+    EXPECT_EQ(grant(1200), names{"c2"});
 }
 
 // If no other team waits, a team that floods may use the whole engine.
-TEST_F(start_queues, hold_no_team_back_where_no_other_waits)
+TEST_F(start_queues, delay_no_team_while_no_other_waits)
 {
-    run_a_flood(queue);
+    run_flood(queue);
     queue.ask(of_team("flood", "f4"), at(1200));
-    EXPECT_EQ(give(1200), names{"f4"});
+    EXPECT_EQ(grant(1200), names{"f4"});
 }
 
 // Late requests of a team that floods wait behind all others until their
 // callers disconnect. The queue has to report them so that they can be refused.
-TEST_F(start_queues, say_who_is_late_and_passed_over)
+TEST_F(start_queues, report_late_requests_that_are_skipped)
 {
-    run_a_flood(queue);
+    run_flood(queue);
     const auto late = of_team("flood", "late", 1200);
     EXPECT_FALSE(queue.is_passed_over(late, at(1200)));
     queue.ask(of_team("new", "n1", 1400), at(1200));
@@ -174,56 +173,56 @@
 }
 
 // A long prompt that waits for memory must not block a short one that fits.
-TEST_F(start_queues, let_a_smaller_one_go_before_what_does_not_fit)
+TEST_F(start_queues, grant_a_smaller_request_before_one_that_does_not_fit)
 {
     queue.take_view(engine_with({4000, 4000, 4000}), false, at(0));
-    queue.ask(wanting("large", 6000, 500), at(0));
-    queue.ask(wanting("small", 1000, 1500), at(0));
-    EXPECT_EQ(give(0), names{"small"});
+    queue.ask(request_for("large", 6000, 500), at(0));
+    queue.ask(request_for("small", 1000, 1500), at(0));
+    EXPECT_EQ(grant(0), names{"small"});
     queue.take_view(engine_with({4000}), false, at(200));
-    EXPECT_EQ(give(200), names{"large"});
+    EXPECT_EQ(grant(200), names{"large"});
 }
 
 // Guards against preemption: running generations grow token by token, and an
 // engine that is full would preempt one of them and restore it later.
-TEST_F(start_queues, leave_room_for_what_runs_to_grow)
+TEST_F(start_queues, leave_room_for_running_generations_to_grow)
 {
     queue.take_view(engine_with({4000, 4000, 4000, 4000}), false, at(0));
-    queue.ask(wanting("a", 3900), at(0));
-    EXPECT_EQ(give(0), names{});
-    queue.ask(wanting("b", 2000), at(0));
-    EXPECT_EQ(give(0), names{"b"});
+    queue.ask(request_for("a", 3900), at(0));
+    EXPECT_EQ(grant(0), names{});
+    queue.ask(request_for("b", 2000), at(0));
+    EXPECT_EQ(grant(0), names{"b"});
     // On an empty engine a generation may need all of the memory.
     queue.end("a");
     queue.take_view(idle_engine(), false, at(1000));
-    queue.ask(wanting("whole", memory), at(1000));
-    EXPECT_EQ(give(1000), names{"whole"});
+    queue.ask(request_for("whole", memory), at(1000));
+    EXPECT_EQ(grant(1000), names{"whole"});
 }
 
-TEST_F(start_queues, count_a_start_until_the_engine_has_begun_it)
+TEST_F(start_queues, count_a_grant_until_the_engine_reports_it)
 {
     queue.take_view(engine_with({8000}), false, at(0));
-    queue.ask(wanting("a", 6000), at(0));
-    ASSERT_EQ(give(0), names{"a"});
+    queue.ask(request_for("a", 6000), at(0));
+    ASSERT_EQ(grant(0), names{"a"});
     // The prompt is being read, and the status includes its memory.
     auto view = engine_with({8000});
     view.running = 2;
     view.starting = 1;
     view.memory_used += 6000;
     queue.take_view(view, false, at(100));
-    queue.ask(wanting("b", 5000), at(100));
-    EXPECT_EQ(give(840), names{}); // 19,000 tokens leave no room to grow
-    queue.ask(wanting("b", 2000), at(800));
-    EXPECT_EQ(give(840), names{"b"});
+    queue.ask(request_for("b", 5000), at(100));
+    EXPECT_EQ(grant(840), names{}); // 19,000 tokens leave no room to grow
+    queue.ask(request_for("b", 2000), at(800));
+    EXPECT_EQ(grant(840), names{"b"});
 }
 
 // Guards against a grant that is never dropped: a generation of ten tokens can
 // start and end between two polls of the engine.
-TEST_F(start_queues, forget_a_start_that_came_and_went_unseen)
+TEST_F(start_queues, drop_the_grant_of_a_generation_that_ended_between_polls)
 {
     queue.take_view(idle_engine(), false, at(0));
-    queue.ask(wanting("short"), at(0));
-    ASSERT_EQ(give(0), names{"short"});
+    queue.ask(request_for("short"), at(0));
+    ASSERT_EQ(grant(0), names{"short"});
     queue.take_view(idle_engine(), false, at(100));
     EXPECT_TRUE(queue.was_given("short"));
     queue.take_view(idle_engine(), false, at(200));
@@ -232,33 +231,33 @@
 
 // A gateway that is granted two starts uses one of them. The other one has to
 // be granted to the next request.
-TEST_F(start_queues, give_to_another_what_is_not_used)
+TEST_F(start_queues, grant_unused_starts_to_other_requests)
 {
     queue.take_view(idle_engine(), false, at(0));
-    queue.ask(wanting("a"), at(0));
-    queue.ask(wanting("b"), at(0));
-    ASSERT_EQ(give(0), names{"a"});
+    queue.ask(request_for("a"), at(0));
+    queue.ask(request_for("b"), at(0));
+    ASSERT_EQ(grant(0), names{"a"});
     queue.end("a");
-    EXPECT_EQ(give(3), names{"b"});
+    EXPECT_EQ(grant(3), names{"b"});
 }
 
 // Guards against grants to a gateway that crashed while its requests waited:
 // those grants would not be used.
-TEST_F(start_queues, forget_who_falls_silent)
+TEST_F(start_queues, drop_requests_that_are_not_repeated)
 {
     queue.take_view(idle_engine(), false, at(0));
-    queue.ask(wanting("dead"), at(0));
-    queue.ask(wanting("alive", 2000, 2500), at(0));
-    const int later = static_cast<int>(start_silence.count());
-    queue.ask(wanting("alive", 2000, 2500), at(later - 100));
-    EXPECT_EQ(give(later), names{"alive"});
+    queue.ask(request_for("dead"), at(0));
+    queue.ask(request_for("alive", 2000, 2500), at(0));
+    const int later = static_cast<int>(start_request_timeout.count());
+    queue.ask(request_for("alive", 2000, 2500), at(later - 100));
+    EXPECT_EQ(grant(later), names{"alive"});
 }
 
-TEST_F(start_queues, nothing_starts_at_an_engine_that_leaves)
+TEST_F(start_queues, grant_nothing_at_an_engine_that_is_leaving)
 {
     queue.take_view(idle_engine(), true, at(0));
-    queue.ask(wanting("a"), at(0));
-    EXPECT_EQ(give(0), names{});
+    queue.ask(request_for("a"), at(0));
+    EXPECT_EQ(grant(0), names{});
     EXPECT_TRUE(queue.leaving());
 }
 
@@ -266,31 +265,31 @@
 {
     queue.set_slots(2);
     queue.take_view(engine_with({100, 100}), false, at(0));
-    queue.ask(wanting("a"), at(0));
-    EXPECT_EQ(give(0), names{});
+    queue.ask(request_for("a"), at(0));
+    EXPECT_EQ(grant(0), names{});
     queue.take_view(engine_with({100}), false, at(50));
-    EXPECT_EQ(give(50), names{"a"});
+    EXPECT_EQ(grant(50), names{"a"});
 }
 
 // A gateway that reaches no monitor sends requests without a start grant.
-TEST_F(start_queues, count_what_was_sent_unasked)
+TEST_F(start_queues, count_requests_sent_without_a_grant)
 {
     queue.take_view(idle_engine(), false, at(0));
-    queue.ask(wanting("a"), at(0));
-    ASSERT_EQ(give(0), names{"a"});
+    queue.ask(request_for("a"), at(0));
+    ASSERT_EQ(grant(0), names{"a"});
     auto view = idle_engine();
     view.running = 1;
     view.starting = 1;
     view.queued = 3;
     queue.take_view(view, false, at(280));
-    queue.ask(wanting("b"), at(280));
-    EXPECT_EQ(give(290), names{});
+    queue.ask(request_for("b"), at(280));
+    EXPECT_EQ(grant(290), names{});
 }
 
 // Guards against overloading an engine after a restart of its monitor: without
 // grants of its own, the monitor has to estimate the queued prompts by the
 // length of the first one.
-TEST_F(start_queues, take_the_first_in_the_queue_for_the_like_of_all)
+TEST_F(start_queues, estimate_queued_prompts_by_the_first)
 {
     auto view = idle_engine();
     view.running = 1;
@@ -299,44 +298,44 @@
     view.next_tokens = 2100;
     queue.take_view(view, false, at(0));
     EXPECT_EQ(queue.outlook().unread(at(0)), milliseconds(1200));
-    queue.ask(wanting("a"), at(0));
-    EXPECT_EQ(give(10), names{});
+    queue.ask(request_for("a"), at(0));
+    EXPECT_EQ(grant(10), names{});
 }
 
 TEST_F(start_queues, are_bounded)
 {
     for (std::size_t i = 0; i < 2 * most_waiting_starts; ++i)
-        queue.ask(wanting(std::to_string(i)), at(0));
+        queue.ask(request_for(std::to_string(i)), at(0));
     EXPECT_EQ(queue.waiting(), most_waiting_starts);
 }
 
-TEST(reading_speeds, begin_with_the_prior_and_learn)
+TEST(reading_speeds, start_from_the_prior_and_follow_measurements)
 {
     reading_speed speed;
     EXPECT_DOUBLE_EQ(speed.tokens_per_ms(), 7);
     // An engine three times as fast as the prior, for ten seconds.
     for (int i = 0; i < 100; ++i) {
-        speed.was_busy(milliseconds(100));
-        speed.read(2100);
+        speed.record_reading_time(milliseconds(100));
+        speed.record_prompt(2100);
     }
     EXPECT_NEAR(speed.tokens_per_ms(), 21, 3);
     // The engine becomes slow; the estimate follows within half a minute.
     for (int i = 0; i < 300; ++i) {
-        speed.was_busy(milliseconds(100));
-        speed.read(200);
+        speed.record_reading_time(milliseconds(100));
+        speed.record_prompt(200);
     }
     EXPECT_NEAR(speed.tokens_per_ms(), 2, 1);
 }
 
 // A corrupt report must not stop an engine permanently.
-TEST(reading_speeds, stay_within_reason)
+TEST(reading_speeds, stay_within_the_plausible_range)
 {
     reading_speed speed;
-    speed.was_busy(std::chrono::hours(10));
+    speed.record_reading_time(std::chrono::hours(10));
     EXPECT_GT(speed.tokens_per_ms(), 0.1);
-    speed.read(std::uint64_t(1) << 60);
+    speed.record_prompt(std::uint64_t(1) << 60);
     EXPECT_LE(speed.tokens_per_ms(), 350);
-    speed.was_busy(milliseconds(-5));
+    speed.record_reading_time(milliseconds(-5));
     EXPECT_LE(speed.tokens_per_ms(), 350);
 }
 
