--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -12,7 +12,7 @@
     std::string settings_file;
     daemon_program program;
     program.name = "cyclamenrun-gateway";
-    program.description = "Passes callers' requests on to upstreams.";
+    program.description = "Forwards callers' requests to upstreams.";
     program.default_settings = default_gateway_settings;
     program.read_settings = [&](const std::string& file) {
         settings_file = file;
--- a/src/libcyclamenrun/gateway/configuration_lease.hpp
+++ b/src/libcyclamenrun/gateway/configuration_lease.hpp
@@ -10,21 +10,23 @@
 {
 
 /**
- * How long a process may act on the configuration that it knows. Guards
- * against a key that was taken away while this VM could not hear of it: the
- * lease runs from the moment at which the last call that proved the
- * configuration current was sent, on a clock that counts suspension. Whatever
- * was accepted before that moment is known here, so what is accepted later
- * is at most this old when the lease ends.
+ * Limits how long a process may act on its last known configuration.
+ *
+ * Guards against a key that is revoked while this VM is cut off from the
+ * directory. The lease runs from the time at which the last call that confirmed
+ * the configuration was sent, on a clock that counts suspension. Every change
+ * accepted before that time is known here, so a change accepted later has been
+ * in force for at most one term when the lease ends.
  */
 class configuration_lease
 {
 public:
-    /** No term: the configuration may be used however old it is. */
+    /** Without a term the configuration may be used at any age. */
     explicit configuration_lease(std::optional<milliseconds> term) : term_(term)
     {
     }
 
+    /** `sent_at`: when the call that confirmed the configuration was sent. */
     void renew(boot_time asked)
     {
         if (!proved_ || asked > *proved_)
@@ -38,7 +40,7 @@
         return !term_ || now < *proved_ + *term_;
     }
 
-    /** Age of the last proof; empty before the first. */
+    /** Time since the last confirming call was sent; empty before the first. */
     std::optional<milliseconds> age(boot_time now) const
     {
         if (!proved_)
--- a/src/libcyclamenrun/gateway/directory_feed.hpp
+++ b/src/libcyclamenrun/gateway/directory_feed.hpp
@@ -18,32 +18,34 @@
 {
 
 enum class directory_problem : std::uint8_t {
-    unavailable,  ///< No answer, or the service turned the call away.
-    history_gone, ///< The records asked for are no longer kept.
-    leaving,      ///< Who was asked to read it leaves.
+    unavailable,  ///< No answer, or the directory refused the call.
+    history_gone, ///< The requested records have been deleted.
+    leaving,      ///< The VM of the monitor that got the call is leaving.
 };
 
 std::string_view name_of(directory_problem problem);
 
-/** Records of a feed in their order, and where the next ones begin. */
+/** Consecutive records of a feed, and the offset of the next record. */
 template <typename Item>
 struct directory_page {
     std::vector<Item> items;
     std::uint64_t next_offset = 0;
-    /** Offset of each item; empty if they are the newest of each key. */
+    /** Offset of each item; empty in a page of the newest record of each key.
+     */
     std::vector<std::uint64_t> offsets = {};
-    /** Keys of records that were skipped: no item could be read from them. */
+    /** Keys of records that were skipped because they can't be parsed. */
     std::vector<std::string> unreadable = {};
     /**
-     * When the call was sent that brought it, if another than the one that it
-     * answers: all that the directory held then is in it or was known before.
+     * When the call that returned this page was sent, if the reader sent
+     * another one than the caller's own (a relay was tried again). The page
+     * and those before it hold every record that the directory had then.
      */
     std::optional<boot_time> asked = {};
-    /** Another process reads for many and paces them: ask it again at once. */
+    /** Read by a relay, which limits the rate itself: read again at once. */
     bool relayed = false;
 };
 
-/** A configuration as the directory holds it. */
+/** An unparsed configuration, as the directory stores it. */
 struct configuration_text {
     std::string text;
 };
@@ -55,8 +57,10 @@
 public:
     using answered = std::function<void(
         tl::expected<directory_page<Item>, directory_problem>)>;
-    /** Items of the first pages, with more to come; false: read no further,
-     * and there will be no answer. */
+    /**
+     * Called with the items read so far while more pages follow. Returning
+     * false ends the read, and `on_answer` is not called.
+     */
     using page_read = std::function<bool(const std::vector<Item>& so_far)>;
 
     directory_feed() = default;
@@ -65,14 +69,15 @@
     virtual ~directory_feed() = default;
 
     /**
-     * The newest record of each key; what is not in it does not exist. A long
-     * answer comes in pages, each of which has as much time as the first.
+     * Reads the newest record of each key; a key without a record does not
+     * exist. A long answer comes in pages, and each page has as much time as
+     * the first.
      */
     virtual void read_newest(time_point deadline, answered on_answer,
                              page_read on_page = {}) = 0;
     /**
-     * Records from an offset on; waits up to `wait` for the first. Records
-     * that can't be understood are left out but counted in the offset.
+     * Reads the records from an offset on, waiting up to `wait` for the first
+     * one. Records that can't be parsed are left out but counted in the offset.
      */
     virtual void read_from(std::uint64_t offset, milliseconds wait,
                            time_point deadline, answered on_answer) = 0;
--- a/src/libcyclamenrun/gateway/directory_relay.cpp
+++ b/src/libcyclamenrun/gateway/directory_relay.cpp
@@ -14,8 +14,8 @@
 {
 
 /**
- * Time between two reads of the upstreams: their heartbeats leave the
- * directory always something to say.
+ * Least time between two reads of the upstreams. The directory answers each
+ * read at once, because upstreams send heartbeats all the time.
  */
 constexpr milliseconds upstream_pause{450};
 
@@ -26,7 +26,7 @@
     return pace;
 }
 
-/** Answers a call on its stream, or forgets the call when the stream ends. */
+/** Answers a call on its stream; removes the call if the stream closes. */
 template <typename Calls, typename Encoded>
 void relay(Calls& calls, Encoded& encoded, const v1::DirectoryCall& call,
            const std::shared_ptr<server_stream>& stream)
--- a/src/libcyclamenrun/gateway/directory_relay.hpp
+++ b/src/libcyclamenrun/gateway/directory_relay.hpp
@@ -11,13 +11,13 @@
 namespace cyclamenrun
 {
 
-/** The feeds of the directory that a monitor reads for gateways. */
+/** The directory feeds that a monitor reads on behalf of gateways. */
 struct relay_feeds {
     std::shared_ptr<configuration_text_feed> configurations;
     std::shared_ptr<upstream_feed> upstreams;
 };
 
-/** The bytes of an answer that many get, written once. */
+/** Caches the serialised form of a page that answers several calls. */
 template <typename Item>
 class encoded_answer
 {
@@ -42,8 +42,9 @@
 };
 
 /**
- * Reads the directory for the gateways that ask a monitor to, and only while
- * they ask. Calls of many gateways share a read. On the loop's thread only.
+ * Reads the directory on behalf of gateways, in a monitor. Calls of several
+ * gateways share a read, and without a pending call nothing is read. Used on
+ * the loop's thread only.
  */
 class directory_relay
 {
@@ -56,7 +57,7 @@
     ~directory_relay();
 
     ip_endpoint address() const;
-    /** Its VM leaves: the gateways have to ask another one. */
+    /** The VM is leaving: refuses all calls, so gateways use another relay. */
     void leave();
 
 private:
@@ -69,10 +70,10 @@
     std::unique_ptr<link_server> server_;
 };
 
-/** Path of the streams on which gateways ask. */
+/** Path of the streams that carry gateways' directory calls. */
 inline constexpr std::string_view directory_path = "/directory";
 
-/** Both ends: a peer that has frozen is noticed within a second. */
+/** Limits for both ends; they detect a frozen peer within a second. */
 link_limits directory_link_limits();
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/directory_relays.cpp
+++ b/src/libcyclamenrun/gateway/directory_relays.cpp
@@ -13,14 +13,14 @@
 namespace
 {
 
-/** A relay that can't be reached is not asked for so long. */
+/** An unreachable relay is not used for this time. */
 constexpr milliseconds avoid_time{3000};
-/** One that does not reach the directory is asked after the others. */
+/** A relay that does not reach the directory is used last for this time. */
 constexpr milliseconds last_time{1000};
-/** Monitors are heard so soon after they are wanted, if at all. */
+/** Longest time to a monitor's first report after it was requested. */
 constexpr milliseconds hearing_time{600};
 
-/** One call on its way to a relay; whichever end comes first counts. */
+/** One call sent to a relay. Only its first end is reported. */
 struct relayed_call {
     std::shared_ptr<client_stream> stream;
     directory_relays::answered on_answer;
@@ -90,7 +90,7 @@
         auto& relay = known->second;
         const bool is_used =
             std::find(used.begin(), used.end(), known->first) != used.end();
-        // The link ends when the calls on it have been answered.
+        // The link closes once its pending calls have been answered.
         if (!is_used)
             relay.link.reset();
         const bool forgettable =
--- a/src/libcyclamenrun/gateway/directory_relays.hpp
+++ b/src/libcyclamenrun/gateway/directory_relays.hpp
@@ -23,20 +23,22 @@
 {
 
 /**
- * A gateway's links to the monitors that read the directory for it, and which
- * of them it asks first. On the reactor's thread only.
+ * A gateway's links to the monitors that read the directory for it (its
+ * relays), and the order in which they are tried. Used on the reactor's thread
+ * only.
  */
 class directory_relays : public std::enable_shared_from_this<directory_relays>
 {
 public:
     struct hooks {
-        /** VMs with a monitor that may be heard and do not leave. */
+        /** VMs whose monitor may respond and that are not leaving. */
         std::function<std::vector<relay_candidate>()> candidates;
-        /** Its monitor is heard. */
+        /** Whether the host's monitor responds. */
         std::function<bool(const std::string& host)> heard;
+        /** Number of gateways that share the relays. */
         std::function<std::size_t()> gateways;
     };
-    /** Empty: the monitor could not be asked. */
+    /** Empty if the monitor could not be reached or did not answer. */
     using answered =
         std::function<void(const std::optional<v1::DirectoryAnswer>&)>;
 
@@ -46,31 +48,32 @@
     directory_relays(const directory_relays&) = delete;
     directory_relays& operator=(const directory_relays&) = delete;
 
-    /** Whom to ask, in this order; empty: nobody. */
+    /** Relays that respond, in the order in which to try them. */
     std::vector<std::string> hosts();
     /**
-     * None of the monitors that could be asked is heard yet, but they are
-     * about to be: no need to call the directory itself meanwhile.
+     * No chosen monitor has responded yet, but the time for their first
+     * reports is not over. The caller waits rather than read the directory
+     * itself.
      */
     bool expected() const;
-    /** Whom to hear from, to know whether they can be asked. */
+    /** Chosen relays, whether they respond or not: their reports are needed. */
     std::vector<std::string> wanted();
 
-    /** Answered once, by the deadline at the latest. */
+    /** Sends a call; `on_answer` is called once, by the deadline at latest. */
     void ask(const std::string& host, const v1::DirectoryCall& call,
              time_point deadline, answered on_answer);
 
-    /** It does not reach the directory: another one is asked first. */
+    /** The host's monitor does not reach the directory: it is tried last. */
     void without_directory(const std::string& host);
-    /** Its VM leaves: another one is chosen in its place. */
+    /** The VM is leaving: another relay is chosen in its place. */
     void leaves(const std::string& host);
 
 private:
     struct known_relay {
         std::shared_ptr<link_client> link;
-        /** It did not answer, and is not asked before. */
+        /** Did not answer, or its VM is leaving: not used before this time. */
         time_point avoid_until{};
-        /** It had no answer from the directory, and is asked last before. */
+        /** Did not reach the directory: tried last before this time. */
         time_point last_until{};
     };
 
@@ -82,7 +85,7 @@
     std::uint16_t port_;
     hooks on_;
     std::map<std::string, known_relay> relays_;
-    /** Since when there are monitors to ask and none of them is heard. */
+    /** Since when relays are chosen and none of them responds. */
     std::optional<time_point> unheard_since_;
 };
 
--- a/src/libcyclamenrun/gateway/directory_watch.cpp
+++ b/src/libcyclamenrun/gateway/directory_watch.cpp
@@ -11,16 +11,23 @@
 namespace
 {
 
-/** Records that lapsed in an outage come back for this long after it. */
+/**
+ * Time after an outage of the directory in which records that expired during it
+ * may still come back.
+ */
 constexpr milliseconds doubt_after_outage{1200};
 
 /**
- * Upstreams leave with seconds of notice: a monitor that has lost the directory
- * must be noticed in a part of that.
+ * Longest wait of an upstream read through a monitor. Upstreams leave with only
+ * seconds of notice, so a monitor that has lost the directory must be detected
+ * in a fraction of that.
  */
 constexpr milliseconds longest_relayed_wait{450};
 
-/** While no upstream is known nothing is served, and no lease is needed. */
+/**
+ * Wait of a configuration read while no upstream is known. Nothing is served
+ * then, so the lease need not be kept.
+ */
 constexpr milliseconds idle_wait{3000};
 
 constexpr std::string_view configuration_feed_name = "configurations";
@@ -75,8 +82,8 @@
 void directory_watch::add_common_hooks(Hooks& hooks, std::string_view feed)
 {
     hooks.regained = [this, feed](duration away) {
-        // Either feed: the other may have waited through a short outage
-        // unaware.
+        // Applies to both feeds: a call of the other feed may have outlasted a
+        // short outage without an error.
         doubt_until_ = context_.reactor->now() + doubt_after_outage;
         regained(feed, away);
         directory_is_back();
@@ -185,7 +192,7 @@
 {
     for (auto& version : versions) {
         const auto known = context_.routes ? context_.routes->version() : 0;
-        // A version that is not newer was overtaken on its way.
+        // Skips an older version that arrives after a newer one.
         if (context_.routes && version.version <= known)
             continue;
         log_event(log_severity::info, log_event_name::configuration_applied,
--- a/src/libcyclamenrun/gateway/directory_watch.hpp
+++ b/src/libcyclamenrun/gateway/directory_watch.hpp
@@ -15,7 +15,7 @@
 namespace cyclamenrun
 {
 
-/** What a gateway needs of the deployment's platform. */
+/** The parts of a gateway that depend on the deployment's platform. */
 struct gateway_platform {
     std::shared_ptr<const gateway_dialect> dialect;
     std::function<std::shared_ptr<configuration_feed>(
@@ -24,14 +24,14 @@
     std::function<std::shared_ptr<upstream_feed>(std::shared_ptr<link_reactor>,
                                                  const ip_endpoint&)>
         upstreams;
-    /** A configuration as monitors pass it on. */
+    /** Parses a configuration text that a monitor has relayed. */
     configuration_reader read_configuration;
 };
 
 /**
- * Keeps a gateway's configuration, lease and upstreams as the platform's
- * directory has them, and logs what changes and what is lost and regained.
- * On the reactor's thread only.
+ * Keeps a gateway's configuration, lease and upstreams in step with the
+ * platform's directory. Logs changes, and when the directory or the lease is
+ * lost and regained. Used on the reactor's thread only.
  */
 class directory_watch
 {
@@ -40,17 +40,17 @@
     directory_watch(const directory_watch&) = delete;
     directory_watch& operator=(const directory_watch&) = delete;
 
-    /** Follows the directory that the settings name; again after a change. */
+    /** Follows the directory in the settings; called again when it changes. */
     void follow(const gateway_settings& settings);
     void stop();
-    /** Looks at what changes by itself: doubts and the lease. */
+    /** Handles expiry: of unconfirmed upstream records and of the lease. */
     void tick();
 
-    /** Monitors that read the directory for this gateway. */
+    /** Reads through these monitors from then on. */
     void use_relays(std::shared_ptr<directory_relays> relays);
 
     bool upstreams_known() const { return upstreams_known_; }
-    /** A monitor has read both feeds for this gateway the last time. */
+    /** The last successful read of each feed went through a monitor. */
     bool relayed() const;
 
 private:
@@ -62,8 +62,9 @@
     template <typename Item>
     typename relayed_feed<Item>::hooks relay_hooks(std::string_view feed);
     /**
-     * One feed reaches it. The other one's next try may be 0.8 s away, and
-     * until then callers are refused for want of a lease.
+     * Retries both feeds at once after one of them has reached the directory.
+     * The next retry of the other feed may be 0.8 s away, and callers are
+     * refused for lack of a lease until then.
      */
     void directory_is_back();
     void take_upstreams(std::vector<upstream_change>&& changes, bool whole);
@@ -78,7 +79,7 @@
     std::shared_ptr<directory_relays> relays_;
     std::shared_ptr<feed_follower<gateway_configuration>> configurations_;
     std::shared_ptr<feed_follower<upstream_change>> upstreams_;
-    /** The directory was away until just before this time. */
+    /** Records are unconfirmed until this time after a directory outage. */
     time_point doubt_until_{};
     bool upstreams_known_ = false;
     bool lease_held_ = false;
--- a/src/libcyclamenrun/gateway/feed_follower.hpp
+++ b/src/libcyclamenrun/gateway/feed_follower.hpp
@@ -15,45 +15,46 @@
 namespace cyclamenrun
 {
 
-/** How a feed is read; see feed_follower. */
+/** Timing of a feed_follower's reads. */
 struct feed_pace {
-    /** Time for which the directory holds a call that has nothing to say. */
+    /** Time for which the directory holds a call without new records. */
     milliseconds wait{1500};
-    /** Time to an answer beyond the wait, then the call is given up. */
+    /** Time for an answer beyond the wait, before the call times out. */
     milliseconds slack{1200};
     milliseconds first_retry{100};
     milliseconds longest_retry{800};
 };
 
 /**
- * Follows one feed of the directory for the life of the process: the newest
- * record of each key first, then every record in its order. When the history
- * is gone it starts anew from the newest ones; when the directory is away it
- * keeps what it has and tries again, more and more slowly.
+ * Follows one feed of the directory for the life of the process: reads the
+ * newest record of each key first, then every later record in order. If the
+ * history at its offset has been deleted, it restarts from the newest records.
+ * While the directory is unreachable it keeps its offset and retries with
+ * exponential backoff.
  */
 template <typename Item>
 class feed_follower : public std::enable_shared_from_this<feed_follower<Item>>
 {
 public:
     struct hooks {
-        /** `whole`: these are all there is; what is missing has gone. */
+        /** `whole`: the complete set of records; missing keys are removed. */
         std::function<void(std::vector<Item>&& items, bool whole)> items;
-        /** Least time between two calls of the directory; empty: 0. */
+        /** Least time between two calls to the directory; 0 if unset. */
         std::function<milliseconds()> pause;
-        /** Time for which the directory holds the next call; empty: as the
-         * pace has it. */
+        /** Time for which the directory holds the next call; if unset, the
+         * `wait` of the timing. */
         std::function<milliseconds()> wait;
         /**
-         * The directory has answered: all that it held at `asked`, when the
-         * call was sent, is known here.
+         * The directory has answered a call sent at `sent_at`: every record
+         * that it held then is known here.
          */
-        std::function<void(boot_time asked)> current;
+        std::function<void(boot_time sent_at)> current;
         std::function<void(directory_problem)> lost;
-        /** Each call that brought nothing, also while it is lost. */
+        /** Called for each failed call, also while the directory is lost. */
         std::function<void(directory_problem)> failed;
-        /** How long a call took that was answered. */
+        /** Called with the duration of each answered call. */
         std::function<void(duration took)> answered;
-        /** Keys of records that were skipped. */
+        /** Called with the keys of records that can't be parsed. */
         std::function<void(const std::vector<std::string>& keys)> unreadable;
         std::function<void(duration away)> regained;
     };
@@ -68,10 +69,10 @@
 
     void start() { read(); }
 
-    /** Another process has made the last call that was answered. */
+    /** The last answered call was read by a relay. */
     bool relayed() const { return relayed_; }
 
-    /** The directory may be back: there is no need to wait any longer. */
+    /** Retries at once: the directory may be reachable again. */
     void try_again_now()
     {
         if (lost_since_ && !reading_)
@@ -161,7 +162,7 @@
         });
     }
 
-    /** Unless another time was set since. */
+    /** Reads, unless the read has been rescheduled since. */
     void read_if_due(time_point when)
     {
         if (!reading_ && when == next_read_)
--- a/src/libcyclamenrun/gateway/feed_history.hpp
+++ b/src/libcyclamenrun/gateway/feed_history.hpp
@@ -12,18 +12,19 @@
 namespace cyclamenrun
 {
 
-/** How records of a feed relate to one another. */
+/** Key and equality of the records of the upstream feed. */
 struct upstream_record_traits {
     using item = upstream_change;
     static std::string key(const item& record) { return record.id; }
     static bool removes_key(const item& record) { return !record.record; }
-    /** A heartbeat that changes nothing. */
+    /** Equal records: the later one is only a heartbeat. */
     static bool same(const item& left, const item& right)
     {
         return left.record == right.record;
     }
 };
 
+/** Key and equality of the records of the configuration feed. */
 struct configuration_text_traits {
     using item = configuration_text;
     static std::string key(const item&) { return {}; }
@@ -35,8 +36,9 @@
 };
 
 /**
- * The newest record of each key of a feed, and the latest changes, for readers
- * that know the feed up to some offset. Bounded: the oldest changes go first.
+ * The newest record of each key of a feed and a bounded number of its latest
+ * changes. Serves readers that know the feed up to some offset; the oldest
+ * changes are dropped first.
  */
 template <typename Traits>
 class feed_history
@@ -55,7 +57,7 @@
 
     void forget() { known_ = false; }
 
-    /** These are the newest of all keys; what was before them is unknown. */
+    /** Restarts from the newest records; earlier changes are not known. */
     void restart(const page& newest)
     {
         newest_.clear();
@@ -66,7 +68,7 @@
         known_ = true;
     }
 
-    /** Records from next_offset() on. */
+    /** Appends a page that begins at next_offset(). */
     void extend(const page& read)
     {
         for (std::size_t i = 0; i < read.items.size(); ++i) {
@@ -78,7 +80,7 @@
             first_ = changes_.front().first + 1;
     }
 
-    /** What has changed from an offset on; empty if that is not known. */
+    /** Changes from an offset on; empty if they are not all known. */
     std::optional<page> since(std::uint64_t from) const
     {
         if (!known_ || from < first_ || from > next_)
@@ -104,7 +106,7 @@
     }
 
 private:
-    /** False: it says what was known. */
+    /** Returns false if the record changes nothing. */
     bool keep(const item& record)
     {
         const auto key = Traits::key(record);
@@ -119,7 +121,7 @@
 
     std::size_t most_changes_;
     bool known_ = false;
-    std::uint64_t first_ = 0; ///< changes from here on are in changes_
+    std::uint64_t first_ = 0; ///< changes_ is complete from this offset on
     std::uint64_t next_ = 0;
     std::map<std::string, item> newest_;
     std::deque<std::pair<std::uint64_t, item>> changes_;
--- a/src/libcyclamenrun/gateway/gateway_context.hpp
+++ b/src/libcyclamenrun/gateway/gateway_context.hpp
@@ -26,8 +26,8 @@
 class exchange;
 
 /**
- * What all requests on one reactor share. Only the reactor's thread touches
- * it, so none of it needs a lock.
+ * State shared by all requests on one reactor. Accessed on the reactor's thread
+ * only, so it needs no lock.
  */
 struct gateway_context {
     gateway_context(std::shared_ptr<link_reactor> on,
@@ -38,14 +38,14 @@
     gateway_context(const gateway_context&) = delete;
     gateway_context& operator=(const gateway_context&) = delete;
 
-    /** An engine has broken off a stream without notice. */
+    /** Records that an engine broke a stream without notice, and logs it. */
     void crash_seen(const std::string& upstream_id);
 
     std::shared_ptr<link_reactor> reactor;
     std::shared_ptr<const gateway_dialect> dialect;
     exported_metrics metrics;
     std::string failure_domain; ///< of this process
-    /** Each decision on each request is logged as it is made. */
+    /** Logs every decision on every request. */
     bool log_every_step = false;
 
     upstream_connections connections;
@@ -55,16 +55,16 @@
     response_times answer_times;
     configuration_lease lease;
     backup_policy backups;
-    /** Empty until a configuration is known; replaced, never changed. */
+    /** Null until a configuration is known; replaced, never modified. */
     std::shared_ptr<const gateway_routes> routes;
     std::mt19937_64 random;
     upstream_choice choice;
-    /** Empty where there are no monitors. */
+    /** Null in a deployment without monitors. */
     std::shared_ptr<monitor_link> monitors;
-    /** Requests that are being served. */
+    /** Requests in progress. */
     std::unordered_set<exchange*> running;
     bool stopping = false;
-    /** When a planned stop ends this process, whatever still runs. */
+    /** When a planned stop ends this process, even with requests running. */
     std::optional<time_point> stop_at;
 };
 
--- a/src/libcyclamenrun/gateway/gateway_process.cpp
+++ b/src/libcyclamenrun/gateway/gateway_process.cpp
@@ -15,15 +15,16 @@
 {
 
 /**
- * The lease ends this long before the bound: for the way to the upstream and
- * for a process that is slow between its look at the lease and the send.
+ * The lease ends this long before the configured bound, to cover the network
+ * delay to the upstream and a process that is slow between its check of the
+ * lease and the send.
  */
 constexpr milliseconds lease_margin{400};
-/** The settings file may change without a signal. */
+/** Interval at which the settings file is checked for changes. */
 constexpr milliseconds settings_look_interval{1000};
-/** Time between looks at what changes by itself. */
+/** Interval at which expired leases and records are handled. */
 constexpr milliseconds tick_interval{100};
-/** Left of the grace when the last requests are given up. */
+/** Part of the stop grace that remains when the drain gives up. */
 constexpr milliseconds stop_margin{700};
 constexpr milliseconds stop_look_interval{20};
 
@@ -81,13 +82,13 @@
              std::vector(context_->running.begin(), context_->running.end()))
             running->shared_from_this()->caller_left();
     });
-    // No thread of the loop may touch what is destroyed from here on.
+    // Ends the loop's threads before the members that they use are destroyed.
     loop_.reset();
 }
 
 void gateway_process::on_loop(const std::function<void()>& work)
 {
-    // Shared: the waiting thread may go on before set_value() has returned.
+    // Shared: the waiting thread may resume before set_value() has returned.
     const auto done = std::make_shared<std::promise<void>>();
     loop_->post([&work, done] {
         work();
@@ -330,7 +331,7 @@
     if (now < look_at_settings_at_)
         return;
     look_at_settings_at_ = now + settings_look_interval;
-    // A file that is being written is read again the next time.
+    // A file that can't be parsed may be half written: it is read again later.
     const auto read = reread_();
     if (!read || read->directory == settings_.directory)
         return;
--- a/src/libcyclamenrun/gateway/gateway_process.hpp
+++ b/src/libcyclamenrun/gateway/gateway_process.hpp
@@ -18,7 +18,7 @@
 namespace cyclamenrun
 {
 
-/** All of a gateway: what serves callers, and what keeps it informed. */
+/** A complete gateway: its servers, its directory feeds and its relays. */
 class gateway_process
 {
 public:
@@ -30,17 +30,19 @@
     gateway_process& operator=(const gateway_process&) = delete;
     ~gateway_process();
 
-    /** Where callers reach it. */
+    /** Address of the listener for callers. */
     std::string address() const;
     std::string ready_address() const;
 
-    /** Reads the settings again; what can't change in a run is left. */
+    /** Reads the settings again and applies those that may change at run time.
+     */
     void reload();
 
     /**
-     * A planned stop: not ready at once, but serving until the balancer has
-     * noticed, and then until the requests at hand are answered. False if
-     * that took longer than the settings allow.
+     * Performs a planned stop. The gateway reports not ready at once, accepts
+     * requests for as long as the balancer needs to notice, and then waits for
+     * the running requests. Returns false if requests still run when the grace
+     * in the settings is about to end.
      */
     bool drain();
 
--- a/src/libcyclamenrun/gateway/metrics_listener.hpp
+++ b/src/libcyclamenrun/gateway/metrics_listener.hpp
@@ -10,21 +10,21 @@
 namespace cyclamenrun
 {
 
-/** Answers `GET /metrics` with the text of a process's metrics. */
+/** Serves a process's metrics as text on `GET /metrics`. */
 class metrics_listener
 {
 public:
-    /** `refresh` sets the gauges, just before the text is written. */
+    /** `refresh` updates the gauges; called before each response. */
     metrics_listener(std::shared_ptr<link_reactor> reactor,
                      exported_metrics& metrics, std::function<void()> refresh);
 
     /**
-     * Port 0: there is none. A listener that can't be opened is logged and
-     * left out: requests are served without it.
+     * Opens the listener; port 0 disables it. A failure is logged only, since
+     * the process can serve requests without metrics.
      */
     void open(const ip_endpoint& address);
 
-    /** What a request for the metrics is answered with. */
+    /** Answers one request on the listener. */
     void answer(const caller_request& request, answer_writer& writer) const;
 
 private:
--- a/src/libcyclamenrun/gateway/monitor_process.cpp
+++ b/src/libcyclamenrun/gateway/monitor_process.cpp
@@ -32,14 +32,14 @@
 
 monitor_process::~monitor_process()
 {
-    // No thread of the loop may touch what is destroyed from here on.
+    // Ends the loop's threads before the members that they use are destroyed.
     loop_.reset();
 }
 
 void monitor_process::open_relay(const ip_endpoint& directory,
                                  const monitor_platform& platform)
 {
-    // The port of the datagrams, for connections.
+    // Listens for connections on the port that the monitor uses for datagrams.
     const auto where = monitor_->address();
     try {
         relay_ = std::make_unique<directory_relay>(
--- a/src/libcyclamenrun/gateway/monitor_process.hpp
+++ b/src/libcyclamenrun/gateway/monitor_process.hpp
@@ -14,7 +14,7 @@
 namespace cyclamenrun
 {
 
-/** What a monitor needs of the deployment's platform. */
+/** The parts of a monitor that depend on the deployment's platform. */
 struct monitor_platform {
     std::shared_ptr<const gateway_dialect> dialect;
     std::function<relay_feeds(std::shared_ptr<link_reactor>,
@@ -22,7 +22,7 @@
         feeds;
 };
 
-/** All of a monitor. */
+/** A complete monitor: load reports, directory relay and metrics. */
 class monitor_process
 {
 public:
@@ -30,11 +30,11 @@
                     const monitor_platform& platform);
     monitor_process(const monitor_process&) = delete;
     monitor_process& operator=(const monitor_process&) = delete;
-    /** Ends the loop before what runs on it. */
+    /** Ends the loop before the members that run on it. */
     ~monitor_process();
 
     std::string address() const;
-    /** Nothing is under way that a planned stop would wait for. */
+    /** Always true: a planned stop has no running work to wait for. */
     bool drain() { return true; }
 
 private:
--- a/src/libcyclamenrun/gateway/read_coalescer.hpp
+++ b/src/libcyclamenrun/gateway/read_coalescer.hpp
@@ -13,17 +13,17 @@
 namespace cyclamenrun
 {
 
-/** How a feed is read for many. */
+/** Timing and limits of a read_coalescer. */
 struct coalescer_pace {
-    /** Calls that come so soon after the first share its read. */
+    /** Calls that arrive within this time of the first share its read. */
     milliseconds gather{10};
     /** Least time between two reads. */
     milliseconds pause{0};
-    /** Longest time for which the directory is asked to hold a read. */
+    /** Longest time for which the directory holds a read. */
     milliseconds longest_wait{30000};
-    /** A read that takes so much longer than its wait is not waited for. */
+    /** Time beyond its wait after which a read has timed out. */
     milliseconds patience{500};
-    /** The same for all records, which may come in many pages. */
+    /** The same for a read of all records, which may have many pages. */
     milliseconds newest_patience{2500};
     milliseconds first_retry{100};
     milliseconds longest_retry{400};
@@ -33,12 +33,14 @@
 
 /**
  * Answers the calls of many readers of one feed with as few reads of the
- * directory as possible. A call is answered only by a read that was sent after
- * the call had come: whoever sent the call knows then all that the directory
- * held when it did so, whatever the delays and pauses on the way. A lease may
- * rest on that without any clock but the caller's.
+ * directory as possible.
  *
- * No I/O; time comes as an argument.
+ * A call is answered only by a read that was sent after the call arrived. The
+ * caller then knows every record that the directory held when the call was
+ * sent, whatever the delays in between, so a lease can be renewed from the
+ * caller's own clock alone.
+ *
+ * Does no I/O; the current time is passed in.
  */
 template <typename Traits>
 class read_coalescer
@@ -46,7 +48,7 @@
 public:
     using item = typename Traits::item;
     using page = directory_page<item>;
-    /** Calls that are to be told the same share it. */
+    /** Shared by calls with the same answer. */
     using shared_page = std::shared_ptr<const page>;
     using call_id = std::uint64_t;
 
@@ -65,7 +67,10 @@
     {
     }
 
-    /** Empty: there are too many calls. `from` empty: the caller knows none. */
+    /**
+     * Adds a call. Returns nothing if too many are pending. An empty `from`
+     * requests the newest record of each key.
+     */
     std::optional<call_id> ask(std::optional<std::uint64_t> from,
                                milliseconds wait, time_point now)
     {
@@ -75,13 +80,13 @@
         return last_call_;
     }
 
-    /** The caller has left. */
+    /** Removes the call of a caller that has disconnected. */
     void forget(call_id call) { calls_.erase(call); }
 
     std::size_t calls() const { return calls_.size(); }
     bool reading() const { return reading_; }
 
-    /** When the next read is due; empty: none is, or one is under way. */
+    /** When the next read is due; empty without calls or during a read. */
     std::optional<time_point> next_read() const
     {
         if (reading_ || calls_.empty())
@@ -90,7 +95,7 @@
                         not_before_);
     }
 
-    /** The read that is to be sent now. */
+    /** Starts a read and returns what to request from the directory. */
     read begin_read(time_point now)
     {
         reading_ = true;
@@ -110,7 +115,7 @@
         return result;
     }
 
-    /** Answers to those calls that this read can answer. */
+    /** Ends the read; returns the answers to the calls that it covers. */
     std::vector<answer>
     end_read(const tl::expected<page, directory_problem>& result,
              time_point now)
@@ -137,7 +142,7 @@
         return answers;
     }
 
-    /** When the read under way will have taken too long. */
+    /** When the current read times out; empty if there is none. */
     std::optional<time_point> overdue_at() const
     {
         if (!reading_)
@@ -146,8 +151,8 @@
     }
 
     /**
-     * The read takes too long: those who wait for it do better to ask
-     * elsewhere.
+     * Refuses the calls that wait for the current read if it has timed out, so
+     * that their callers can try another relay or the directory.
      */
     std::vector<answer> give_up(time_point now)
     {
@@ -156,7 +161,7 @@
         return refuse([](const pending_call& each) { return each.covered; });
     }
 
-    /** No more calls can be answered. */
+    /** Refuses all pending calls. */
     std::vector<answer> refuse_all(directory_problem why)
     {
         return refuse([](const pending_call&) { return true; }, why);
@@ -166,11 +171,13 @@
     struct pending_call {
         std::optional<std::uint64_t> from;
         time_point asked;
-        /** What it has waited for the read before counts too, and no more: a
-         * read that does not wait would be followed by one for the calls that
-         * came during it, without end. */
+        /** End of the caller's wait, counted from the arrival of the call. The
+         * time that the call spent behind the previous read counts, and the
+         * next read waits for the remainder. Reads without any wait would
+         * follow one another endlessly, each for the calls that arrived
+         * during the last one. */
         time_point wait_until;
-        /** It had come when the read under way was sent. */
+        /** The call arrived before the current read was sent. */
         bool covered = false;
     };
 
@@ -188,8 +195,8 @@
             return std::make_shared<const page>(history_.newest());
         auto news = history_.since(*from);
         if (!news) {
-            // Behind the directory's own end: this read told less than is
-            // known elsewhere.
+            // The caller is ahead of this read: it has seen later records
+            // through another reader.
             const bool ahead = *from > history_.next_offset();
             return tl::unexpected(ahead ? directory_problem::unavailable
                                         : directory_problem::history_gone);
@@ -230,7 +237,7 @@
 
     coalescer_pace pace_;
     feed_history<Traits> history_;
-    std::map<call_id, pending_call> calls_; ///< in the order in which they came
+    std::map<call_id, pending_call> calls_; ///< in order of arrival
     call_id last_call_ = 0;
     bool reading_ = false;
     time_point not_before_{};
--- a/src/libcyclamenrun/gateway/relayed_calls.hpp
+++ b/src/libcyclamenrun/gateway/relayed_calls.hpp
@@ -15,7 +15,7 @@
 namespace cyclamenrun
 {
 
-/** Sends the reads of a read_coalescer to one feed of the directory. */
+/** Answers gateways' calls for one feed with the reads of a read_coalescer. */
 template <typename Traits>
 class relayed_calls : public std::enable_shared_from_this<relayed_calls<Traits>>
 {
@@ -34,7 +34,7 @@
     {
     }
 
-    /** Empty: it was refused, and answered so. */
+    /** Returns nothing if the call was refused; it has then been answered. */
     std::optional<call_id> ask(std::optional<std::uint64_t> from,
                                milliseconds wait, answered on_answer)
     {
@@ -57,6 +57,7 @@
         waiting_.erase(call);
     }
 
+    /** The VM is leaving: refuses all pending and later calls. */
     void leave()
     {
         leaving_ = true;
@@ -64,7 +65,7 @@
     }
 
 private:
-    /** Time for an answer beyond the wait, even of a slow directory. */
+    /** Time beyond its wait in which a slow directory may answer a read. */
     static constexpr milliseconds slack{1200};
 
     void read_later()
--- a/src/libcyclamenrun/gateway/relayed_feed.hpp
+++ b/src/libcyclamenrun/gateway/relayed_feed.hpp
@@ -18,12 +18,14 @@
 {
 
 /**
- * A feed of the directory as a gateway reads it: by monitors that read it for
- * many, and from the directory itself where none of them can tell.
+ * A gateway's reader of one directory feed. Reads through monitors that relay
+ * the feed to many gateways, and from the directory itself if no monitor can
+ * answer.
  *
- * While the monitors are there and do not reach the directory either, it is
- * called but now and then: an outage seen by all of them is hardly one of this
- * VM alone, and a fleet that calls in it delays the directory's return.
+ * While monitors respond but report that they can't reach the directory,
+ * direct calls are limited to one in a few seconds. Such an outage is hardly
+ * limited to this VM, and calls of a whole fleet delay the directory's
+ * recovery.
  */
 template <typename Item>
 class relayed_feed final
@@ -36,19 +38,19 @@
     using page = directory_page<Item>;
 
     struct hooks {
-        /** Empty, or gives null, where there are no monitors. */
+        /** Unset, or returns null, in a deployment without monitors. */
         std::function<std::shared_ptr<directory_relays>()> relays;
         std::function<tl::expected<page, answer_problem>(
             const v1::DirectoryAnswer&)>
             read;
-        /** A monitor has read it for this gateway. */
+        /** Called when a monitor has answered a read. */
         std::function<void()> relayed;
         /**
-         * Monitors hold a call no longer, so that one that has lost the
-         * directory is noticed in time.
+         * Longest time for which a monitor holds a call; bounds the time to
+         * detect a monitor that has lost the directory.
          */
         milliseconds longest_wait{900};
-        /** The first of many records, before the rest is known. */
+        /** Called with the first page of many, before the others are read. */
         std::function<void(std::vector<Item>&&)> partial;
     };
 
@@ -73,22 +75,24 @@
     }
 
 private:
-    /** Monitors that one call tries before the directory itself. */
+    /** Monitors that one call tries before it reads the directory itself. */
     static constexpr std::size_t most_tries = 2;
-    /** Monitors that leave one after another; then the others decide. */
+    /** Leaving monitors after which a call stops choosing replacements. */
     static constexpr std::size_t most_leaving = 4;
-    /** Beyond the wait: a read that was under way at the monitor ends first,
-     * and the next one may be slow. */
+    /** Time for a monitor's answer beyond the wait. The monitor's current read
+     * ends first, and its next one may be slow. */
     static constexpr milliseconds patience{800};
-    /** For the directory itself, after monitors have been tried in vain. */
+    /** Time for the directory's own answer after monitors have failed. */
     static constexpr milliseconds direct_time{1200};
-    /** Between two calls to the directory while monitors tell that it is
-     * away; up to half as much again, so that gateways do not call together. */
+    /** Least time between two direct calls while monitors report that the
+     * directory is unavailable. A random addition of up to half of it spreads
+     * the calls of the gateways. */
     static constexpr milliseconds direct_spacing{2000};
     static constexpr milliseconds relays_look{50};
-    /** A monitor that has itself just started reads many pages first. */
+    /** The same for the newest records, as a monitor that has just started
+     * reads many pages first. */
     static constexpr milliseconds newest_patience{3000};
-    /** After the first of many pages, monitors are heard in this time. */
+    /** Time for a monitor to respond after the first of many pages. */
     static constexpr milliseconds relays_due{1000};
 
     struct call {
@@ -98,9 +102,12 @@
         answered on_answer;
         std::vector<std::string> hosts = {};
         std::size_t tried = 0;
-        bool heard_away = false; ///< a monitor told so
-        std::size_t leaving = 0; ///< monitors that told so
-        /** The first page is known, and the rest is asked of monitors. */
+        bool heard_away =
+            false; ///< a monitor reported that the directory is unavailable
+        std::size_t leaving =
+            0; ///< monitors that reported that their VM is leaving
+        /** Set once the first page is known: monitors have until then to
+         * respond and read the rest. */
         std::optional<time_point> relays_by = {};
     };
 
@@ -193,7 +200,7 @@
         go_on(what);
     }
 
-    /** Others are chosen in its place; the next may be about to leave too. */
+    /** Chooses other monitors; the next one may be leaving as well. */
     void take_leaving(const std::shared_ptr<call>& what,
                       const std::string& host)
     {
@@ -214,7 +221,7 @@
             what->on_answer(tl::unexpected(directory_problem::unavailable));
             return;
         }
-        // Weak: a feed may keep a call that is never answered.
+        // Weak: the feed may hold the handler of a call that never completes.
         auto answer = [weak = this->weak_from_this(), what, asked = boot_now()](
                           tl::expected<page, directory_problem> result) {
             const auto self = weak.lock();
@@ -226,7 +233,7 @@
                 result->asked = asked;
             what->on_answer(std::move(result));
         };
-        // After a vain try the answer is wanted soon, whatever it says.
+        // Once monitors have failed, the call must complete soon.
         const bool first = what->tried == 0;
         const auto deadline = first
                                   ? std::max(what->deadline, now + direct_time)
@@ -240,9 +247,10 @@
     }
 
     /**
-     * Of a long answer the first page names enough monitors to ask for the
-     * rest. Hundreds of gateways that start at once and read all pages each
-     * share the directory's bandwidth for so long that none is done in time.
+     * Stops a long direct read after its first page, which names enough
+     * monitors to read the rest through. Hundreds of gateways that start
+     * together and each read all pages would share the directory's bandwidth
+     * for so long that none of them finishes in time.
      */
     page_read pages_of(const std::shared_ptr<call>& what)
     {
@@ -253,7 +261,8 @@
             const auto self = weak.lock();
             if (!self)
                 return false;
-            // The gateway may not have had any when the call began.
+            // Reads on: this gateway has no relays. They may have been set
+            // since the call began, so this is checked here.
             if (!self->on_.relays || !self->on_.relays())
                 return true;
             self->on_.partial(std::vector<Item>(so_far));
--- a/src/monitor/main.cpp
+++ b/src/monitor/main.cpp
@@ -10,7 +10,8 @@
     monitor_settings settings;
     daemon_program program;
     program.name = "cyclamenrun-monitor";
-    program.description = "Tells gateways the load of the engine beside it.";
+    program.description =
+        "Reports the load of the engine on its VM to gateways.";
     program.default_settings = default_monitor_settings;
     program.read_settings = [&](const std::string& file) {
         return read_monitor_settings(file).map([&](monitor_settings read) {
