--- a/tests/gateway/gateway_fixture.cpp
+++ b/tests/gateway/gateway_fixture.cpp
@@ -78,7 +78,7 @@
         answer_.malformed = !good;
         return good;
     } catch (const Poco::Exception&) {
-        return false; // reset, or nothing for ten seconds
+        return false; // connection reset, or receive timeout
     }
 }
 
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -14,7 +14,7 @@
 namespace cyclamenrun::testing_support
 {
 
-/** A feed that holds what a test puts into it. */
+/** A directory feed whose records a test adds. */
 template <typename Item>
 class pushed_feed : public directory_feed<Item>
 {
@@ -27,7 +27,7 @@
     {
     }
 
-    /** From any thread: the follower gets it as a further record. */
+    /** Appends a record, which the feed's follower receives. Thread-safe. */
     void push(Item item)
     {
         reactor_->post([this, item = std::move(item)] {
@@ -69,12 +69,12 @@
     answered waiting_;
 };
 
-/** What a caller has read. */
+/** A response as a caller has read it. */
 struct caller_answer {
     http_head head;
     std::string body;
     bool whole = false;
-    bool malformed = false; ///< there were bytes that are no part of it
+    bool malformed = false; ///< the response has bytes that don't parse
 
     unsigned status() const { return head.status; }
     std::string field(const std::string& name) const
@@ -90,9 +90,9 @@
     explicit test_caller(const std::string& address);
 
     void send(const std::string& bytes);
-    /** Reads one answer, or as much of it as comes. */
+    /** Reads one response, or the part of it that arrives. */
     caller_answer read();
-    /** Reads until the body has this text. */
+    /** Reads until the body contains the text; false if it never does. */
     bool wait_for_body(const std::string& text);
     void leave() { socket_.close(); }
 
@@ -106,9 +106,9 @@
 };
 
 /**
- * A whole gateway on loopback, with upstreams of the test's own and a
- * directory that the test fills. Routes: /plain/ may not be repeated, /safe/
- * is idempotent, /gen/ streams and may not be resumed, /res/ streams and may.
+ * A complete gateway on loopback, with fake upstreams and a directory whose
+ * records the test adds. Routes: /plain/ is not idempotent, /safe/ is, /gen/
+ * streams and is not resumable, /res/ streams and is resumable.
  */
 class gateway_fixture : public testing::Test
 {
@@ -116,9 +116,9 @@
     gateway_fixture();
     ~gateway_fixture() override;
 
-    /** With a configuration, unless told otherwise. */
+    /** Starts the gateway, without a configuration if not `configured`. */
     void start(bool configured = true);
-    /** Adds an upstream; the gateway knows it soon after. */
+    /** Adds an upstream and waits until the gateway knows it. */
     fake_upstream& add(const std::string& id, fake_upstream::script play,
                        const std::string& service = "app",
                        const std::string& host = "127.0.0.1");
@@ -127,10 +127,10 @@
     void drain(const std::string& id);
     void apply(gateway_configuration configuration);
     gateway_configuration configuration() const;
-    /** Waits until the gateway knows so many upstreams. */
+    /** Waits until the gateway knows `count` upstreams. */
     void wait_for_upstreams(std::size_t count);
 
-    /** A request's bytes, with a new id each. */
+    /** The bytes of a request with a new id. */
     std::string request(const std::string& path, const std::string& key = "k1",
                         const std::string& more = "",
                         const std::string& body = "hello");
--- a/tests/gateway/gateway_program.hpp
+++ b/tests/gateway/gateway_program.hpp
@@ -17,7 +17,7 @@
 namespace cyclamenrun::testing_support
 {
 
-/** A settings file that is gone with this object. */
+/** A settings file, removed by the destructor. */
 class settings_text
 {
 public:
@@ -38,7 +38,7 @@
     std::filesystem::path path_;
 };
 
-/** One that nobody listens at just now. */
+/** A TCP port that has no listener at the moment. */
 inline std::uint16_t free_port()
 {
     const Poco::Net::ServerSocket socket(
@@ -73,7 +73,7 @@
            key + "\"]}]}";
 }
 
-/** The program itself, before a stand-in store and one upstream. */
+/** Runs the gateway program with a stand-in store and one upstream. */
 class gateway_program : public testing::Test
 {
 protected:
@@ -99,7 +99,7 @@
         wait_for_answer("k1", 200);
     }
 
-    /** A stream that ends in the middle. */
+    /** Sends two events of a stream, then resets the connection. */
     static void break_off(const arrived_request& request, upstream_reply& reply)
     {
         reply.begin_stream(request);
--- a/tests/gateway/stand_in_store.hpp
+++ b/tests/gateway/stand_in_store.hpp
@@ -14,9 +14,9 @@
 {
 
 /**
- * The platform's store as far as the gateway uses it: topics whose records
- * have keys, read from an offset with a wait, or the newest of each key. It
- * can turn calls away, leave them unanswered, or drop its history.
+ * Replaces the platform's store in tests. Its topics hold records with keys,
+ * which are read from an offset with a wait, or as the newest record of each
+ * key. It can refuse calls, leave them unanswered or delete its history.
  */
 class stand_in_store
 {
@@ -24,8 +24,8 @@
     enum class mood : std::uint8_t {
         sound,
         busy,   ///< answers 503
-        silent, ///< takes calls and does not answer
-        cutting ///< closes without an answer
+        silent, ///< accepts calls and does not answer
+        cutting ///< closes the connection without an answer
     };
 
     stand_in_store();
@@ -34,17 +34,17 @@
     stand_in_store& operator=(const stand_in_store&) = delete;
 
     std::string address() const { return to_string(server_.address()); }
-    /** Appends a record; an empty value drops the key. */
+    /** Appends a record; an empty value removes the key. */
     void put(const std::string& topic, const std::string& key,
              const std::string& value);
     void set_mood(mood next);
-    /** Records on a page of the newest. */
+    /** Sets the number of records on a page of the newest records. */
     void set_page_size(std::size_t records);
-    /** Calls of all kinds so far, those that were turned away included. */
+    /** Number of calls so far, refused ones included. */
     std::size_t calls() const { return server_.arrived().size(); }
-    /** Those whose target begins so. */
+    /** Number of calls whose target starts with `target`. */
     std::size_t count_of(const std::string& target) const;
-    /** Readers behind the newest record are told that it is gone. */
+    /** Deletes the history; reads from before its end are answered 410. */
     void drop_history();
 
 private:
--- a/tests/gateway/test_configuration_lease.cpp
+++ b/tests/gateway/test_configuration_lease.cpp
@@ -19,9 +19,9 @@
     EXPECT_FALSE(lease.age(at(0)));
 }
 
-// A team's key is taken away while this VM is cut off from the directory, or
-// suspended. Its lease has to end by itself, counted from when the last call
-// that proved the configuration was sent: the answer may have waited.
+// Guards against a lease that outlives its term when a team's key is revoked
+// while this VM is suspended or cut off from the directory. The term counts
+// from when the last confirming call was sent, since the answer may be delayed.
 TEST(configuration_lease, ends_a_term_after_the_proof_was_asked_for)
 {
     configuration_lease lease(milliseconds(5000));
--- a/tests/gateway/test_directory_messages.cpp
+++ b/tests/gateway/test_directory_messages.cpp
@@ -53,7 +53,8 @@
     EXPECT_EQ(problem(directory_problem::leaving), answer_problem::leaving);
 }
 
-// A peer of another release, or a stranger, sends what it likes.
+// Guards against invalid answers from a peer of another release or from an
+// unknown sender.
 TEST(directory_messages, are_refused_when_spoiled)
 {
     const auto problem = [](const auto& spoil) {
@@ -84,8 +85,8 @@
               answer_problem::malformed);
 }
 
-// Another writer's garbage stands where the configuration should: it is told
-// as unreadable and the one before it holds.
+// Another writer has stored a configuration that can't be parsed. It is
+// reported as unreadable, and the valid configurations are still read.
 TEST(directory_messages, tell_of_configurations_that_can_not_be_read)
 {
     directory_page<configuration_text> page;
--- a/tests/gateway/test_directory_relay.cpp
+++ b/tests/gateway/test_directory_relay.cpp
@@ -22,7 +22,7 @@
 {
 
 constexpr std::chrono::seconds limit{10};
-/** Age at which a configuration may no longer be used, and half of it. */
+/** Age at which a configuration may not be used any more. */
 constexpr milliseconds lease{4000};
 
 std::string configuration(int version, const std::string& key)
@@ -45,7 +45,7 @@
            R"(","slots":4,"state":"ready"})";
 }
 
-/** An engine with a monitor beside it, on a host of its own. */
+/** An engine and its monitor on a separate loopback host. */
 struct engine_host {
     engine_host(const std::string& host, std::uint16_t port,
                 const std::string& store)
@@ -69,15 +69,16 @@
                              platform::make_relay_feeds});
     }
 
-    std::atomic<bool> leaves = false; ///< it has been told to
+    std::atomic<bool> leaves =
+        false; ///< the engine reports that it is draining
     fake_upstream engine;
     std::unique_ptr<monitor_process> monitor;
 };
 
 /**
- * A store, two engines with monitors that read it for gateways, an
- * application, and as many gateways as a test starts. The paths of gateways
- * and monitors to the store can be cut one by one.
+ * A store, two engines whose monitors relay it to gateways, an application,
+ * and the gateways that a test starts. The connections of the gateways and
+ * those of the monitors to the store can be cut separately.
  */
 class relayed_directory : public testing::Test
 {
@@ -104,7 +105,8 @@
                            "domain-" + host));
     }
 
-    /** Started, and told of the store by monitors. */
+    /** Starts a gateway and waits until it serves and, if `with_relays`, until
+     * monitors read the store for it. */
     gateway_process& start_gateway(bool with_relays = true)
     {
         gateway_settings settings;
@@ -133,7 +135,7 @@
         return *gateways.back();
     }
 
-    /** Its configuration is renewed though the store holds no call of it. */
+    /** The gateway's last read of each feed went through a monitor. */
     bool is_told(gateway_process& gateway)
     {
         return state_of(gateway).find("\"relayed\":true") != std::string::npos;
@@ -173,7 +175,8 @@
         return eventually([&] { return ask(gateway, key) == status; });
     }
 
-    /** It serves all the time, for longer than its lease. */
+    /** Checks that the gateway serves without a gap for longer than its lease.
+     */
     void expect_served_on(gateway_process& gateway)
     {
         const auto end = steady_now() + lease + milliseconds(1500);
@@ -193,9 +196,9 @@
     int next = 0;
 };
 
-// A hundred gateways that each ask the store for what is new cost more than
-// all else; asked by two monitors for all, the number of calls does not grow
-// with that of gateways.
+// Guards against a load on the store that grows with the number of gateways: a
+// hundred gateways that each poll the store are its largest load. Two monitors
+// read it for all gateways.
 TEST_F(relayed_directory, costs_no_more_calls_for_more_gateways)
 {
     constexpr std::size_t fleet = 12;
@@ -205,8 +208,8 @@
     const auto before = store.calls();
     std::this_thread::sleep_for(std::chrono::duration<double>(seconds));
     const auto calls = static_cast<double>(store.calls() - before);
-    // Two relays with a call at each feed every 0.3 and 0.45 s; one gateway
-    // alone makes 3.3 and 1.1 in a second.
+    // Each of two relays calls the feeds every 0.3 and 0.45 s. A single gateway
+    // without relays makes 3.3 and 1.1 calls a second.
     EXPECT_LT(calls / seconds, 24);
     EXPECT_GT(calls, 0);
 }
@@ -225,9 +228,8 @@
         EXPECT_TRUE(comes_to(*gateway, "k2", 503));
 }
 
-// The store turns this gateway's VM away and serves the others. It has no
-// reason to refuse callers: the monitors vouch for its configuration, and
-// tell it of a key that is taken away meanwhile.
+// Guards against refused callers when only this gateway's VM loses the store.
+// The monitors confirm its configuration and still report a revoked key.
 TEST_F(relayed_directory, serves_on_while_the_store_turns_the_gateway_away)
 {
     auto& gateway = start_gateway();
@@ -238,9 +240,9 @@
     EXPECT_EQ(ask(gateway, "k2"), 200U);
 }
 
-// The monitors that read for all are cut off from the store and do not know
-// it at first: their calls stay unanswered. Gateways ask the store themselves
-// before their lease ends.
+// Guards against a lease that ends while the relays are cut off from the store.
+// The relays notice it late, as their calls stay unanswered; the gateway must
+// read the store itself in time.
 TEST_F(relayed_directory, serves_on_while_the_relays_are_cut_off)
 {
     auto& gateway = start_gateway();
@@ -250,7 +252,7 @@
     expect_served_on(gateway);
 }
 
-// Both VMs whose monitors read for all have lost power.
+// Both VMs whose monitors relay the store lose power at once.
 TEST_F(relayed_directory, serves_on_when_the_relays_have_gone)
 {
     auto& gateway = start_gateway();
@@ -258,8 +260,9 @@
     expect_served_on(gateway);
 }
 
-// The VMs of both monitors that read for all are reclaimed at once. A fleet
-// that asks the store itself until it hears others makes a burst of calls.
+// Guards against a burst of calls to the store when the VMs of both relays are
+// reclaimed at once, from gateways that read the store themselves until other
+// monitors respond.
 TEST_F(relayed_directory, asks_other_monitors_when_both_relays_leave)
 {
     add_engine("127.0.0.4");
@@ -285,8 +288,9 @@
         EXPECT_TRUE(comes_to(*gateway, "k2", 200));
 }
 
-// Gateway and monitors are behind the same cut when a key is taken away. What
-// the monitors answer from memory must not keep the key alive.
+// Guards against a revoked key that stays in use while the gateway and the
+// monitors are cut off from the store together: monitors must not renew a lease
+// from what they have cached.
 TEST_F(relayed_directory, keeps_no_key_alive_behind_a_cut)
 {
     auto& gateway = start_gateway();
@@ -306,8 +310,8 @@
     EXPECT_EQ(ask(gateway, "k1"), 401U);
 }
 
-// The store is away from everybody. Each gateway that tries as if it were
-// alone calls it ten times and more before it is back.
+// Guards against a fleet that floods an unavailable store with retries. Without
+// a common limit each gateway calls it ten times or more during the outage.
 TEST_F(relayed_directory, calls_a_store_that_is_away_but_now_and_then)
 {
     constexpr std::size_t fleet = 8;
@@ -318,8 +322,8 @@
     const auto before = store.calls();
     constexpr double seconds = 3;
     std::this_thread::sleep_for(std::chrono::duration<double>(seconds));
-    // A gateway tries each feed at most every two seconds, and the relays
-    // each feed every 0.4 s.
+    // A gateway tries each feed at most every 2 s, and a relay tries each feed
+    // every 0.4 s.
     const auto bound = fleet * 2 * (seconds / 2 + 1) + 2 * 2 * seconds / 0.4;
     EXPECT_LE(static_cast<double>(store.calls() - before), bound);
     store.set_mood(stand_in_store::mood::sound);
@@ -329,9 +333,10 @@
     EXPECT_LT(steady_now() - back_at, milliseconds(2000));
 }
 
-// Thousands of upstreams come in many pages. Gateways that start together and
-// read all of them each are slower than any time-out. Each reads the first
-// page, which names a monitor, and one monitor reads the rest.
+// Guards against start-up timeouts with thousands of upstreams, which come in
+// many pages: gateways that start together and each read all pages slow one
+// another down beyond any timeout. Each reads the first page, which names a
+// monitor, and one monitor reads the rest.
 TEST_F(relayed_directory, reads_a_long_directory_once_for_all)
 {
     constexpr int others = 60;
@@ -348,12 +353,13 @@
             return state_of(*gateway).find("\"upstreams\":63,") !=
                    std::string::npos;
         }));
-    // Sixteen pages each, or one page each and sixteen for a relay or two.
+    // Without relays each gateway reads sixteen pages. With them each reads
+    // one, and one or two relays read sixteen.
     EXPECT_LE(store.count_of("/log-newest?topic=keyed.servers"),
               fleet + 2 * 17);
 }
 
-// The monitors do not answer: a gateway reads all pages itself.
+// The monitors do not respond, so the gateway reads all pages itself.
 TEST_F(relayed_directory, reads_a_long_directory_alone_if_it_has_to)
 {
     store.set_page_size(1);
@@ -365,8 +371,8 @@
     }));
 }
 
-// The history was dropped while relays and gateways were at different places
-// in it; a change in between must not be lost.
+// Guards against a lost change when the store deletes its history while relays
+// and gateways are at different offsets.
 TEST_F(relayed_directory, starts_anew_when_the_history_is_gone)
 {
     auto& gateway = start_gateway();
--- a/tests/gateway/test_feed_follower.cpp
+++ b/tests/gateway/test_feed_follower.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** Answers each call with the next line of a script, then holds all. */
+/** Answers each call with the next answer of a script, then holds all calls. */
 class scripted_feed : public directory_feed<int>
 {
 public:
@@ -38,7 +38,7 @@
         play({false, offset}, on_answer);
     }
 
-    /** Waits until the script is over. */
+    /** Waits for `count` calls, 10 s at most; returns the calls so far. */
     std::vector<call> wait_for_calls(std::size_t count)
     {
         std::unique_lock lock(mutex_);
@@ -82,7 +82,7 @@
     int regained = 0;
 };
 
-/** Runs a script to its end and returns what the follower told. */
+/** Runs a script to its end; returns what the follower reported. */
 follower_record follow(scripted_feed::answer first,
                        std::deque<scripted_feed::answer> rest,
                        std::vector<scripted_feed::call>& calls)
@@ -129,8 +129,8 @@
     EXPECT_EQ(calls[3].offset, 6U);
 }
 
-// The store is away for a while and comes back: what was known is kept, the
-// reader goes on where it was, and it is told once that it was away.
+// The store is unavailable for a while. The follower keeps the known records,
+// continues at its offset, and reports the outage once.
 TEST(feed_follower, keeps_its_place_through_an_outage)
 {
     std::vector<scripted_feed::call> calls;
@@ -141,12 +141,12 @@
     EXPECT_EQ(record.lost, 1);
     EXPECT_EQ(record.regained, 1);
     EXPECT_EQ(calls[3].offset, 5U);
-    // Nothing is proved current by a call that failed.
+    // A failed call confirms nothing.
     EXPECT_EQ(record.current, 2);
 }
 
-// The store has dropped its history while this process was away. The records
-// in between are lost, so all there is has to be read anew.
+// The store has deleted the history at the follower's offset. The records in
+// between are lost, so the newest records have to be read again.
 TEST(feed_follower, starts_anew_when_the_history_is_gone)
 {
     std::vector<scripted_feed::call> calls;
@@ -160,12 +160,12 @@
     EXPECT_EQ(record.lost, 0);
 }
 
-/** A follower whose feed has given items up to offset 5 and holds the next
+/** A follower that has read up to offset 5 and whose feed holds the next
  * call. */
 class held_follower : public testing::Test
 {
 protected:
-    /** Answers when the test says so. */
+    /** Holds each read from an offset until the test answers it. */
     class held_feed final : public directory_feed<int>
     {
     public:
@@ -197,7 +197,7 @@
         loop.post([this] { follower->start(); });
     }
 
-    /** On the follower's thread, as all that it takes. */
+    /** Runs a call on the follower's thread and waits for it. */
     template <typename Call>
     void on_loop(Call call)
     {
@@ -229,8 +229,8 @@
     link_loop loop;
 };
 
-// Calls of its own to the directory keep a pause; a relay paces many callers,
-// and a pause on top would leave its news unread.
+// Direct calls to the directory keep a pause between them. A relay limits the
+// rate itself, and a further pause would delay its updates.
 TEST_F(held_follower, pauses_after_calls_of_its_own_only)
 {
     wait_for_call(1);
@@ -246,8 +246,9 @@
     on_loop([&] { EXPECT_EQ(items, (std::vector{1, 6, 7})); });
 }
 
-// A call was passed to a relay that fell silent, then to another one. What the
-// second read proves runs from the second call, and no later than it says.
+// A call times out at one relay and is answered by another. The follower must
+// report the time at which the answered call was sent: a later time would
+// extend the lease beyond its term.
 TEST_F(held_follower, proves_what_it_knows_as_of_the_call_that_was_answered)
 {
     wait_for_call(1);
@@ -259,9 +260,9 @@
     });
 }
 
-// The directory was away for so long that the next try is most of a second
-// off. Another feed has just reached it: waiting on would refuse callers who
-// could be served.
+// After a long outage the next retry may be most of a second away. When another
+// feed reaches the directory, this one must retry at once, or callers are
+// refused without need.
 TEST_F(held_follower, tries_again_at_once_when_the_directory_is_back)
 {
     for (std::size_t call = 1; call <= 5; ++call) {
@@ -272,7 +273,7 @@
     on_loop([&] { follower->try_again_now(); });
     wait_for_call(6);
     EXPECT_LE(steady_now() - back_at, milliseconds(400));
-    // While a call is under way, and when nothing is lost, there is no other.
+    // No further call is made during a call, or while nothing is lost.
     on_loop([&] { follower->try_again_now(); });
     pause = milliseconds(300);
     on_loop([&] { feed->held(page({6}, 6)); });
--- a/tests/gateway/test_monitor_process.cpp
+++ b/tests/gateway/test_monitor_process.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** Notes whether it ends where no thread of the loop can be at work on it. */
+/** Counts feeds destroyed on the loop's thread or after the loop has ended. */
 template <typename Item>
 class watched_feed : public directory_feed<Item>
 {
@@ -51,8 +51,9 @@
     std::shared_ptr<std::atomic<int>> ended_safely_;
 };
 
-// A monitor stops while its loop still reads the directory: both threads
-// change the loop's table of sockets, and the process aborts or hangs.
+// Guards against a race when a monitor stops while its loop still reads the
+// directory: two threads change the loop's table of sockets, and the process
+// aborts or hangs.
 TEST(monitor_process, ends_no_feed_under_its_loop)
 {
     fake_upstream engine(
@@ -61,8 +62,8 @@
         });
     const auto ended_safely = std::make_shared<std::atomic<int>>(0);
     monitor_settings settings;
-    // A host of its own: its relay takes the port of its datagrams, which a
-    // connection of another test may have.
+    // Uses a separate host: the relay listens on the port of the monitor's
+    // datagrams, which a connection of another test may occupy.
     settings.listen = {"127.0.0.9", 0};
     settings.engine = engine.address();
     settings.directory = engine.address();
@@ -78,7 +79,7 @@
     auto process = std::make_unique<monitor_process>(settings, platform);
     ASSERT_NO_THROW(
         Poco::Net::StreamSocket(Poco::Net::SocketAddress(process->address())))
-        << "it relays nothing";
+        << "the monitor has no relay listener";
     process.reset();
     EXPECT_EQ(*ended_safely, 2);
 }
--- a/tests/gateway/test_programs.cpp
+++ b/tests/gateway/test_programs.cpp
@@ -21,8 +21,8 @@
     wait_for_answer("k2", 200);
 }
 
-// Another writer's garbage lies among the records. It names no upstream, and
-// must neither stop the reader nor shift its place.
+// Records of another writer that can't be parsed must neither stop the reader
+// nor shift its offset.
 TEST_F(gateway_program, reads_on_behind_records_of_other_writers)
 {
     store.put("keyed.servers", "i-2", "\xff\xfe garbage");
@@ -33,8 +33,9 @@
     EXPECT_EQ(ask("k9"), 401U);
 }
 
-// The store does not answer for longer than a key that was taken away may
-// live on, in each of the ways in which it can be away; then it comes back.
+// The store is unavailable for longer than the lease, in each way in which it
+// can fail, and then recovers. The gateway must refuse callers once its lease
+// has ended, since a key may have been revoked, and serve again afterwards.
 TEST_F(gateway_program, serves_until_its_lease_ends_and_again_afterwards)
 {
     using mood = stand_in_store::mood;
@@ -49,8 +50,9 @@
     EXPECT_TRUE(wait_for_log("directory_regained"));
 }
 
-// The store is away, a key is taken away, and the store drops its history
-// before it comes back: the record is not among those that are read on.
+// A key is revoked while the store is unavailable, and the store deletes its
+// history before it recovers: a reader that continues at its offset would miss
+// the record.
 TEST_F(gateway_program, starts_anew_when_the_history_is_gone)
 {
     store.set_mood(stand_in_store::mood::busy);
@@ -75,7 +77,7 @@
     EXPECT_EQ(ask("k1"), 200U);
 }
 
-// Nobody sends a signal, but the file names another store.
+// The settings file names another store, and no signal is sent.
 TEST_F(gateway_program, notices_that_its_settings_have_changed)
 {
     stand_in_store other;
@@ -126,8 +128,8 @@
     EXPECT_THAT(text, HasSubstr("cyclamenrun_directory_call_seconds_count"));
 }
 
-// A record that another writer has spoiled is skipped; the engineer who looks
-// for the missing upstream finds why.
+// A record that can't be parsed is skipped, and the log and a metric name it,
+// so that an engineer can find out why an upstream is missing.
 TEST_F(gateway_program, tells_of_records_that_it_can_not_read)
 {
     store.put("keyed.servers", "i-7", R"({"service":7})");
@@ -149,8 +151,8 @@
               std::string::npos);
 }
 
-// Each line that a process writes is JSON with the same four members, or the
-// collector drops it.
+// Each log line must be JSON with the same four members, or the log collector
+// drops it.
 TEST_F(gateway_program, writes_json_lines_and_nothing_else)
 {
     EXPECT_EQ(ask("k1"), 200U);
--- a/tests/gateway/test_read_coalescer.cpp
+++ b/tests/gateway/test_read_coalescer.cpp
@@ -43,7 +43,7 @@
     return page;
 }
 
-/** One whose directory holds "a" up to offset 5, in virtual time. */
+/** A coalescer that has read record "a" up to offset 5, in virtual time. */
 class coalesced_reads : public testing::Test
 {
 protected:
@@ -66,7 +66,7 @@
         return reads.ask(from, milliseconds(900), now).value();
     }
 
-    /** The next read, as soon as it is due. */
+    /** Advances to when the next read is due, and starts it. */
     coalescer::read begin()
     {
         now = std::max(now, reads.next_read().value());
@@ -99,7 +99,7 @@
     const auto sent = begin();
     EXPECT_EQ(sent.from, 5U);
     EXPECT_EQ(sent.wait, milliseconds(900) - pace().gather)
-        << "the wait of the first, from when it came";
+        << "the wait of the first call, counted from its arrival";
     EXPECT_FALSE(reads.next_read());
     const auto answers = end(read_from(5, {change("b")}));
     ASSERT_EQ(answers.size(), 2U);
@@ -107,11 +107,12 @@
     EXPECT_EQ(answers[1].call, second);
     EXPECT_EQ((*answers[0].result)->items.front().id, "b");
     EXPECT_EQ((*answers[0].result)->next_offset, 6U);
-    EXPECT_FALSE(reads.next_read()) << "nobody waits";
+    EXPECT_FALSE(reads.next_read()) << "no call is pending";
 }
 
-// A key is taken away while a read is under way, and the read does not have
-// it. A call that came in between must not be told that all is known.
+// Guards against a lease renewed by a read that misses a revoked key. The key
+// is revoked after the read was sent, and a call that arrives after that must
+// wait for the next read.
 TEST_F(coalesced_reads, never_answer_a_call_that_came_after_the_read_was_sent)
 {
     ask(5);
@@ -119,16 +120,17 @@
     const auto late = ask(5);
     now += milliseconds(900);
     EXPECT_EQ(end(read_from(5, {})).size(), 1U);
-    // It has waited long enough: the next read asks the directory at once.
+    // The call has waited for its whole wait, so the next read has none.
     EXPECT_EQ(begin().wait, milliseconds(0));
     const auto answers = end(read_from(5, {change("b")}));
     ASSERT_EQ(answers.size(), 1U);
     EXPECT_EQ(answers[0].call, late);
 }
 
-// Callers ask again as soon as they are told. Where a read is slower than that,
-// each read finds callers that came during the one before, and a relay that
-// asks for them without a wait never stops.
+// Guards against a relay that reads the directory without a pause. Callers call
+// again as soon as they are answered. If reads are slower than that, each read
+// covers calls that arrived during the last one, and reads sent without a wait
+// for them never stop.
 TEST(slow_reads, are_not_sent_back_to_back)
 {
     constexpr milliseconds slow{20};
@@ -192,8 +194,9 @@
     EXPECT_EQ((*answers[1].result)->items.size(), 2U) << "b and c";
 }
 
-// A relay that has just begun, or has had to forget, does not know what a
-// caller has missed. It must say so: a change would be skipped for good.
+// A relay that has just started, or has dropped old changes, does not know
+// which changes a caller has missed. It must report that, or the caller never
+// gets them.
 TEST_F(coalesced_reads, admit_what_they_do_not_remember)
 {
     ask(4);
@@ -210,7 +213,8 @@
     EXPECT_EQ((*answers.at(0).result)->items.size(), 3U);
 }
 
-// The directory tells less than the caller has heard elsewhere.
+// The caller has received later records elsewhere than the directory returns
+// here.
 TEST_F(coalesced_reads, vouch_for_nothing_to_a_caller_that_knows_more)
 {
     ask(9);
@@ -230,8 +234,9 @@
     EXPECT_EQ((*read(read_from(90, {})).at(0).result)->next_offset, 90U);
 }
 
-// The directory is away. Who waits is told and asks elsewhere; it is tried
-// again more and more slowly, and only while somebody asks.
+// The directory is unavailable. Waiting calls are refused at once, so that
+// their callers can try elsewhere. Reads are retried with backoff, and only
+// while calls are pending.
 TEST_F(coalesced_reads, tell_at_once_that_the_directory_is_away)
 {
     auto last = milliseconds(0);
@@ -252,8 +257,9 @@
     EXPECT_EQ(last, pace().longest_retry);
 }
 
-// A connection to the directory has gone silent. Those who wait for its read
-// ask elsewhere before their lease ends.
+// A connection to the directory does not respond. The calls that wait for its
+// read are refused in time for their callers to try elsewhere before their
+// lease ends.
 TEST_F(coalesced_reads, give_up_on_a_read_that_hangs)
 {
     ask(5);
@@ -290,8 +296,9 @@
 }
 
 /**
- * Gateways that renew their leases by relays, in virtual time: messages take
- * any time, processes stand still for seconds, relays lose the directory.
+ * Simulates gateways that renew their leases through relays, in virtual time.
+ * Messages are delayed, processes are suspended for seconds, and relays lose
+ * the directory.
  */
 class lease_world
 {
@@ -302,7 +309,7 @@
             each.reads.emplace(coalescer_pace());
     }
 
-    /** False: somebody has acted on what was out of date for too long. */
+    /** Returns false if a gateway held a valid lease on an expired version. */
     bool run()
     {
         for (long at = 0; at < duration_ms; at += 50)
@@ -331,7 +338,7 @@
     };
     struct relay : process {
         std::optional<text_coalescer> reads;
-        bool cut = false; ///< from the directory
+        bool cut = false; ///< cut off from the directory
         std::map<text_coalescer::call_id,
                  std::function<void(const text_coalescer::answer&)>>
             waiting;
@@ -349,9 +356,9 @@
     {
         events_.emplace(std::max(when, now_), std::move(what));
     }
-    /** Mostly short, sometimes seconds. */
+    /** A message delay: mostly some ms, sometimes seconds. */
     long delay() { return chance(20) == 0 ? chance(6000) : 1 + chance(20); }
-    /** As soon as the process runs. */
+    /** Runs `what` once the process is not suspended. */
     void on(process& who, std::function<void()> what)
     {
         if (who.frozen_until <= now_) {
@@ -399,7 +406,8 @@
         const auto asked = boot();
         const auto from = who.offset;
         auto& asked_relay = relays_.at(chance(2));
-        // It goes elsewhere, but a late answer to this call may still come.
+        // After a timeout the gateway calls a relay again; a late answer to
+        // this call may still arrive.
         at(now_ + 1700, [this, index, call] {
             on(gateways_.at(index), [this, index, call] {
                 if (gateways_.at(index).call == call &&
@@ -455,7 +463,7 @@
         at(now_ + delay(), [this, &who, sent] { serve(who, sent); });
     }
 
-    /** The directory's part: it holds the read until there is a record. */
+    /** Simulates the directory, which holds a read until there is a record. */
     void serve(relay& who, const text_coalescer::read& asked)
     {
         const auto end = accepted_.size();
@@ -530,15 +538,15 @@
     std::mt19937 random_;
     std::multimap<long, std::function<void()>> events_;
     long now_ = 0;
-    std::vector<long> accepted_; ///< when each version was accepted
+    std::vector<long> accepted_; ///< time at which each version was accepted
     std::array<relay, 2> relays_;
     std::array<gateway, 3> gateways_;
     bool sound_ = true;
     int renewals_ = 0;
 };
 
-// A gateway goes on serving by a key that was taken away longer ago than its
-// lease, since a relay that was frozen, cut off or late has renewed it.
+// Guards against a gateway that accepts a key revoked longer ago than its lease
+// term, because a suspended, cut off or slow relay has renewed the lease.
 TEST(leases_by_relays, never_outlive_their_term)
 {
     constexpr unsigned seeds = 3000;
@@ -548,7 +556,7 @@
         ASSERT_TRUE(world.run()) << "seed " << seed;
         renewals += world.renewals();
     }
-    EXPECT_GT(renewals, static_cast<int>(seeds) * 20) << "they are renewed";
+    EXPECT_GT(renewals, static_cast<int>(seeds) * 20) << "leases are renewed";
 }
 
 } // namespace
