--- a/src/libcyclamenrun/gateway/configuration_lease.hpp
+++ b/src/libcyclamenrun/gateway/configuration_lease.hpp
@@ -27,30 +27,30 @@
     }
 
     /** `sent_at`: when the call that confirmed the configuration was sent. */
-    void renew(boot_time asked)
+    void renew(boot_time sent_at)
     {
-        if (!proved_ || asked > *proved_)
-            proved_ = asked;
+        if (!confirmed_at_ || sent_at > *confirmed_at_)
+            confirmed_at_ = sent_at;
     }
 
     bool valid(boot_time now) const
     {
-        if (!proved_)
+        if (!confirmed_at_)
             return false;
-        return !term_ || now < *proved_ + *term_;
+        return !term_ || now < *confirmed_at_ + *term_;
     }
 
     /** Time since the last confirming call was sent; empty before the first. */
     std::optional<milliseconds> age(boot_time now) const
     {
-        if (!proved_)
+        if (!confirmed_at_)
             return std::nullopt;
-        return std::chrono::duration_cast<milliseconds>(now - *proved_);
+        return std::chrono::duration_cast<milliseconds>(now - *confirmed_at_);
     }
 
 private:
     std::optional<milliseconds> term_;
-    std::optional<boot_time> proved_;
+    std::optional<boot_time> confirmed_at_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/directory_feed.hpp
+++ b/src/libcyclamenrun/gateway/directory_feed.hpp
@@ -30,17 +30,17 @@
 struct directory_page {
     std::vector<Item> items;
     std::uint64_t next_offset = 0;
-    /** Offset of each item; empty in a page of the newest record of each key.
-     */
+    /** Offset of each item; empty in a page of the newest records. */
     std::vector<std::uint64_t> offsets = {};
     /** Keys of records that were skipped because they can't be parsed. */
     std::vector<std::string> unreadable = {};
     /**
-     * When the call that returned this page was sent, if the reader sent
-     * another one than the caller's own (a relay was tried again). The page
-     * and those before it hold every record that the directory had then.
+     * When the call that returned this page was sent. Set if one read may take
+     * several calls, such as to a second relay; otherwise the start of the
+     * read counts. This page and those before it hold every record that the
+     * directory had at that time.
      */
-    std::optional<boot_time> asked = {};
+    std::optional<boot_time> sent_at = {};
     /** Read by a relay, which limits the rate itself: read again at once. */
     bool relayed = false;
 };
--- a/src/libcyclamenrun/gateway/directory_messages.cpp
+++ b/src/libcyclamenrun/gateway/directory_messages.cpp
@@ -27,7 +27,7 @@
     return record;
 }
 
-void write(const upstream_change& change, v1::DirectoryAnswer& answer)
+void add_item(const upstream_change& change, v1::DirectoryAnswer& answer)
 {
     auto& message = *answer.add_changes();
     message.set_id(change.id);
@@ -42,7 +42,8 @@
     record.set_started_ms(change.record->started_ms);
 }
 
-void write(const configuration_text& configuration, v1::DirectoryAnswer& answer)
+void add_item(const configuration_text& configuration,
+              v1::DirectoryAnswer& answer)
 {
     answer.add_configurations(configuration.text);
 }
@@ -61,12 +62,12 @@
 }
 
 template <typename Item>
-v1::DirectoryAnswer written(const directory_page<Item>& page)
+v1::DirectoryAnswer make_answer(const directory_page<Item>& page)
 {
     v1::DirectoryAnswer answer;
     answer.set_next(page.next_offset);
     for (const auto& item : page.items)
-        write(item, answer);
+        add_item(item, answer);
     return answer;
 }
 
@@ -105,12 +106,12 @@
 
 v1::DirectoryAnswer answer_of(const directory_page<upstream_change>& page)
 {
-    return written(page);
+    return make_answer(page);
 }
 
 v1::DirectoryAnswer answer_of(const directory_page<configuration_text>& page)
 {
-    return written(page);
+    return make_answer(page);
 }
 
 v1::DirectoryAnswer answer_of(directory_problem problem)
--- a/src/libcyclamenrun/gateway/directory_relay.cpp
+++ b/src/libcyclamenrun/gateway/directory_relay.cpp
@@ -17,33 +17,33 @@
  * Least time between two reads of the upstreams. The directory answers each
  * read at once, because upstreams send heartbeats all the time.
  */
-constexpr milliseconds upstream_pause{450};
+constexpr milliseconds upstream_read_interval{450};
 
 coalescer_pace upstream_pace()
 {
     coalescer_pace pace;
-    pace.pause = upstream_pause;
+    pace.pause = upstream_read_interval;
     return pace;
 }
 
 /** Answers a call on its stream; removes the call if the stream closes. */
 template <typename Calls, typename Encoded>
-void relay(Calls& calls, Encoded& encoded, const v1::DirectoryCall& call,
-           const std::shared_ptr<server_stream>& stream)
+void relay_call(Calls& calls, Encoded& encoded, const v1::DirectoryCall& call,
+                const std::shared_ptr<server_stream>& stream)
 {
     std::optional<std::uint64_t> from;
     if (call.has_from())
         from = call.from();
     const auto id =
-        calls.ask(from, milliseconds(call.wait_ms()),
-                  [stream, &encoded](const auto& result) {
-                      stream->respond_once(encoded.bytes_of(result));
-                  });
+        calls.add_call(from, milliseconds(call.wait_ms()),
+                       [stream, &encoded](const auto& result) {
+                           stream->respond_once(encoded.bytes_of(result));
+                       });
     if (!id)
         return;
     stream->on_closed([weak = calls.weak_from_this(), id = *id] {
         if (const auto self = weak.lock())
-            self->forget(id);
+            self->remove_call(id);
     });
 }
 
@@ -51,13 +51,13 @@
 
 link_limits directory_link_limits()
 {
-    constexpr milliseconds silence{400};
+    constexpr milliseconds busy_ping_delay{400};
     constexpr milliseconds ping_time{500};
     constexpr milliseconds handshake_time{800};
     constexpr std::uint32_t streams_per_gateway = 8;
     link_limits limits;
     limits.max_streams = streams_per_gateway;
-    limits.busy_ping_after = silence;
+    limits.busy_ping_after = busy_ping_delay;
     limits.ping_time = ping_time;
     limits.handshake_time = handshake_time;
     return limits;
@@ -77,7 +77,7 @@
           loop, Poco::Net::SocketAddress(listen.host, listen.port),
           std::string(), directory_link_limits(),
           [this](const std::shared_ptr<server_stream>& stream) {
-              take(stream);
+              handle_stream(stream);
           }))
 {
 }
@@ -98,15 +98,16 @@
     upstreams_->leave();
 }
 
-void directory_relay::take(const std::shared_ptr<server_stream>& stream)
+void directory_relay::handle_stream(
+    const std::shared_ptr<server_stream>& stream)
 {
     v1::DirectoryCall call;
     const bool readable = stream->path() == directory_path &&
                           call.ParseFromString(stream->request());
     if (readable && call.feed() == v1::DIRECTORY_FEED_CONFIGURATIONS)
-        relay(*configurations_, encoded_configurations_, call, stream);
+        relay_call(*configurations_, encoded_configurations_, call, stream);
     else if (readable && call.feed() == v1::DIRECTORY_FEED_UPSTREAMS)
-        relay(*upstreams_, encoded_upstreams_, call, stream);
+        relay_call(*upstreams_, encoded_upstreams_, call, stream);
     else
         stream->respond_once(refusal_bytes(directory_problem::unavailable));
 }
--- a/src/libcyclamenrun/gateway/directory_relay.hpp
+++ b/src/libcyclamenrun/gateway/directory_relay.hpp
@@ -61,7 +61,7 @@
     void leave();
 
 private:
-    void take(const std::shared_ptr<server_stream>& stream);
+    void handle_stream(const std::shared_ptr<server_stream>& stream);
 
     std::shared_ptr<relayed_calls<configuration_text_traits>> configurations_;
     std::shared_ptr<relayed_calls<upstream_record_traits>> upstreams_;
--- a/src/libcyclamenrun/gateway/directory_watch.cpp
+++ b/src/libcyclamenrun/gateway/directory_watch.cpp
@@ -15,14 +15,14 @@
  * Time after an outage of the directory in which records that expired during it
  * may still come back.
  */
-constexpr milliseconds doubt_after_outage{1200};
+constexpr milliseconds unconfirmed_after_outage{1200};
 
 /**
  * Longest wait of an upstream read through a monitor. Upstreams leave with only
  * seconds of notice, so a monitor that has lost the directory must be detected
  * in a fraction of that.
  */
-constexpr milliseconds longest_relayed_wait{450};
+constexpr milliseconds max_relayed_wait{450};
 
 /**
  * Wait of a configuration read while no upstream is known. Nothing is served
@@ -60,7 +60,7 @@
            upstreams_->relayed();
 }
 
-void directory_watch::use_relays(std::shared_ptr<directory_relays> relays)
+void directory_watch::use_relays(std::shared_ptr<relay_clients> relays)
 {
     relays_ = std::move(relays);
 }
@@ -81,12 +81,12 @@
 template <typename Hooks>
 void directory_watch::add_common_hooks(Hooks& hooks, std::string_view feed)
 {
-    hooks.regained = [this, feed](duration away) {
+    hooks.regained = [this, feed](duration outage) {
         // Applies to both feeds: a call of the other feed may have outlasted a
         // short outage without an error.
-        doubt_until_ = context_.reactor->now() + doubt_after_outage;
-        regained(feed, away);
-        directory_is_back();
+        unconfirmed_until_ = context_.reactor->now() + unconfirmed_after_outage;
+        regained(feed, outage);
+        retry_feeds();
     };
     hooks.lost = [this, feed](directory_problem problem) {
         lost(feed, problem);
@@ -112,14 +112,14 @@
     feed_follower<gateway_configuration>::hooks on;
     add_common_hooks(on, configuration_feed_name);
     on.items = [this](std::vector<gateway_configuration>&& versions, bool) {
-        take_configurations(std::move(versions));
+        apply_configurations(std::move(versions));
     };
     on.wait = [this, wait = settings.configuration_wait] {
         return context_.board.size() == 0 ? std::max(wait, idle_wait) : wait;
     };
     on.current = [this](boot_time asked) {
         context_.lease.renew(asked);
-        note_lease();
+        log_lease_change();
     };
     auto relayed = relay_hooks<gateway_configuration>(configuration_feed_name);
     relayed.read = [this](const v1::DirectoryAnswer& answer) {
@@ -141,14 +141,14 @@
     feed_follower<upstream_change>::hooks on;
     add_common_hooks(on, upstream_feed_name);
     on.items = [this](std::vector<upstream_change>&& changes, bool whole) {
-        take_upstreams(std::move(changes), whole);
+        apply_upstreams(std::move(changes), whole);
     };
     on.pause = [pause = settings.upstream_pause] { return pause; };
     auto relayed = relay_hooks<upstream_change>(upstream_feed_name);
     relayed.read = read_upstreams;
-    relayed.longest_wait = longest_relayed_wait;
+    relayed.max_wait = max_relayed_wait;
     relayed.partial = [this](std::vector<upstream_change>&& some) {
-        take_upstreams(std::move(some), false);
+        apply_upstreams(std::move(some), false);
     };
     const auto feed = std::make_shared<relayed_feed<upstream_change>>(
         context_.reactor, v1::DIRECTORY_FEED_UPSTREAMS,
@@ -159,21 +159,21 @@
     upstreams_->start();
 }
 
-void directory_watch::directory_is_back()
+void directory_watch::retry_feeds()
 {
     if (configurations_)
-        configurations_->try_again_now();
+        configurations_->retry_now();
     if (upstreams_)
-        upstreams_->try_again_now();
+        upstreams_->retry_now();
 }
 
 void directory_watch::tick()
 {
     context_.board.end_doubts(context_.reactor->now());
-    note_lease();
+    log_lease_change();
 }
 
-void directory_watch::note_lease()
+void directory_watch::log_lease_change()
 {
     const auto now = boot_now();
     const bool held = context_.lease.valid(now);
@@ -187,7 +187,7 @@
          {log_key::age_ms, age}});
 }
 
-void directory_watch::take_configurations(
+void directory_watch::apply_configurations(
     std::vector<gateway_configuration>&& versions)
 {
     for (auto& version : versions) {
@@ -203,16 +203,16 @@
     }
 }
 
-void directory_watch::take_upstreams(std::vector<upstream_change>&& changes,
-                                     bool whole)
+void directory_watch::apply_upstreams(std::vector<upstream_change>&& changes,
+                                      bool whole)
 {
     const auto now = context_.reactor->now();
-    const bool doubt = now < doubt_until_;
+    const bool unconfirmed = now < unconfirmed_until_;
     if (whole)
-        context_.board.replace_all(changes, now, doubt);
+        context_.board.replace_all(changes, now, unconfirmed);
     else
         for (const auto& change : changes)
-            context_.board.apply(change, now, doubt);
+            context_.board.apply(change, now, unconfirmed);
     if (!std::exchange(upstreams_known_, true))
         log_event(log_severity::info, log_event_name::vm_list_read,
                   {{log_key::count, context_.board.size()}});
@@ -224,12 +224,12 @@
               {{log_key::name, feed}, {log_key::reason, name_of(problem)}});
 }
 
-void directory_watch::regained(std::string_view feed, duration away)
+void directory_watch::regained(std::string_view feed, duration outage)
 {
     log_event(log_severity::info, log_event_name::directory_regained,
               {{log_key::name, feed},
                {log_key::duration_ms,
-                std::chrono::duration_cast<milliseconds>(away)}});
+                std::chrono::duration_cast<milliseconds>(outage)}});
 }
 
 void directory_watch::unreadable(std::string_view feed,
--- a/src/libcyclamenrun/gateway/directory_watch.hpp
+++ b/src/libcyclamenrun/gateway/directory_watch.hpp
@@ -2,10 +2,10 @@
 #define CYCLAMENRUN_DIRECTORY_WATCH_HPP
 
 #include "directory_messages.hpp"
-#include "directory_relays.hpp"
 #include "feed_follower.hpp"
 #include "gateway_context.hpp"
 #include "gateway_settings.hpp"
+#include "relay_clients.hpp"
 #include "relayed_feed.hpp"
 
 #include <functional>
@@ -47,7 +47,7 @@
     void tick();
 
     /** Reads through these monitors from then on. */
-    void use_relays(std::shared_ptr<directory_relays> relays);
+    void use_relays(std::shared_ptr<relay_clients> relays);
 
     bool upstreams_known() const { return upstreams_known_; }
     /** The last successful read of each feed went through a monitor. */
@@ -58,7 +58,7 @@
     void follow_upstreams(const gateway_settings& settings);
     template <typename Hooks>
     void add_common_hooks(Hooks& hooks, std::string_view feed);
-    void take_configurations(std::vector<gateway_configuration>&& versions);
+    void apply_configurations(std::vector<gateway_configuration>&& versions);
     template <typename Item>
     typename relayed_feed<Item>::hooks relay_hooks(std::string_view feed);
     /**
@@ -66,21 +66,21 @@
      * The next retry of the other feed may be 0.8 s away, and callers are
      * refused for lack of a lease until then.
      */
-    void directory_is_back();
-    void take_upstreams(std::vector<upstream_change>&& changes, bool whole);
+    void retry_feeds();
+    void apply_upstreams(std::vector<upstream_change>&& changes, bool whole);
     void lost(std::string_view feed, directory_problem problem);
-    void regained(std::string_view feed, duration away);
+    void regained(std::string_view feed, duration outage);
     void unreadable(std::string_view feed,
                     const std::vector<std::string>& keys);
-    void note_lease();
+    void log_lease_change();
 
     gateway_context& context_;
     gateway_platform platform_;
-    std::shared_ptr<directory_relays> relays_;
+    std::shared_ptr<relay_clients> relays_;
     std::shared_ptr<feed_follower<gateway_configuration>> configurations_;
     std::shared_ptr<feed_follower<upstream_change>> upstreams_;
     /** Records are unconfirmed until this time after a directory outage. */
-    time_point doubt_until_{};
+    time_point unconfirmed_until_{};
     bool upstreams_known_ = false;
     bool lease_held_ = false;
 };
--- a/src/libcyclamenrun/gateway/feed_follower.hpp
+++ b/src/libcyclamenrun/gateway/feed_follower.hpp
@@ -21,8 +21,8 @@
     milliseconds wait{1500};
     /** Time for an answer beyond the wait, before the call times out. */
     milliseconds slack{1200};
-    milliseconds first_retry{100};
-    milliseconds longest_retry{800};
+    milliseconds first_retry_delay{100};
+    milliseconds max_retry_delay{800};
 };
 
 /**
@@ -56,14 +56,14 @@
         std::function<void(duration took)> answered;
         /** Called with the keys of records that can't be parsed. */
         std::function<void(const std::vector<std::string>& keys)> unreadable;
-        std::function<void(duration away)> regained;
+        std::function<void(duration outage)> regained;
     };
 
     feed_follower(std::shared_ptr<link_reactor> reactor,
                   std::shared_ptr<directory_feed<Item>> feed, feed_pace pace,
                   hooks on)
         : reactor_(std::move(reactor)), feed_(std::move(feed)), pace_(pace),
-          on_(std::move(on)), retry_in_(pace.first_retry)
+          on_(std::move(on)), retry_delay_(pace.first_retry_delay)
     {
     }
 
@@ -73,7 +73,7 @@
     bool relayed() const { return relayed_; }
 
     /** Retries at once: the directory may be reachable again. */
-    void try_again_now()
+    void retry_now()
     {
         if (lost_since_ && !reading_)
             read_at(steady_now());
@@ -90,52 +90,54 @@
     void read()
     {
         reading_ = true;
-        asked_ = boot_now();
-        asked_at_ = steady_now();
+        sent_at_ = boot_now();
+        read_started_at_ = steady_now();
         auto answer = [weak = this->weak_from_this()](auto result) {
             if (const auto self = weak.lock())
-                self->take(std::move(result));
+                self->handle_answer(std::move(result));
         };
         const auto wait = on_.wait ? on_.wait() : pace_.wait;
         if (offset_)
-            feed_->read_from(*offset_, wait, asked_at_ + wait + pace_.slack,
+            feed_->read_from(*offset_, wait,
+                             read_started_at_ + wait + pace_.slack,
                              std::move(answer));
         else
-            feed_->read_newest(asked_at_ + pace_.slack, std::move(answer));
+            feed_->read_newest(read_started_at_ + pace_.slack,
+                               std::move(answer));
     }
 
-    void take(tl::expected<page, directory_problem> result)
+    void handle_answer(tl::expected<page, directory_problem> result)
     {
         reading_ = false;
         if (!result) {
-            fail(result.error());
+            handle_failure(result.error());
             return;
         }
-        retry_in_ = pace_.first_retry;
+        retry_delay_ = pace_.first_retry_delay;
         if (lost_since_ && on_.regained)
             on_.regained(steady_now() - *lost_since_);
         lost_since_.reset();
         if (on_.answered)
-            on_.answered(steady_now() - asked_at_);
+            on_.answered(steady_now() - read_started_at_);
         if (on_.unreadable && !result->unreadable.empty())
             on_.unreadable(result->unreadable);
-        const auto asked = result->asked.value_or(asked_);
+        const auto sent_at = result->sent_at.value_or(sent_at_);
         relayed_ = result->relayed;
-        take_items(std::move(*result));
+        deliver_items(std::move(*result));
         if (on_.current)
-            on_.current(asked);
-        read_at(relayed_ ? steady_now() : asked_at_ + pause());
+            on_.current(sent_at);
+        read_at(relayed_ ? steady_now() : read_started_at_ + pause());
     }
 
-    void take_items(page&& taken)
+    void deliver_items(page&& received)
     {
         const bool whole = !offset_.has_value();
-        offset_ = taken.next_offset;
-        if (on_.items && (whole || !taken.items.empty()))
-            on_.items(std::move(taken.items), whole);
+        offset_ = received.next_offset;
+        if (on_.items && (whole || !received.items.empty()))
+            on_.items(std::move(received.items), whole);
     }
 
-    void fail(directory_problem problem)
+    void handle_failure(directory_problem problem)
     {
         if (on_.failed)
             on_.failed(problem);
@@ -149,8 +151,8 @@
             if (on_.lost)
                 on_.lost(problem);
         }
-        read_at(steady_now() + retry_in_);
-        retry_in_ = std::min(2 * retry_in_, pace_.longest_retry);
+        read_at(steady_now() + retry_delay_);
+        retry_delay_ = std::min(2 * retry_delay_, pace_.max_retry_delay);
     }
 
     void read_at(time_point when)
@@ -177,10 +179,10 @@
     bool reading_ = false;
     bool relayed_ = false;
     time_point next_read_{};
-    boot_time asked_{};
-    time_point asked_at_{};
+    boot_time sent_at_{};
+    time_point read_started_at_{};
     std::optional<time_point> lost_since_;
-    milliseconds retry_in_;
+    milliseconds retry_delay_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/feed_history.hpp
+++ b/src/libcyclamenrun/gateway/feed_history.hpp
@@ -47,15 +47,14 @@
     using item = typename Traits::item;
     using page = directory_page<item>;
 
-    explicit feed_history(std::size_t most_changes)
-        : most_changes_(most_changes)
+    explicit feed_history(std::size_t max_changes) : max_changes_(max_changes)
     {
     }
 
     bool known() const { return known_; }
-    std::uint64_t next_offset() const { return next_; }
+    std::uint64_t next_offset() const { return next_offset_; }
 
-    void forget() { known_ = false; }
+    void invalidate() { known_ = false; }
 
     /** Restarts from the newest records; earlier changes are not known. */
     void restart(const page& newest)
@@ -63,8 +62,8 @@
         newest_.clear();
         changes_.clear();
         for (const auto& record : newest.items)
-            keep(record);
-        first_ = next_ = newest.next_offset;
+            store_record(record);
+        first_offset_ = next_offset_ = newest.next_offset;
         known_ = true;
     }
 
@@ -72,21 +71,21 @@
     void extend(const page& read)
     {
         for (std::size_t i = 0; i < read.items.size(); ++i) {
-            if (keep(read.items[i]))
+            if (store_record(read.items[i]))
                 changes_.emplace_back(read.offsets.at(i), read.items[i]);
         }
-        next_ = std::max(next_, read.next_offset);
-        for (; changes_.size() > most_changes_; changes_.pop_front())
-            first_ = changes_.front().first + 1;
+        next_offset_ = std::max(next_offset_, read.next_offset);
+        for (; changes_.size() > max_changes_; changes_.pop_front())
+            first_offset_ = changes_.front().first + 1;
     }
 
     /** Changes from an offset on; empty if they are not all known. */
     std::optional<page> since(std::uint64_t from) const
     {
-        if (!known_ || from < first_ || from > next_)
+        if (!known_ || from < first_offset_ || from > next_offset_)
             return std::nullopt;
         page result;
-        result.next_offset = next_;
+        result.next_offset = next_offset_;
         for (const auto& [offset, record] : changes_) {
             if (offset < from)
                 continue;
@@ -99,7 +98,7 @@
     page newest() const
     {
         page result;
-        result.next_offset = next_;
+        result.next_offset = next_offset_;
         for (const auto& [key, record] : newest_)
             result.items.push_back(record);
         return result;
@@ -107,7 +106,7 @@
 
 private:
     /** Returns false if the record changes nothing. */
-    bool keep(const item& record)
+    bool store_record(const item& record)
     {
         const auto key = Traits::key(record);
         const auto known = newest_.find(key);
@@ -119,10 +118,11 @@
         return true;
     }
 
-    std::size_t most_changes_;
+    std::size_t max_changes_;
     bool known_ = false;
-    std::uint64_t first_ = 0; ///< changes_ is complete from this offset on
-    std::uint64_t next_ = 0;
+    /** changes_ is complete from this offset on. */
+    std::uint64_t first_offset_ = 0;
+    std::uint64_t next_offset_ = 0;
     std::map<std::string, item> newest_;
     std::deque<std::pair<std::uint64_t, item>> changes_;
 };
--- a/src/libcyclamenrun/gateway/gateway_context.hpp
+++ b/src/libcyclamenrun/gateway/gateway_context.hpp
@@ -30,8 +30,8 @@
  * only, so it needs no lock.
  */
 struct gateway_context {
-    gateway_context(std::shared_ptr<link_reactor> on,
-                    std::shared_ptr<const gateway_dialect> spoken,
+    gateway_context(std::shared_ptr<link_reactor> shared_reactor,
+                    std::shared_ptr<const gateway_dialect> wire_dialect,
                     upstream_board::hooks board_hooks,
                     const retry_budget_settings& retries,
                     std::optional<milliseconds> lease_term, std::uint64_t seed);
--- a/src/libcyclamenrun/gateway/gateway_process.cpp
+++ b/src/libcyclamenrun/gateway/gateway_process.cpp
@@ -21,12 +21,12 @@
  */
 constexpr milliseconds lease_margin{400};
 /** Interval at which the settings file is checked for changes. */
-constexpr milliseconds settings_look_interval{1000};
+constexpr milliseconds settings_check_interval{1000};
 /** Interval at which expired leases and records are handled. */
 constexpr milliseconds tick_interval{100};
 /** Part of the stop grace that remains when the drain gives up. */
 constexpr milliseconds stop_margin{700};
-constexpr milliseconds stop_look_interval{20};
+constexpr milliseconds stop_check_interval{20};
 
 std::optional<milliseconds> lease_term(const gateway_settings& settings)
 {
@@ -46,7 +46,7 @@
     return budget;
 }
 
-milliseconds grace_of(const gateway_settings& settings)
+milliseconds stop_grace(const gateway_settings& settings)
 {
     return std::chrono::duration_cast<milliseconds>(
         std::chrono::duration<double>(settings.stop_grace_s));
@@ -56,8 +56,8 @@
 
 gateway_process::gateway_process(const gateway_settings& settings,
                                  gateway_platform platform,
-                                 reread_settings reread)
-    : settings_(settings), reread_(std::move(reread)),
+                                 settings_reader read_settings)
+    : settings_(settings), read_settings_(std::move(read_settings)),
       loop_(std::make_unique<link_loop>())
 {
     std::exception_ptr failure;
@@ -140,37 +140,37 @@
     on.gateways = [this](unsigned count) {
         context_->budget.set_sharers(count);
     };
-    on.hosts = [this] { return hosts_to_hear(); };
+    on.hosts = [this] { return monitored_hosts(); };
     const auto monitor_port =
         static_cast<std::uint16_t>(settings_.monitor_port);
     context_->monitors = std::make_shared<monitor_link>(
         loop_->reactor(), settings_.loads_listen, monitor_port, settings_.name,
         std::move(on));
     context_->monitors->start();
-    use_relays(monitor_port);
+    start_relays(monitor_port);
 }
 
-void gateway_process::use_relays(std::uint16_t port)
+void gateway_process::start_relays(std::uint16_t port)
 {
-    directory_relays::hooks on;
+    relay_clients::hooks on;
     on.candidates = [this] { return relay_candidates(); };
-    on.heard = [this](const std::string& host) {
+    on.responds = [this](const std::string& host) {
         return context_->monitors->hears(host);
     };
     on.gateways = [this] { return context_->budget.sharers(); };
-    relays_ = std::make_shared<directory_relays>(
-        loop_->reactor(), settings_.name, port, std::move(on));
+    relays_ = std::make_shared<relay_clients>(loop_->reactor(), settings_.name,
+                                              port, std::move(on));
     directory_->use_relays(relays_);
 }
 
-std::set<std::string> gateway_process::hosts_to_hear() const
+std::set<std::string> gateway_process::monitored_hosts() const
 {
     std::set<std::string> hosts;
     if (!context_->routes || !relays_)
         return hosts;
     for (const auto& name : context_->routes->engine_services())
         hosts.merge(context_->board.hosts_in_use(name));
-    for (auto& host : relays_->wanted())
+    for (auto& host : relays_->chosen_hosts())
         hosts.insert(std::move(host));
     return hosts;
 }
@@ -192,11 +192,11 @@
 
 void gateway_process::start_servers()
 {
-    callers_ = std::make_shared<http_server>(loop_->reactor(), settings_.listen,
-                                             caller_hooks());
+    caller_server_ = std::make_shared<http_server>(
+        loop_->reactor(), settings_.listen, caller_hooks());
     ready_server_ = std::make_shared<http_server>(
         loop_->reactor(), settings_.ready_listen, ready_hooks());
-    callers_->start();
+    caller_server_->start();
     ready_server_->start();
     metrics_ = std::make_unique<metrics_listener>(
         loop_->reactor(), context_->metrics, [this] { refresh_gauges(); });
@@ -271,7 +271,7 @@
            ",\"relayed\":" + (directory_->relayed() ? "true" : "false") +
            ",\"upstreams\":" + std::to_string(context_->board.size()) +
            ",\"running\":" + std::to_string(context_->running.size()) +
-           ",\"connections\":" + std::to_string(callers_->connections()) +
+           ",\"connections\":" + std::to_string(caller_server_->connections()) +
            ",\"idle_upstream_connections\":" +
            std::to_string(context_->connections.size()) + "}";
 }
@@ -287,15 +287,16 @@
     metrics.set(exported_metric::configuration_age, {},
                 age ? static_cast<double>(age->count()) / ms_per_s : -1);
     metrics.set(exported_metric::running, {}, context_->running.size());
-    metrics.set(exported_metric::connections, {}, callers_->connections());
+    metrics.set(exported_metric::connections, {},
+                caller_server_->connections());
     for (const auto& service : context_->board.services()) {
-        const auto believed = context_->board.totals(service, now);
-        metrics.set(exported_metric::upstreams, {service}, believed.upstreams);
+        const auto estimated = context_->board.totals(service, now);
+        metrics.set(exported_metric::upstreams, {service}, estimated.upstreams);
         metrics.set(exported_metric::free_slots, {service},
-                    believed.free_slots);
+                    estimated.free_slots);
         metrics.set(exported_metric::free_memory, {service},
-                    believed.free_memory_tokens);
-        metrics.set(exported_metric::queued, {service}, believed.queued);
+                    estimated.free_memory_tokens);
+        metrics.set(exported_metric::queued, {service}, estimated.queued);
         metrics.set(exported_metric::retries_left, {service},
                     context_->budget.left(service, now));
     }
@@ -320,50 +321,50 @@
     if (ended_)
         return;
     directory_->tick();
-    look_at_settings();
+    check_settings();
     context_->reactor->post_at(context_->reactor->now() + tick_interval,
                                [this] { tick(); });
 }
 
-void gateway_process::look_at_settings()
+void gateway_process::check_settings()
 {
     const auto now = context_->reactor->now();
-    if (now < look_at_settings_at_)
+    if (now < next_settings_check_)
         return;
-    look_at_settings_at_ = now + settings_look_interval;
+    next_settings_check_ = now + settings_check_interval;
     // A file that can't be parsed may be half written: it is read again later.
-    const auto read = reread_();
+    const auto read = read_settings_();
     if (!read || read->directory == settings_.directory)
         return;
-    use(*read);
+    apply_settings(*read);
     log_event(log_severity::info, log_event_name::settings_reloaded);
 }
 
 void gateway_process::reload()
 {
-    const auto read = reread_();
+    const auto read = read_settings_();
     if (!read) {
         for (const auto& error : read.error())
             log_event(log_severity::error, log_event_name::settings_unusable,
                       {{log_key::detail, to_string(error)}});
         return;
     }
-    on_loop([&] { use(*read); });
+    on_loop([&] { apply_settings(*read); });
     log_event(log_severity::info, log_event_name::settings_reloaded);
 }
 
-void gateway_process::use(const gateway_settings& settings)
+void gateway_process::apply_settings(const gateway_settings& settings)
 {
-    const bool moved = settings.directory != settings_.directory;
+    const bool directory_changed = settings.directory != settings_.directory;
     settings_ = settings;
     context_->log_every_step = settings_.log_every_step;
-    if (moved)
+    if (directory_changed)
         directory_->follow(settings_);
 }
 
 std::string gateway_process::address() const
 {
-    return to_string(callers_->address());
+    return to_string(caller_server_->address());
 }
 
 std::string gateway_process::ready_address() const
@@ -373,22 +374,23 @@
 
 bool gateway_process::drain()
 {
-    const auto began = steady_now();
-    const auto give_up =
-        began + std::max(grace_of(settings_) - stop_margin, milliseconds(0));
-    on_loop([this, give_up] {
+    const auto started_at = steady_now();
+    const auto give_up_at =
+        started_at +
+        std::max(stop_grace(settings_) - stop_margin, milliseconds(0));
+    on_loop([this, give_up_at] {
         context_->stopping = true;
-        context_->stop_at = give_up;
+        context_->stop_at = give_up_at;
     });
     std::this_thread::sleep_until(
-        std::min(began + settings_.balancer_wait, give_up));
+        std::min(started_at + settings_.balancer_wait, give_up_at));
     on_loop([this] {
-        callers_->stop_accepting();
-        callers_->close_idle();
+        caller_server_->stop_accepting();
+        caller_server_->close_idle();
     });
     bool idle = false;
-    while (!idle && steady_now() < give_up) {
-        std::this_thread::sleep_for(stop_look_interval);
+    while (!idle && steady_now() < give_up_at) {
+        std::this_thread::sleep_for(stop_check_interval);
         on_loop([&] { idle = context_->running.empty(); });
     }
     return idle;
--- a/src/libcyclamenrun/gateway/gateway_process.hpp
+++ b/src/libcyclamenrun/gateway/gateway_process.hpp
@@ -22,10 +22,10 @@
 class gateway_process
 {
 public:
-    using reread_settings = std::function<settings_outcome<gateway_settings>()>;
+    using settings_reader = std::function<settings_outcome<gateway_settings>()>;
 
     gateway_process(const gateway_settings& settings, gateway_platform platform,
-                    reread_settings reread);
+                    settings_reader read_settings);
     gateway_process(const gateway_process&) = delete;
     gateway_process& operator=(const gateway_process&) = delete;
     ~gateway_process();
@@ -50,8 +50,8 @@
     void start(gateway_platform platform);
     void start_servers();
     void start_monitor_link();
-    void use_relays(std::uint16_t port);
-    std::set<std::string> hosts_to_hear() const;
+    void start_relays(std::uint16_t port);
+    std::set<std::string> monitored_hosts() const;
     std::vector<relay_candidate> relay_candidates() const;
     session_hooks caller_hooks();
     session_hooks ready_hooks();
@@ -63,20 +63,20 @@
     std::string state_text();
     void refresh_gauges();
     void tick();
-    void look_at_settings();
-    void use(const gateway_settings& settings);
+    void check_settings();
+    void apply_settings(const gateway_settings& settings);
     void on_loop(const std::function<void()>& work);
 
     gateway_settings settings_;
-    reread_settings reread_;
+    settings_reader read_settings_;
     std::unique_ptr<link_loop> loop_;
     std::unique_ptr<gateway_context> context_;
-    std::shared_ptr<http_server> callers_;
+    std::shared_ptr<http_server> caller_server_;
     std::shared_ptr<http_server> ready_server_;
     std::unique_ptr<directory_watch> directory_;
-    std::shared_ptr<directory_relays> relays_;
+    std::shared_ptr<relay_clients> relays_;
     std::unique_ptr<metrics_listener> metrics_;
-    time_point look_at_settings_at_{};
+    time_point next_settings_check_{};
     bool ended_ = false;
 };
 
--- a/src/libcyclamenrun/gateway/monitor_process.cpp
+++ b/src/libcyclamenrun/gateway/monitor_process.cpp
@@ -24,9 +24,9 @@
         });
     if (settings.directory.port != 0)
         open_relay(settings.directory, platform);
-    loop_->post([this, where = settings.metrics_listen] {
+    loop_->post([this, listen_address = settings.metrics_listen] {
         monitor_->start();
-        listener_->open(where);
+        listener_->open(listen_address);
     });
 }
 
@@ -40,15 +40,15 @@
                                  const monitor_platform& platform)
 {
     // Listens for connections on the port that the monitor uses for datagrams.
-    const auto where = monitor_->address();
+    const auto listen_address = monitor_->address();
     try {
         relay_ = std::make_unique<directory_relay>(
-            *loop_, where, platform.feeds(loop_->reactor(), directory),
+            *loop_, listen_address, platform.feeds(loop_->reactor(), directory),
             metrics_);
     } catch (const Poco::Exception& error) {
         log_event(log_severity::error, log_event_name::listener_failed,
                   {{log_key::name, "directory"},
-                   {log_key::address, to_string(where)},
+                   {log_key::address, to_string(listen_address)},
                    {log_key::detail, error.displayText()}});
         return;
     }
--- a/src/libcyclamenrun/gateway/read_coalescer.hpp
+++ b/src/libcyclamenrun/gateway/read_coalescer.hpp
@@ -20,15 +20,15 @@
     /** Least time between two reads. */
     milliseconds pause{0};
     /** Longest time for which the directory holds a read. */
-    milliseconds longest_wait{30000};
+    milliseconds max_wait{30000};
     /** Time beyond its wait after which a read has timed out. */
-    milliseconds patience{500};
+    milliseconds read_timeout{500};
     /** The same for a read of all records, which may have many pages. */
-    milliseconds newest_patience{2500};
-    milliseconds first_retry{100};
-    milliseconds longest_retry{400};
-    std::size_t most_changes = 4096;
-    std::size_t most_calls = 2048;
+    milliseconds newest_read_timeout{2500};
+    milliseconds first_retry_delay{100};
+    milliseconds max_retry_delay{400};
+    std::size_t max_changes = 4096;
+    std::size_t max_calls = 2048;
 };
 
 /**
@@ -63,7 +63,8 @@
     };
 
     explicit read_coalescer(const coalescer_pace& pace)
-        : pace_(pace), history_(pace.most_changes), retry_in_(pace.first_retry)
+        : pace_(pace), history_(pace.max_changes),
+          retry_delay_(pace.first_retry_delay)
     {
     }
 
@@ -71,17 +72,17 @@
      * Adds a call. Returns nothing if too many are pending. An empty `from`
      * requests the newest record of each key.
      */
-    std::optional<call_id> ask(std::optional<std::uint64_t> from,
-                               milliseconds wait, time_point now)
+    std::optional<call_id> add_call(std::optional<std::uint64_t> from,
+                                    milliseconds wait, time_point now)
     {
-        if (calls_.size() >= pace_.most_calls)
+        if (calls_.size() >= pace_.max_calls)
             return std::nullopt;
-        calls_[++last_call_] = {from, now, now + wait, false};
-        return last_call_;
+        calls_[++last_call_id_] = {from, now, now + wait, false};
+        return last_call_id_;
     }
 
     /** Removes the call of a caller that has disconnected. */
-    void forget(call_id call) { calls_.erase(call); }
+    void remove_call(call_id call) { calls_.erase(call); }
 
     std::size_t calls() const { return calls_.size(); }
     bool reading() const { return reading_; }
@@ -91,7 +92,7 @@
     {
         if (reading_ || calls_.empty())
             return std::nullopt;
-        return std::max(calls_.begin()->second.asked + pace_.gather,
+        return std::max(calls_.begin()->second.arrived_at + pace_.gather,
                         not_before_);
     }
 
@@ -100,18 +101,19 @@
     {
         reading_ = true;
         not_before_ = now + pace_.pause;
-        read result{std::nullopt, pace_.longest_wait};
+        read result{std::nullopt, pace_.max_wait};
         for (auto& [id, call] : calls_) {
             call.covered = true;
             result.wait =
-                std::min(result.wait, left_until(call.wait_until, now));
+                std::min(result.wait, remaining_time(call.wait_until, now));
         }
         if (history_.known())
             result.from = history_.next_offset();
         else
             result.wait = milliseconds(0);
-        give_up_at_ = now + result.wait +
-                      (result.from ? pace_.patience : pace_.newest_patience);
+        timeout_at_ =
+            now + result.wait +
+            (result.from ? pace_.read_timeout : pace_.newest_read_timeout);
         return result;
     }
 
@@ -122,18 +124,18 @@
     {
         reading_ = false;
         if (!result)
-            return fail(result.error(), now);
-        retry_in_ = pace_.first_retry;
+            return handle_failure(result.error(), now);
+        retry_delay_ = pace_.first_retry_delay;
         if (history_.known())
             history_.extend(*result);
         else
             history_.restart(*result);
-        std::map<std::optional<std::uint64_t>, outcome> told;
+        std::map<std::optional<std::uint64_t>, outcome> outcomes;
         std::vector<answer> answers;
         for (const auto& [id, call] : calls_) {
             if (!call.covered)
                 continue;
-            const auto [found, is_new] = told.try_emplace(call.from);
+            const auto [found, is_new] = outcomes.try_emplace(call.from);
             if (is_new)
                 found->second = answer_to(call.from);
             answers.push_back({id, found->second});
@@ -143,20 +145,20 @@
     }
 
     /** When the current read times out; empty if there is none. */
-    std::optional<time_point> overdue_at() const
+    std::optional<time_point> timeout_at() const
     {
         if (!reading_)
             return std::nullopt;
-        return give_up_at_;
+        return timeout_at_;
     }
 
     /**
      * Refuses the calls that wait for the current read if it has timed out, so
      * that their callers can try another relay or the directory.
      */
-    std::vector<answer> give_up(time_point now)
+    std::vector<answer> expire_read(time_point now)
     {
-        if (!reading_ || now < give_up_at_)
+        if (!reading_ || now < timeout_at_)
             return {};
         return refuse([](const pending_call& each) { return each.covered; });
     }
@@ -170,7 +172,7 @@
 private:
     struct pending_call {
         std::optional<std::uint64_t> from;
-        time_point asked;
+        time_point arrived_at;
         /** End of the caller's wait, counted from the arrival of the call. The
          * time that the call spent behind the previous read counts, and the
          * next read waits for the remainder. Reads without any wait would
@@ -183,7 +185,7 @@
 
     using outcome = tl::expected<shared_page, directory_problem>;
 
-    static milliseconds left_until(time_point end, time_point now)
+    static milliseconds remaining_time(time_point end, time_point now)
     {
         const auto left = std::chrono::duration_cast<milliseconds>(end - now);
         return std::max(left, milliseconds(0));
@@ -193,26 +195,27 @@
     {
         if (!from)
             return std::make_shared<const page>(history_.newest());
-        auto news = history_.since(*from);
-        if (!news) {
+        auto changes = history_.since(*from);
+        if (!changes) {
             // The caller is ahead of this read: it has seen later records
             // through another reader.
             const bool ahead = *from > history_.next_offset();
             return tl::unexpected(ahead ? directory_problem::unavailable
                                         : directory_problem::history_gone);
         }
-        return std::make_shared<const page>(std::move(*news));
+        return std::make_shared<const page>(std::move(*changes));
     }
 
-    std::vector<answer> fail(directory_problem problem, time_point now)
+    std::vector<answer> handle_failure(directory_problem problem,
+                                       time_point now)
     {
         if (problem == directory_problem::history_gone) {
-            history_.forget();
+            history_.invalidate();
             not_before_ = now;
             return {};
         }
-        not_before_ = now + retry_in_;
-        retry_in_ = std::min(2 * retry_in_, pace_.longest_retry);
+        not_before_ = now + retry_delay_;
+        retry_delay_ = std::min(2 * retry_delay_, pace_.max_retry_delay);
         return refuse([](const pending_call& each) { return each.covered; });
     }
 
@@ -238,11 +241,11 @@
     coalescer_pace pace_;
     feed_history<Traits> history_;
     std::map<call_id, pending_call> calls_; ///< in order of arrival
-    call_id last_call_ = 0;
+    call_id last_call_id_ = 0;
     bool reading_ = false;
     time_point not_before_{};
-    time_point give_up_at_{};
-    milliseconds retry_in_;
+    time_point timeout_at_{};
+    milliseconds retry_delay_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/directory_relays.hpp
+++ b/src/libcyclamenrun/gateway/relay_clients.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_DIRECTORY_RELAYS_HPP
-#define CYCLAMENRUN_DIRECTORY_RELAYS_HPP
+#ifndef CYCLAMENRUN_RELAY_CLIENTS_HPP
+#define CYCLAMENRUN_RELAY_CLIENTS_HPP
 
 #include "link_client.hpp"
 #include "link_reactor.hpp"
@@ -27,46 +27,46 @@
  * relays), and the order in which they are tried. Used on the reactor's thread
  * only.
  */
-class directory_relays : public std::enable_shared_from_this<directory_relays>
+class relay_clients : public std::enable_shared_from_this<relay_clients>
 {
 public:
     struct hooks {
         /** VMs whose monitor may respond and that are not leaving. */
         std::function<std::vector<relay_candidate>()> candidates;
         /** Whether the host's monitor responds. */
-        std::function<bool(const std::string& host)> heard;
+        std::function<bool(const std::string& host)> responds;
         /** Number of gateways that share the relays. */
         std::function<std::size_t()> gateways;
     };
     /** Empty if the monitor could not be reached or did not answer. */
-    using answered =
+    using answer_handler =
         std::function<void(const std::optional<v1::DirectoryAnswer>&)>;
 
-    directory_relays(std::shared_ptr<link_reactor> reactor, std::string gateway,
-                     std::uint16_t port, hooks on);
-    ~directory_relays();
-    directory_relays(const directory_relays&) = delete;
-    directory_relays& operator=(const directory_relays&) = delete;
+    relay_clients(std::shared_ptr<link_reactor> reactor, std::string gateway,
+                  std::uint16_t port, hooks on);
+    ~relay_clients();
+    relay_clients(const relay_clients&) = delete;
+    relay_clients& operator=(const relay_clients&) = delete;
 
     /** Relays that respond, in the order in which to try them. */
-    std::vector<std::string> hosts();
+    std::vector<std::string> usable_hosts();
     /**
      * No chosen monitor has responded yet, but the time for their first
      * reports is not over. The caller waits rather than read the directory
      * itself.
      */
-    bool expected() const;
+    bool awaits_first_report() const;
     /** Chosen relays, whether they respond or not: their reports are needed. */
-    std::vector<std::string> wanted();
+    std::vector<std::string> chosen_hosts();
 
     /** Sends a call; `on_answer` is called once, by the deadline at latest. */
-    void ask(const std::string& host, const v1::DirectoryCall& call,
-             time_point deadline, answered on_answer);
+    void send_call(const std::string& host, const v1::DirectoryCall& call,
+                   time_point deadline, answer_handler on_answer);
 
     /** The host's monitor does not reach the directory: it is tried last. */
-    void without_directory(const std::string& host);
+    void mark_without_directory(const std::string& host);
     /** The VM is leaving: another relay is chosen in its place. */
-    void leaves(const std::string& host);
+    void mark_leaving(const std::string& host);
 
 private:
     struct known_relay {
@@ -74,10 +74,10 @@
         /** Did not answer, or its VM is leaving: not used before this time. */
         time_point avoid_until{};
         /** Did not reach the directory: tried last before this time. */
-        time_point last_until{};
+        time_point demoted_until{};
     };
 
-    void unreachable(const std::string& host, std::string_view reason);
+    void handle_unreachable(const std::string& host, std::string_view reason);
     void drop_unused(const std::vector<std::string>& used);
 
     std::shared_ptr<link_reactor> reactor_;
@@ -86,9 +86,9 @@
     hooks on_;
     std::map<std::string, known_relay> relays_;
     /** Since when relays are chosen and none of them responds. */
-    std::optional<time_point> unheard_since_;
+    std::optional<time_point> no_response_since_;
 };
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_DIRECTORY_RELAYS_HPP
+#endif // CYCLAMENRUN_RELAY_CLIENTS_HPP
--- a/src/libcyclamenrun/gateway/relayed_calls.hpp
+++ b/src/libcyclamenrun/gateway/relayed_calls.hpp
@@ -23,7 +23,7 @@
     using item = typename Traits::item;
     using result = tl::expected<directory_page<item>, directory_problem>;
     using outcome = decltype(read_coalescer<Traits>::answer::result);
-    using answered = std::function<void(const outcome&)>;
+    using answer_handler = std::function<void(const outcome&)>;
     using call_id = typename read_coalescer<Traits>::call_id;
 
     relayed_calls(std::shared_ptr<link_reactor> reactor, std::string_view name,
@@ -35,11 +35,12 @@
     }
 
     /** Returns nothing if the call was refused; it has then been answered. */
-    std::optional<call_id> ask(std::optional<std::uint64_t> from,
-                               milliseconds wait, answered on_answer)
+    std::optional<call_id> add_call(std::optional<std::uint64_t> from,
+                                    milliseconds wait, answer_handler on_answer)
     {
-        const auto call =
-            leaving_ ? std::nullopt : coalescer_.ask(from, wait, steady_now());
+        const auto call = leaving_
+                              ? std::nullopt
+                              : coalescer_.add_call(from, wait, steady_now());
         if (!call) {
             on_answer(tl::unexpected(leaving_
                                          ? directory_problem::leaving
@@ -51,9 +52,9 @@
         return call;
     }
 
-    void forget(call_id call)
+    void remove_call(call_id call)
     {
-        coalescer_.forget(call);
+        coalescer_.remove_call(call);
         waiting_.erase(call);
     }
 
@@ -61,7 +62,7 @@
     void leave()
     {
         leaving_ = true;
-        tell(coalescer_.refuse_all(directory_problem::leaving));
+        deliver(coalescer_.refuse_all(directory_problem::leaving));
     }
 
 private:
@@ -71,9 +72,9 @@
     void read_later()
     {
         const auto due = coalescer_.next_read();
-        if (!due || (timer_due_ > steady_now() && timer_due_ <= *due))
+        if (!due || (timer_at_ > steady_now() && timer_at_ <= *due))
             return;
-        timer_due_ = *due;
+        timer_at_ = *due;
         reactor_->post_at(*due, [weak = this->weak_from_this()] {
             if (const auto self = weak.lock())
                 self->read_if_due();
@@ -93,16 +94,16 @@
     {
         const auto now = steady_now();
         const auto next = coalescer_.begin_read(now);
-        began_ = now;
+        read_sent_at_ = now;
         metrics_.count(exported_metric::relay_reads, {std::string(name_)});
         reactor_->post_at(
-            *coalescer_.overdue_at(), [weak = this->weak_from_this()] {
+            *coalescer_.timeout_at(), [weak = this->weak_from_this()] {
                 if (const auto self = weak.lock())
-                    self->tell(self->coalescer_.give_up(steady_now()));
+                    self->deliver(self->coalescer_.expire_read(steady_now()));
             });
         auto answer = [weak = this->weak_from_this()](result read) {
             if (const auto self = weak.lock())
-                self->take(read);
+                self->handle_result(read);
         };
         const auto deadline = now + next.wait + slack;
         if (next.from)
@@ -112,18 +113,18 @@
             feed_->read_newest(deadline, std::move(answer));
     }
 
-    void take(const result& read)
+    void handle_result(const result& read)
     {
         const auto now = steady_now();
         if (read)
-            note_answered(*read, now - began_);
+            record_success(*read, now - read_sent_at_);
         else
-            note_failed(read.error());
-        tell(coalescer_.end_read(read, now));
+            record_failure(read.error());
+        deliver(coalescer_.end_read(read, now));
         read_later();
     }
 
-    void note_answered(const directory_page<item>& page, duration took)
+    void record_success(const directory_page<item>& page, duration took)
     {
         metrics_.observe(exported_metric::directory_time, {std::string(name_)},
                          took);
@@ -141,7 +142,7 @@
                    {log_key::detail, page.unreadable.front()}});
     }
 
-    void note_failed(directory_problem problem)
+    void record_failure(directory_problem problem)
     {
         metrics_.count(exported_metric::directory_failures,
                        {std::string(name_), std::string(name_of(problem))});
@@ -153,7 +154,8 @@
             {{log_key::name, name_}, {log_key::reason, name_of(problem)}});
     }
 
-    void tell(const std::vector<typename read_coalescer<Traits>::answer>& all)
+    void
+    deliver(const std::vector<typename read_coalescer<Traits>::answer>& all)
     {
         for (const auto& each : all) {
             const auto found = waiting_.find(each.call);
@@ -170,9 +172,9 @@
     std::shared_ptr<directory_feed<item>> feed_;
     read_coalescer<Traits> coalescer_;
     exported_metrics& metrics_;
-    std::unordered_map<call_id, answered> waiting_;
-    time_point timer_due_{};
-    time_point began_{};
+    std::unordered_map<call_id, answer_handler> waiting_;
+    time_point timer_at_{};
+    time_point read_sent_at_{};
     bool lost_ = false;
     bool leaving_ = false;
 };
--- a/src/libcyclamenrun/gateway/relayed_feed.hpp
+++ b/src/libcyclamenrun/gateway/relayed_feed.hpp
@@ -3,7 +3,7 @@
 
 #include "directory.pb.h"
 #include "directory_messages.hpp"
-#include "directory_relays.hpp"
+#include "relay_clients.hpp"
 
 #include <algorithm>
 #include <functional>
@@ -39,7 +39,7 @@
 
     struct hooks {
         /** Unset, or returns null, in a deployment without monitors. */
-        std::function<std::shared_ptr<directory_relays>()> relays;
+        std::function<std::shared_ptr<relay_clients>()> relays;
         std::function<tl::expected<page, answer_problem>(
             const v1::DirectoryAnswer&)>
             read;
@@ -49,15 +49,16 @@
          * Longest time for which a monitor holds a call; bounds the time to
          * detect a monitor that has lost the directory.
          */
-        milliseconds longest_wait{900};
+        milliseconds max_wait{900};
         /** Called with the first page of many, before the others are read. */
         std::function<void(std::vector<Item>&&)> partial;
     };
 
-    relayed_feed(std::shared_ptr<link_reactor> reactor, v1::DirectoryFeed which,
+    relayed_feed(std::shared_ptr<link_reactor> reactor,
+                 v1::DirectoryFeed feed_kind,
                  std::shared_ptr<directory_feed<Item>> direct,
                  std::mt19937_64& random, hooks on)
-        : reactor_(std::move(reactor)), which_(which),
+        : reactor_(std::move(reactor)), feed_kind_(feed_kind),
           direct_(std::move(direct)), random_(random), on_(std::move(on))
     {
     }
@@ -76,24 +77,25 @@
 
 private:
     /** Monitors that one call tries before it reads the directory itself. */
-    static constexpr std::size_t most_tries = 2;
+    static constexpr std::size_t max_relay_tries = 2;
     /** Leaving monitors after which a call stops choosing replacements. */
-    static constexpr std::size_t most_leaving = 4;
+    static constexpr std::size_t max_leaving = 4;
     /** Time for a monitor's answer beyond the wait. The monitor's current read
      * ends first, and its next one may be slow. */
-    static constexpr milliseconds patience{800};
+    static constexpr milliseconds relay_timeout{800};
     /** Time for the directory's own answer after monitors have failed. */
-    static constexpr milliseconds direct_time{1200};
+    static constexpr milliseconds direct_timeout{1200};
     /** Least time between two direct calls while monitors report that the
      * directory is unavailable. A random addition of up to half of it spreads
      * the calls of the gateways. */
-    static constexpr milliseconds direct_spacing{2000};
-    static constexpr milliseconds relays_look{50};
-    /** The same for the newest records, as a monitor that has just started
-     * reads many pages first. */
-    static constexpr milliseconds newest_patience{3000};
+    static constexpr milliseconds direct_interval{2000};
+    /** Interval at which a waiting call checks whether a monitor responds. */
+    static constexpr milliseconds relay_poll_interval{50};
+    /** Time for a monitor's answer with the newest records. A monitor that has
+     * just started reads many pages first. */
+    static constexpr milliseconds newest_relay_timeout{3000};
     /** Time for a monitor to respond after the first of many pages. */
-    static constexpr milliseconds relays_due{1000};
+    static constexpr milliseconds relay_response_timeout{1000};
 
     struct call {
         std::optional<std::uint64_t> from;
@@ -102,148 +104,157 @@
         answered on_answer;
         std::vector<std::string> hosts = {};
         std::size_t tried = 0;
-        bool heard_away =
-            false; ///< a monitor reported that the directory is unavailable
-        std::size_t leaving =
-            0; ///< monitors that reported that their VM is leaving
-        /** Set once the first page is known: monitors have until then to
-         * respond and read the rest. */
-        std::optional<time_point> relays_by = {};
+        /** A monitor reported that the directory is unavailable. */
+        bool reported_unavailable = false;
+        /** Number of monitors that reported that their VM is leaving. */
+        std::size_t leaving = 0;
+        /** Set once the first page is known: the call waits until then for a
+         * monitor to respond, which reads the rest. */
+        std::optional<time_point> relays_deadline = {};
     };
 
-    void begin(call what) { begin(std::make_shared<call>(std::move(what))); }
+    void begin(call pending)
+    {
+        begin(std::make_shared<call>(std::move(pending)));
+    }
 
-    void begin(const std::shared_ptr<call>& what)
+    void begin(const std::shared_ptr<call>& pending)
     {
         relays_ = on_.relays ? on_.relays() : nullptr;
         if (relays_)
-            what->hosts = relays_->hosts();
-        if (relays_ && what->hosts.empty() && waits_for_relays(*what))
-            begin_later(what);
+            pending->hosts = relays_->usable_hosts();
+        if (relays_ && pending->hosts.empty() && waits_for_relays(*pending))
+            begin_later(pending);
         else
-            go_on(what);
+            try_next(pending);
     }
 
-    bool waits_for_relays(const call& what) const
+    bool waits_for_relays(const call& pending) const
     {
-        if (what.relays_by)
-            return steady_now() < *what.relays_by;
-        return what.from && relays_->expected();
+        if (pending.relays_deadline)
+            return steady_now() < *pending.relays_deadline;
+        return pending.from && relays_->awaits_first_report();
     }
 
-    void begin_later(const std::shared_ptr<call>& what)
+    void begin_later(const std::shared_ptr<call>& pending)
     {
-        reactor_->post_at(steady_now() + relays_look,
-                          [weak = this->weak_from_this(), what] {
+        reactor_->post_at(steady_now() + relay_poll_interval,
+                          [weak = this->weak_from_this(), pending] {
                               if (const auto self = weak.lock())
-                                  self->begin(what);
+                                  self->begin(pending);
                           });
     }
 
-    void go_on(const std::shared_ptr<call>& what)
+    void try_next(const std::shared_ptr<call>& pending)
     {
-        if (what->tried < std::min(most_tries, what->hosts.size()))
-            ask_relay(what);
+        if (pending->tried < std::min(max_relay_tries, pending->hosts.size()))
+            call_relay(pending);
         else
-            ask_directory(what);
+            call_directory(pending);
     }
 
-    void ask_relay(const std::shared_ptr<call>& what)
+    void call_relay(const std::shared_ptr<call>& pending)
     {
-        const auto& host = what->hosts[what->tried++];
+        const auto& host = pending->hosts[pending->tried++];
         v1::DirectoryCall message;
-        message.set_feed(which_);
-        if (what->from)
-            message.set_from(*what->from);
-        const auto wait = std::min(what->wait, on_.longest_wait);
+        message.set_feed(feed_kind_);
+        if (pending->from)
+            message.set_from(*pending->from);
+        const auto wait = std::min(pending->wait, on_.max_wait);
         message.set_wait_ms(static_cast<std::uint32_t>(wait.count()));
-        const auto time = what->from ? wait + patience : newest_patience;
-        relays_->ask(
+        const auto time =
+            pending->from ? wait + relay_timeout : newest_relay_timeout;
+        relays_->send_call(
             host, message, steady_now() + time,
-            [weak = this->weak_from_this(), what, host, asked = boot_now()](
-                const std::optional<v1::DirectoryAnswer>& answer) {
+            [weak = this->weak_from_this(), pending, host,
+             sent_at =
+                 boot_now()](const std::optional<v1::DirectoryAnswer>& answer) {
                 if (const auto self = weak.lock())
-                    self->take(what, host, asked, answer);
+                    self->handle_answer(pending, host, sent_at, answer);
             });
     }
 
-    void take(const std::shared_ptr<call>& what, const std::string& host,
-              boot_time asked, const std::optional<v1::DirectoryAnswer>& answer)
+    void handle_answer(const std::shared_ptr<call>& pending,
+                       const std::string& host, boot_time sent_at,
+                       const std::optional<v1::DirectoryAnswer>& answer)
     {
         if (!answer) {
-            go_on(what);
+            try_next(pending);
             return;
         }
         auto read = on_.read(*answer);
         if (read) {
-            read->asked = asked;
+            read->sent_at = sent_at;
             read->relayed = true;
             on_.relayed();
-            what->on_answer(std::move(*read));
+            pending->on_answer(std::move(*read));
             return;
         }
         if (read.error() == answer_problem::history_gone) {
-            what->on_answer(tl::unexpected(directory_problem::history_gone));
+            pending->on_answer(tl::unexpected(directory_problem::history_gone));
             return;
         }
         if (read.error() == answer_problem::leaving)
-            take_leaving(what, host);
+            handle_leaving(pending, host);
         else
-            take_away(what, host);
+            handle_unavailable(pending, host);
     }
 
-    void take_away(const std::shared_ptr<call>& what, const std::string& host)
+    void handle_unavailable(const std::shared_ptr<call>& pending,
+                            const std::string& host)
     {
-        what->heard_away = true;
+        pending->reported_unavailable = true;
         if (relays_)
-            relays_->without_directory(host);
-        go_on(what);
+            relays_->mark_without_directory(host);
+        try_next(pending);
     }
 
     /** Chooses other monitors; the next one may be leaving as well. */
-    void take_leaving(const std::shared_ptr<call>& what,
-                      const std::string& host)
+    void handle_leaving(const std::shared_ptr<call>& pending,
+                        const std::string& host)
     {
         if (relays_)
-            relays_->leaves(host);
-        if (++what->leaving < most_leaving) {
-            what->tried = 0;
-            begin(what);
+            relays_->mark_leaving(host);
+        if (++pending->leaving < max_leaving) {
+            pending->tried = 0;
+            begin(pending);
         } else {
-            go_on(what);
+            try_next(pending);
         }
     }
 
-    void ask_directory(const std::shared_ptr<call>& what)
+    void call_directory(const std::shared_ptr<call>& pending)
     {
         const auto now = steady_now();
-        if (what->heard_away && now < direct_after_) {
-            what->on_answer(tl::unexpected(directory_problem::unavailable));
+        if (pending->reported_unavailable && now < next_direct_at_) {
+            pending->on_answer(tl::unexpected(directory_problem::unavailable));
             return;
         }
         // Weak: the feed may hold the handler of a call that never completes.
-        auto answer = [weak = this->weak_from_this(), what, asked = boot_now()](
+        auto answer = [weak = this->weak_from_this(), pending,
+                       sent_at = boot_now()](
                           tl::expected<page, directory_problem> result) {
             const auto self = weak.lock();
             if (!self)
                 return;
             if (!result)
-                self->space_direct();
+                self->delay_direct_calls();
             else
-                result->asked = asked;
-            what->on_answer(std::move(result));
+                result->sent_at = sent_at;
+            pending->on_answer(std::move(result));
         };
         // Once monitors have failed, the call must complete soon.
-        const bool first = what->tried == 0;
-        const auto deadline = first
-                                  ? std::max(what->deadline, now + direct_time)
-                                  : now + direct_time;
-        if (what->from)
-            direct_->read_from(*what->from,
-                               first ? what->wait : milliseconds(0), deadline,
-                               std::move(answer));
+        const bool first = pending->tried == 0;
+        const auto deadline =
+            first ? std::max(pending->deadline, now + direct_timeout)
+                  : now + direct_timeout;
+        if (pending->from)
+            direct_->read_from(*pending->from,
+                               first ? pending->wait : milliseconds(0),
+                               deadline, std::move(answer));
         else
-            direct_->read_newest(deadline, std::move(answer), pages_of(what));
+            direct_->read_newest(deadline, std::move(answer),
+                                 first_page_handler(pending));
     }
 
     /**
@@ -252,12 +263,12 @@
      * together and each read all pages would share the directory's bandwidth
      * for so long that none of them finishes in time.
      */
-    page_read pages_of(const std::shared_ptr<call>& what)
+    page_read first_page_handler(const std::shared_ptr<call>& pending)
     {
-        if (!on_.partial || what->tried > 0 || what->relays_by)
+        if (!on_.partial || pending->tried > 0 || pending->relays_deadline)
             return {};
         return [weak = this->weak_from_this(),
-                what](const std::vector<Item>& so_far) {
+                pending](const std::vector<Item>& so_far) {
             const auto self = weak.lock();
             if (!self)
                 return false;
@@ -266,26 +277,27 @@
             if (!self->on_.relays || !self->on_.relays())
                 return true;
             self->on_.partial(std::vector<Item>(so_far));
-            what->relays_by = steady_now() + relays_due;
-            self->begin(what);
+            pending->relays_deadline = steady_now() + relay_response_timeout;
+            self->begin(pending);
             return false;
         };
     }
 
-    void space_direct()
+    void delay_direct_calls()
     {
         std::uniform_real_distribution<double> part(1.0, 1.5);
-        direct_after_ = steady_now() + std::chrono::duration_cast<milliseconds>(
-                                           part(random_) * direct_spacing);
+        next_direct_at_ =
+            steady_now() + std::chrono::duration_cast<milliseconds>(
+                               part(random_) * direct_interval);
     }
 
     std::shared_ptr<link_reactor> reactor_;
-    v1::DirectoryFeed which_;
+    v1::DirectoryFeed feed_kind_;
     std::shared_ptr<directory_feed<Item>> direct_;
     std::mt19937_64& random_;
     hooks on_;
-    std::shared_ptr<directory_relays> relays_;
-    time_point direct_after_{};
+    std::shared_ptr<relay_clients> relays_;
+    time_point next_direct_at_{};
 };
 
 } // namespace cyclamenrun
--- a/tests/gateway/gateway_fixture.cpp
+++ b/tests/gateway/gateway_fixture.cpp
@@ -225,12 +225,12 @@
 
 std::string gateway_fixture::request(const std::string& path,
                                      const std::string& key,
-                                     const std::string& more,
+                                     const std::string& extra_fields,
                                      const std::string& body)
 {
     return "POST " + path + " HTTP/1.1\r\nHost: test.example\r\nAttempt-Id: r" +
            std::to_string(++next_id) + "\r\nAuthorization: Bearer " + key +
-           "\r\nToken-Usage: 100,4000\r\nDeadline-Ms: 9000\r\n" + more +
+           "\r\nToken-Usage: 100,4000\r\nDeadline-Ms: 9000\r\n" + extra_fields +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -132,7 +132,7 @@
 
     /** The bytes of a request with a new id. */
     std::string request(const std::string& path, const std::string& key = "k1",
-                        const std::string& more = "",
+                        const std::string& extra_fields = "",
                         const std::string& body = "hello");
     caller_answer ask(const std::string& path, const std::string& key = "k1");
     std::string state();
--- a/tests/gateway/gateway_program.hpp
+++ b/tests/gateway/gateway_program.hpp
@@ -90,7 +90,7 @@
           settings(gateway_text(store))
     {
         store.put("keyed.op", "config", configuration_text(1, "k1"));
-        tell_upstream("ready");
+        put_upstream("ready");
         process = std::make_unique<child_process>(
             "cyclamenrun-gateway",
             std::vector<std::string>{"--settings", settings.path()});
@@ -108,7 +108,7 @@
         reply.reset();
     }
 
-    void tell_upstream(const std::string& state)
+    void put_upstream(const std::string& state)
     {
         store.put("keyed.servers", "i-1",
                   R"({"service":"app","address":")" +
--- a/tests/gateway/test_configuration_lease.cpp
+++ b/tests/gateway/test_configuration_lease.cpp
@@ -12,7 +12,7 @@
     return boot_time(milliseconds(ms));
 }
 
-TEST(configuration_lease, is_not_valid_before_the_first_proof)
+TEST(configuration_lease, is_not_valid_before_the_first_renewal)
 {
     const configuration_lease lease(milliseconds(5000));
     EXPECT_FALSE(lease.valid(at(0)));
@@ -22,7 +22,7 @@
 // Guards against a lease that outlives its term when a team's key is revoked
 // while this VM is suspended or cut off from the directory. The term counts
 // from when the last confirming call was sent, since the answer may be delayed.
-TEST(configuration_lease, ends_a_term_after_the_proof_was_asked_for)
+TEST(configuration_lease, ends_a_term_after_the_confirming_call_was_sent)
 {
     configuration_lease lease(milliseconds(5000));
     lease.renew(at(1000));
@@ -31,7 +31,7 @@
     EXPECT_EQ(lease.age(at(1500)), milliseconds(500));
 }
 
-TEST(configuration_lease, an_answer_that_was_overtaken_takes_nothing_back)
+TEST(configuration_lease, ignores_an_older_confirmation)
 {
     configuration_lease lease(milliseconds(5000));
     lease.renew(at(2000));
@@ -39,7 +39,7 @@
     EXPECT_TRUE(lease.valid(at(6500)));
 }
 
-TEST(configuration_lease, without_a_term_any_proof_is_enough)
+TEST(configuration_lease, without_a_term_does_not_end_after_a_renewal)
 {
     configuration_lease lease(std::nullopt);
     EXPECT_FALSE(lease.valid(at(0)));
--- a/tests/gateway/test_directory_messages.cpp
+++ b/tests/gateway/test_directory_messages.cpp
@@ -41,7 +41,7 @@
     EXPECT_FALSE(read->items[1].record);
 }
 
-TEST(directory_messages, tell_why_there_is_nothing)
+TEST(directory_messages, report_the_problem)
 {
     const auto problem = [](directory_problem what) {
         return read_upstreams(answer_of(what)).error();
@@ -55,11 +55,11 @@
 
 // Guards against invalid answers from a peer of another release or from an
 // unknown sender.
-TEST(directory_messages, are_refused_when_spoiled)
+TEST(directory_messages, are_refused_when_malformed)
 {
-    const auto problem = [](const auto& spoil) {
+    const auto problem = [](const auto& change_answer) {
         auto answer = good_answer();
-        spoil(answer);
+        change_answer(answer);
         const auto read = read_upstreams(answer);
         EXPECT_FALSE(read);
         return read ? answer_problem::unavailable : read.error();
@@ -87,7 +87,7 @@
 
 // Another writer has stored a configuration that can't be parsed. It is
 // reported as unreadable, and the valid configurations are still read.
-TEST(directory_messages, tell_of_configurations_that_can_not_be_read)
+TEST(directory_messages, report_unreadable_configurations)
 {
     directory_page<configuration_text> page;
     page.items = {{"garbage"}, {"7"}};
--- a/tests/gateway/test_directory_relay.cpp
+++ b/tests/gateway/test_directory_relay.cpp
@@ -55,7 +55,7 @@
                                std::string(R"({"queued":0,"active":0,)"
                                            R"("kv_used":0,"kv_total":99,)"
                                            R"("state":")") +
-                                   (leaves ? "draining" : "ready") + "\"}");
+                                   (draining ? "draining" : "ready") + "\"}");
               },
               host)
     {
@@ -69,8 +69,8 @@
                              platform::make_relay_feeds});
     }
 
-    std::atomic<bool> leaves =
-        false; ///< the engine reports that it is draining
+    /** The engine reports that it is draining. */
+    std::atomic<bool> draining = false;
     fake_upstream engine;
     std::unique_ptr<monitor_process> monitor;
 };
@@ -129,14 +129,14 @@
             std::make_unique<gateway_process>(settings, platform, [settings] {
                 return settings_outcome<gateway_settings>(settings);
             }));
-        EXPECT_TRUE(comes_to(*gateways.back(), "k1", 200));
+        EXPECT_TRUE(eventually_answers(*gateways.back(), "k1", 200));
         EXPECT_TRUE(!with_relays ||
-                    eventually([&] { return is_told(*gateways.back()); }));
+                    eventually([&] { return uses_relays(*gateways.back()); }));
         return *gateways.back();
     }
 
     /** The gateway's last read of each feed went through a monitor. */
-    bool is_told(gateway_process& gateway)
+    bool uses_relays(gateway_process& gateway)
     {
         return state_of(gateway).find("\"relayed\":true") != std::string::npos;
     }
@@ -160,7 +160,7 @@
         return condition();
     }
 
-    unsigned ask(gateway_process& gateway, const std::string& key)
+    unsigned status_of(gateway_process& gateway, const std::string& key)
     {
         test_caller caller(gateway.address());
         caller.send("GET /a/x HTTP/1.1\r\nHost: test.example\r\nAttempt-Id: r" +
@@ -169,19 +169,19 @@
         return caller.read().status();
     }
 
-    bool comes_to(gateway_process& gateway, const std::string& key,
-                  unsigned status)
+    bool eventually_answers(gateway_process& gateway, const std::string& key,
+                            unsigned status)
     {
-        return eventually([&] { return ask(gateway, key) == status; });
+        return eventually([&] { return status_of(gateway, key) == status; });
     }
 
     /** Checks that the gateway serves without a gap for longer than its lease.
      */
-    void expect_served_on(gateway_process& gateway)
+    void expect_served_beyond_lease(gateway_process& gateway)
     {
         const auto end = steady_now() + lease + milliseconds(1500);
         while (steady_now() < end) {
-            ASSERT_EQ(ask(gateway, "k1"), 200U);
+            ASSERT_EQ(status_of(gateway, "k1"), 200U);
             std::this_thread::sleep_for(milliseconds(20));
         }
     }
@@ -214,56 +214,56 @@
     EXPECT_GT(calls, 0);
 }
 
-TEST_F(relayed_directory, brings_what_is_new_to_all)
+TEST_F(relayed_directory, relays_changes_to_all_gateways)
 {
     auto& first = start_gateway();
     auto& second = start_gateway();
     store.put("keyed.op", "config", configuration(2, "k2"));
     for (auto* gateway : {&first, &second}) {
-        EXPECT_TRUE(comes_to(*gateway, "k2", 200));
-        EXPECT_EQ(ask(*gateway, "k1"), 401U);
+        EXPECT_TRUE(eventually_answers(*gateway, "k2", 200));
+        EXPECT_EQ(status_of(*gateway, "k1"), 401U);
     }
     store.put("keyed.servers", "app-1", "");
     for (auto* gateway : {&first, &second})
-        EXPECT_TRUE(comes_to(*gateway, "k2", 503));
+        EXPECT_TRUE(eventually_answers(*gateway, "k2", 503));
 }
 
 // Guards against refused callers when only this gateway's VM loses the store.
 // The monitors confirm its configuration and still report a revoked key.
-TEST_F(relayed_directory, serves_on_while_the_store_turns_the_gateway_away)
+TEST_F(relayed_directory, keeps_serving_while_only_the_gateway_is_cut_off)
 {
     auto& gateway = start_gateway();
     gateways_path.stall(way::to_target);
-    expect_served_on(gateway);
+    expect_served_beyond_lease(gateway);
     store.put("keyed.op", "config", configuration(2, "k2"));
-    EXPECT_TRUE(comes_to(gateway, "k1", 401));
-    EXPECT_EQ(ask(gateway, "k2"), 200U);
+    EXPECT_TRUE(eventually_answers(gateway, "k1", 401));
+    EXPECT_EQ(status_of(gateway, "k2"), 200U);
 }
 
 // Guards against a lease that ends while the relays are cut off from the store.
 // The relays notice it late, as their calls stay unanswered; the gateway must
 // read the store itself in time.
-TEST_F(relayed_directory, serves_on_while_the_relays_are_cut_off)
+TEST_F(relayed_directory, keeps_serving_while_the_relays_are_cut_off)
 {
     auto& gateway = start_gateway();
     monitors_path.stall(way::to_target);
-    expect_served_on(gateway);
+    expect_served_beyond_lease(gateway);
     monitors_path.cut();
-    expect_served_on(gateway);
+    expect_served_beyond_lease(gateway);
 }
 
 // Both VMs whose monitors relay the store lose power at once.
-TEST_F(relayed_directory, serves_on_when_the_relays_have_gone)
+TEST_F(relayed_directory, keeps_serving_when_the_relays_have_failed)
 {
     auto& gateway = start_gateway();
     engines.clear();
-    expect_served_on(gateway);
+    expect_served_beyond_lease(gateway);
 }
 
 // Guards against a burst of calls to the store when the VMs of both relays are
 // reclaimed at once, from gateways that read the store themselves until other
 // monitors respond.
-TEST_F(relayed_directory, asks_other_monitors_when_both_relays_leave)
+TEST_F(relayed_directory, uses_other_monitors_when_both_relays_leave)
 {
     add_engine("127.0.0.4");
     add_engine("127.0.0.5");
@@ -276,43 +276,43 @@
     for (std::size_t i = 0; i < fleet; ++i)
         start_gateway();
     const auto relays = choose_relays(candidates, "gateway-0", 2);
-    const auto own_calls = [&] { return gateways_path.carried(); };
-    const auto before = own_calls();
+    const auto direct_calls = [&] { return gateways_path.carried(); };
+    const auto before = direct_calls();
     for (const auto& each : engines)
-        each->leaves = std::find(relays.begin(), relays.end(),
-                                 each->engine.address().host) != relays.end();
+        each->draining = std::find(relays.begin(), relays.end(),
+                                   each->engine.address().host) != relays.end();
     std::this_thread::sleep_for(milliseconds(1500));
-    EXPECT_LT(own_calls() - before, fleet);
+    EXPECT_LT(direct_calls() - before, fleet);
     store.put("keyed.op", "config", configuration(2, "k2"));
     for (const auto& gateway : gateways)
-        EXPECT_TRUE(comes_to(*gateway, "k2", 200));
+        EXPECT_TRUE(eventually_answers(*gateway, "k2", 200));
 }
 
 // Guards against a revoked key that stays in use while the gateway and the
 // monitors are cut off from the store together: monitors must not renew a lease
 // from what they have cached.
-TEST_F(relayed_directory, keeps_no_key_alive_behind_a_cut)
+TEST_F(relayed_directory, ends_the_lease_when_gateway_and_relays_are_cut_off)
 {
     auto& gateway = start_gateway();
     gateways_path.stall(way::to_target);
     monitors_path.stall(way::to_target);
     const auto revoked_at = steady_now();
     store.put("keyed.op", "config", configuration(2, "k2"));
-    EXPECT_TRUE(comes_to(gateway, "k1", 503));
+    EXPECT_TRUE(eventually_answers(gateway, "k1", 503));
     EXPECT_LT(steady_now() - revoked_at, lease);
     std::this_thread::sleep_for(milliseconds(300));
-    EXPECT_EQ(ask(gateway, "k1"), 503U);
+    EXPECT_EQ(status_of(gateway, "k1"), 503U);
     gateways_path.cut();
     monitors_path.cut();
     gateways_path.heal();
     monitors_path.heal();
-    EXPECT_TRUE(comes_to(gateway, "k2", 200));
-    EXPECT_EQ(ask(gateway, "k1"), 401U);
+    EXPECT_TRUE(eventually_answers(gateway, "k2", 200));
+    EXPECT_EQ(status_of(gateway, "k1"), 401U);
 }
 
 // Guards against a fleet that floods an unavailable store with retries. Without
 // a common limit each gateway calls it ten times or more during the outage.
-TEST_F(relayed_directory, calls_a_store_that_is_away_but_now_and_then)
+TEST_F(relayed_directory, limits_calls_to_an_unavailable_store)
 {
     constexpr std::size_t fleet = 8;
     for (std::size_t i = 0; i < fleet; ++i)
@@ -329,7 +329,7 @@
     store.set_mood(stand_in_store::mood::sound);
     const auto back_at = steady_now();
     for (const auto& gateway : gateways)
-        EXPECT_TRUE(comes_to(*gateway, "k1", 200));
+        EXPECT_TRUE(eventually_answers(*gateway, "k1", 200));
     EXPECT_LT(steady_now() - back_at, milliseconds(2000));
 }
 
@@ -360,7 +360,7 @@
 }
 
 // The monitors do not respond, so the gateway reads all pages itself.
-TEST_F(relayed_directory, reads_a_long_directory_alone_if_it_has_to)
+TEST_F(relayed_directory, reads_a_long_directory_itself_without_relays)
 {
     store.set_page_size(1);
     engines.clear();
@@ -373,7 +373,7 @@
 
 // Guards against a lost change when the store deletes its history while relays
 // and gateways are at different offsets.
-TEST_F(relayed_directory, starts_anew_when_the_history_is_gone)
+TEST_F(relayed_directory, rereads_all_when_the_history_is_gone)
 {
     auto& gateway = start_gateway();
     store.set_mood(stand_in_store::mood::busy);
@@ -381,8 +381,8 @@
     store.put("keyed.op", "config", configuration(6, "k6"));
     store.drop_history();
     store.set_mood(stand_in_store::mood::sound);
-    EXPECT_TRUE(comes_to(gateway, "k6", 200));
-    EXPECT_EQ(ask(gateway, "k1"), 401U);
+    EXPECT_TRUE(eventually_answers(gateway, "k6", 200));
+    EXPECT_EQ(status_of(gateway, "k1"), 401U);
 }
 
 } // namespace
--- a/tests/gateway/test_feed_follower.cpp
+++ b/tests/gateway/test_feed_follower.cpp
@@ -76,7 +76,7 @@
 
 struct follower_record {
     std::vector<int> items;
-    int wholes = 0;
+    int complete_sets = 0;
     int current = 0;
     int lost = 0;
     int regained = 0;
@@ -92,14 +92,14 @@
     auto feed = std::make_shared<scripted_feed>(std::move(rest));
     follower_record record;
     feed_pace pace;
-    pace.first_retry = milliseconds(1);
-    pace.longest_retry = milliseconds(4);
+    pace.first_retry_delay = milliseconds(1);
+    pace.max_retry_delay = milliseconds(4);
     {
         link_loop loop;
         feed_follower<int>::hooks on;
         on.items = [&](std::vector<int>&& items, bool whole) {
             record.items.insert(record.items.end(), items.begin(), items.end());
-            record.wholes += whole ? 1 : 0;
+            record.complete_sets += whole ? 1 : 0;
         };
         on.current = [&](boot_time) { ++record.current; };
         on.lost = [&](directory_problem) { ++record.lost; };
@@ -112,16 +112,16 @@
     return record;
 }
 
-constexpr auto away = directory_problem::unavailable;
-constexpr auto gone = directory_problem::history_gone;
+constexpr auto outage_problem = directory_problem::unavailable;
+constexpr auto history_problem = directory_problem::history_gone;
 
-TEST(feed_follower, reads_the_newest_and_then_what_follows)
+TEST(feed_follower, reads_the_newest_and_then_later_records)
 {
     std::vector<scripted_feed::call> calls;
     const auto record =
         follow(page({1, 2}, 5), {page({3}, 6), page({}, 6)}, calls);
     EXPECT_EQ(record.items, (std::vector{1, 2, 3}));
-    EXPECT_EQ(record.wholes, 1);
+    EXPECT_EQ(record.complete_sets, 1);
     EXPECT_EQ(record.current, 3);
     ASSERT_EQ(calls.size(), 4U);
     EXPECT_TRUE(calls[0].newest);
@@ -131,12 +131,13 @@
 
 // The store is unavailable for a while. The follower keeps the known records,
 // continues at its offset, and reports the outage once.
-TEST(feed_follower, keeps_its_place_through_an_outage)
+TEST(feed_follower, keeps_its_offset_through_an_outage)
 {
     std::vector<scripted_feed::call> calls;
-    const auto record = follow(
-        page({1}, 5),
-        {tl::unexpected(away), tl::unexpected(away), page({2}, 6)}, calls);
+    const auto record = follow(page({1}, 5),
+                               {tl::unexpected(outage_problem),
+                                tl::unexpected(outage_problem), page({2}, 6)},
+                               calls);
     EXPECT_EQ(record.items, (std::vector{1, 2}));
     EXPECT_EQ(record.lost, 1);
     EXPECT_EQ(record.regained, 1);
@@ -147,13 +148,13 @@
 
 // The store has deleted the history at the follower's offset. The records in
 // between are lost, so the newest records have to be read again.
-TEST(feed_follower, starts_anew_when_the_history_is_gone)
+TEST(feed_follower, rereads_all_when_the_history_is_gone)
 {
     std::vector<scripted_feed::call> calls;
-    const auto record =
-        follow(page({1}, 5),
-               {tl::unexpected(gone), page({7}, 90), page({}, 90)}, calls);
-    EXPECT_EQ(record.wholes, 2);
+    const auto record = follow(
+        page({1}, 5),
+        {tl::unexpected(history_problem), page({7}, 90), page({}, 90)}, calls);
+    EXPECT_EQ(record.complete_sets, 2);
     EXPECT_EQ(record.items, (std::vector{1, 7}));
     EXPECT_TRUE(calls[2].newest);
     EXPECT_EQ(calls[3].offset, 90U);
@@ -176,12 +177,12 @@
         void read_from(std::uint64_t offset, milliseconds, time_point,
                        answered on_answer) override
         {
-            asked_from.push_back(offset);
-            held = std::move(on_answer);
+            requested_offsets.push_back(offset);
+            pending_answer = std::move(on_answer);
         }
 
-        std::vector<std::uint64_t> asked_from;
-        answered held;
+        std::vector<std::uint64_t> requested_offsets;
+        answered pending_answer;
     };
 
     held_follower()
@@ -191,7 +192,9 @@
             items.insert(items.end(), taken.begin(), taken.end());
         };
         on.pause = [this] { return pause; };
-        on.current = [this](boot_time asked) { proved.push_back(asked); };
+        on.current = [this](boot_time sent_at) {
+            confirmed.push_back(sent_at);
+        };
         follower = std::make_shared<feed_follower<int>>(
             loop.reactor(), feed, feed_pace(), std::move(on));
         loop.post([this] { follower->start(); });
@@ -213,7 +216,7 @@
     {
         for (int i = 0; i < 500; ++i) {
             bool there = false;
-            on_loop([&] { there = feed->asked_from.size() >= count; });
+            on_loop([&] { there = feed->requested_offsets.size() >= count; });
             if (there)
                 return;
             std::this_thread::sleep_for(milliseconds(10));
@@ -222,7 +225,7 @@
     }
 
     std::vector<int> items;
-    std::vector<boot_time> proved;
+    std::vector<boot_time> confirmed;
     milliseconds pause{0};
     std::shared_ptr<held_feed> feed = std::make_shared<held_feed>();
     std::shared_ptr<feed_follower<int>> follower;
@@ -231,16 +234,16 @@
 
 // Direct calls to the directory keep a pause between them. A relay limits the
 // rate itself, and a further pause would delay its updates.
-TEST_F(held_follower, pauses_after_calls_of_its_own_only)
+TEST_F(held_follower, pauses_after_direct_calls_only)
 {
     wait_for_call(1);
     pause = milliseconds(250);
     auto relayed = page({6}, 6);
     relayed.relayed = true;
-    on_loop([&] { feed->held(relayed); });
+    on_loop([&] { feed->pending_answer(relayed); });
     wait_for_call(2);
     const auto answered_at = steady_now();
-    on_loop([&] { feed->held(page({7}, 7)); });
+    on_loop([&] { feed->pending_answer(page({7}, 7)); });
     wait_for_call(3);
     EXPECT_GE(steady_now() - answered_at, milliseconds(150));
     on_loop([&] { EXPECT_EQ(items, (std::vector{1, 6, 7})); });
@@ -249,37 +252,37 @@
 // A call times out at one relay and is answered by another. The follower must
 // report the time at which the answered call was sent: a later time would
 // extend the lease beyond its term.
-TEST_F(held_follower, proves_what_it_knows_as_of_the_call_that_was_answered)
+TEST_F(held_follower, reports_when_the_answered_call_was_sent)
 {
     wait_for_call(1);
     auto relayed = page({}, 5);
-    relayed.asked = boot_now() - milliseconds(300);
+    relayed.sent_at = boot_now() - milliseconds(300);
     on_loop([&] {
-        feed->held(relayed);
-        EXPECT_EQ(proved.back(), *relayed.asked);
+        feed->pending_answer(relayed);
+        EXPECT_EQ(confirmed.back(), *relayed.sent_at);
     });
 }
 
 // After a long outage the next retry may be most of a second away. When another
 // feed reaches the directory, this one must retry at once, or callers are
 // refused without need.
-TEST_F(held_follower, tries_again_at_once_when_the_directory_is_back)
+TEST_F(held_follower, retries_at_once_when_the_directory_is_back)
 {
     for (std::size_t call = 1; call <= 5; ++call) {
         wait_for_call(call);
-        on_loop([&] { feed->held(tl::unexpected(away)); });
+        on_loop([&] { feed->pending_answer(tl::unexpected(outage_problem)); });
     }
     const auto back_at = steady_now();
-    on_loop([&] { follower->try_again_now(); });
+    on_loop([&] { follower->retry_now(); });
     wait_for_call(6);
     EXPECT_LE(steady_now() - back_at, milliseconds(400));
     // No further call is made during a call, or while nothing is lost.
-    on_loop([&] { follower->try_again_now(); });
+    on_loop([&] { follower->retry_now(); });
     pause = milliseconds(300);
-    on_loop([&] { feed->held(page({6}, 6)); });
-    on_loop([&] { follower->try_again_now(); });
+    on_loop([&] { feed->pending_answer(page({6}, 6)); });
+    on_loop([&] { follower->retry_now(); });
     std::this_thread::sleep_for(milliseconds(50));
-    on_loop([&] { EXPECT_EQ(feed->asked_from.size(), 6U); });
+    on_loop([&] { EXPECT_EQ(feed->requested_offsets.size(), 6U); });
 }
 
 } // namespace
--- a/tests/gateway/test_monitor_process.cpp
+++ b/tests/gateway/test_monitor_process.cpp
@@ -54,7 +54,7 @@
 // Guards against a race when a monitor stops while its loop still reads the
 // directory: two threads change the loop's table of sockets, and the process
 // aborts or hangs.
-TEST(monitor_process, ends_no_feed_under_its_loop)
+TEST(monitor_process, ends_its_loop_before_its_feeds)
 {
     fake_upstream engine(
         [](const arrived_request& request, upstream_reply& reply) {
--- a/tests/gateway/test_programs.cpp
+++ b/tests/gateway/test_programs.cpp
@@ -15,15 +15,15 @@
     store.put("keyed.op", "config", configuration_text(2, "k2"));
     wait_for_answer("k2", 200);
     EXPECT_EQ(ask("k1"), 401U);
-    tell_upstream("draining");
+    put_upstream("draining");
     wait_for_answer("k2", 503);
-    tell_upstream("ready");
+    put_upstream("ready");
     wait_for_answer("k2", 200);
 }
 
 // Records of another writer that can't be parsed must neither stop the reader
 // nor shift its offset.
-TEST_F(gateway_program, reads_on_behind_records_of_other_writers)
+TEST_F(gateway_program, skips_unreadable_records_of_other_writers)
 {
     store.put("keyed.servers", "i-2", "\xff\xfe garbage");
     store.put("keyed.op", "config", "{\"version\":\"seven\"}");
@@ -39,8 +39,8 @@
 TEST_F(gateway_program, serves_until_its_lease_ends_and_again_afterwards)
 {
     using mood = stand_in_store::mood;
-    for (const auto away : {mood::silent, mood::busy, mood::cutting}) {
-        store.set_mood(away);
+    for (const auto failure : {mood::silent, mood::busy, mood::cutting}) {
+        store.set_mood(failure);
         EXPECT_EQ(ask("k1"), 200U);
         wait_for_answer("k1", 503);
         store.set_mood(mood::sound);
@@ -53,7 +53,7 @@
 // A key is revoked while the store is unavailable, and the store deletes its
 // history before it recovers: a reader that continues at its offset would miss
 // the record.
-TEST_F(gateway_program, starts_anew_when_the_history_is_gone)
+TEST_F(gateway_program, rereads_all_when_the_history_is_gone)
 {
     store.set_mood(stand_in_store::mood::busy);
     EXPECT_TRUE(wait_for_log("directory_lost"));
@@ -65,7 +65,7 @@
     EXPECT_EQ(ask("k1"), 401U);
 }
 
-TEST_F(gateway_program, reads_its_settings_again_when_told)
+TEST_F(gateway_program, reloads_its_settings_on_a_signal)
 {
     settings.write("name = 7\n");
     process->signal(SIGHUP);
@@ -78,7 +78,7 @@
 }
 
 // The settings file names another store, and no signal is sent.
-TEST_F(gateway_program, notices_that_its_settings_have_changed)
+TEST_F(gateway_program, reloads_changed_settings_without_a_signal)
 {
     stand_in_store other;
     other.put("keyed.op", "config", configuration_text(4, "k4"));
@@ -92,7 +92,7 @@
     EXPECT_EQ(process->output().find("settings_unusable"), std::string::npos);
 }
 
-TEST_F(gateway_program, a_planned_stop_cuts_nothing)
+TEST_F(gateway_program, completes_running_requests_on_a_planned_stop)
 {
     may_answer = false;
     test_caller caller(address);
@@ -130,7 +130,7 @@
 
 // A record that can't be parsed is skipped, and the log and a metric name it,
 // so that an engineer can find out why an upstream is missing.
-TEST_F(gateway_program, tells_of_records_that_it_can_not_read)
+TEST_F(gateway_program, reports_unreadable_records)
 {
     store.put("keyed.servers", "i-7", R"({"service":7})");
     EXPECT_TRUE(wait_for_log(R"("event":"record_unreadable","name":"upstreams")"
@@ -140,7 +140,7 @@
                                    "{feed=\"upstreams\"} 1"));
 }
 
-TEST_F(gateway_program, tells_when_its_lease_ends_and_comes_back)
+TEST_F(gateway_program, logs_when_its_lease_ends_and_is_renewed)
 {
     store.set_mood(stand_in_store::mood::silent);
     EXPECT_TRUE(wait_for_log("lease_ended"));
@@ -153,7 +153,7 @@
 
 // Each log line must be JSON with the same four members, or the log collector
 // drops it.
-TEST_F(gateway_program, writes_json_lines_and_nothing_else)
+TEST_F(gateway_program, writes_only_json_lines)
 {
     EXPECT_EQ(ask("k1"), 200U);
     process->signal(SIGTERM);
--- a/tests/gateway/test_read_coalescer.cpp
+++ b/tests/gateway/test_read_coalescer.cpp
@@ -49,21 +49,21 @@
 protected:
     coalesced_reads() : reads(pace())
     {
-        (void)reads.ask(std::nullopt, milliseconds(0), now);
+        (void)reads.add_call(std::nullopt, milliseconds(0), now);
         (void)read(newest({change("a")}, 5));
     }
 
     static coalescer_pace pace()
     {
         coalescer_pace pace;
-        pace.most_changes = 3;
-        pace.most_calls = 4;
+        pace.max_changes = 3;
+        pace.max_calls = 4;
         return pace;
     }
 
-    coalescer::call_id ask(std::optional<std::uint64_t> from)
+    coalescer::call_id add_call(std::optional<std::uint64_t> from)
     {
-        return reads.ask(from, milliseconds(900), now).value();
+        return reads.add_call(from, milliseconds(900), now).value();
     }
 
     /** Advances to when the next read is due, and starts it. */
@@ -93,9 +93,9 @@
 
 TEST_F(coalesced_reads, answer_many_calls_with_one_read)
 {
-    const auto first = ask(5);
+    const auto first = add_call(5);
     now += milliseconds(4);
-    const auto second = ask(5);
+    const auto second = add_call(5);
     const auto sent = begin();
     EXPECT_EQ(sent.from, 5U);
     EXPECT_EQ(sent.wait, milliseconds(900) - pace().gather)
@@ -113,18 +113,19 @@
 // Guards against a lease renewed by a read that misses a revoked key. The key
 // is revoked after the read was sent, and a call that arrives after that must
 // wait for the next read.
-TEST_F(coalesced_reads, never_answer_a_call_that_came_after_the_read_was_sent)
+TEST_F(coalesced_reads,
+       never_answer_a_call_that_arrived_after_the_read_was_sent)
 {
-    ask(5);
+    add_call(5);
     (void)begin();
-    const auto late = ask(5);
+    const auto late_call = add_call(5);
     now += milliseconds(900);
     EXPECT_EQ(end(read_from(5, {})).size(), 1U);
     // The call has waited for its whole wait, so the next read has none.
     EXPECT_EQ(begin().wait, milliseconds(0));
     const auto answers = end(read_from(5, {change("b")}));
     ASSERT_EQ(answers.size(), 1U);
-    EXPECT_EQ(answers[0].call, late);
+    EXPECT_EQ(answers[0].call, late_call);
 }
 
 // Guards against a relay that reads the directory without a pause. Callers call
@@ -133,44 +134,45 @@
 // for them never stop.
 TEST(slow_reads, are_not_sent_back_to_back)
 {
-    constexpr milliseconds slow{20};
-    constexpr milliseconds again{2};
+    constexpr milliseconds read_delay{20};
+    constexpr milliseconds call_interval{2};
     constexpr milliseconds wait{900};
     constexpr int waits = 10;
     coalescer reads{coalescer_pace()};
     auto now = time_point(std::chrono::hours(1));
     const auto end = now + waits * wait;
-    std::multimap<time_point, std::optional<std::uint64_t>> coming;
+    std::multimap<time_point, std::optional<std::uint64_t>> arrivals;
     for (int i = 0; i < 50; ++i)
-        coming.emplace(now + i * milliseconds(17), std::nullopt);
-    const auto come_until = [&](time_point until) {
-        for (; !coming.empty() && coming.begin()->first <= until;
-             coming.erase(coming.begin()))
-            (void)reads.ask(coming.begin()->second, wait,
-                            coming.begin()->first);
+        arrivals.emplace(now + i * milliseconds(17), std::nullopt);
+    const auto add_arrivals = [&](time_point until) {
+        for (; !arrivals.empty() && arrivals.begin()->first <= until;
+             arrivals.erase(arrivals.begin()))
+            (void)reads.add_call(arrivals.begin()->second, wait,
+                                 arrivals.begin()->first);
     };
     int sent = 0;
     while (now < end) {
-        come_until(now);
+        add_arrivals(now);
         const auto due = reads.next_read();
         if (!due || *due > now) {
-            now = coming.empty() || (due && *due < coming.begin()->first)
+            now = arrivals.empty() || (due && *due < arrivals.begin()->first)
                       ? due.value()
-                      : coming.begin()->first;
+                      : arrivals.begin()->first;
             continue;
         }
         ++sent;
-        now += reads.begin_read(now).wait + slow;
-        come_until(now);
+        now += reads.begin_read(now).wait + read_delay;
+        add_arrivals(now);
         for (const auto& answer : reads.end_read(newest({}, 5), now))
-            coming.emplace(now + again, (*answer.result)->next_offset);
+            arrivals.emplace(now + call_interval,
+                             (*answer.result)->next_offset);
     }
     EXPECT_LE(sent, 2 * waits + 2) << "two groups of callers at most";
 }
 
-TEST_F(coalesced_reads, leave_heartbeats_out_and_tell_what_changes_back)
+TEST_F(coalesced_reads, omit_heartbeats_but_keep_reverted_changes)
 {
-    ask(5);
+    add_call(5);
     auto answers = read(read_from(
         5, {change("a"), change("a", true), change("a"), {"c", std::nullopt}}));
     ASSERT_EQ(answers.size(), 1U);
@@ -178,99 +180,99 @@
     EXPECT_EQ((*answers[0].result)->next_offset, 9U);
 }
 
-TEST_F(coalesced_reads, tell_each_caller_what_it_has_missed)
+TEST_F(coalesced_reads, return_the_changes_that_each_caller_has_missed)
 {
-    ask(5);
+    add_call(5);
     (void)read(read_from(5, {change("b"), change("c")}));
-    const auto behind = ask(6);
-    const auto knows_none = ask(std::nullopt);
+    const auto caller_behind = add_call(6);
+    const auto new_caller = add_call(std::nullopt);
     const auto answers = read(read_from(7, {{"a", std::nullopt}}));
     ASSERT_EQ(answers.size(), 2U);
-    EXPECT_EQ(answers[0].call, behind);
+    EXPECT_EQ(answers[0].call, caller_behind);
     ASSERT_EQ((*answers[0].result)->items.size(), 2U);
     EXPECT_EQ((*answers[0].result)->items[0].id, "c");
     EXPECT_FALSE((*answers[0].result)->items[1].record);
-    EXPECT_EQ(answers[1].call, knows_none);
+    EXPECT_EQ(answers[1].call, new_caller);
     EXPECT_EQ((*answers[1].result)->items.size(), 2U) << "b and c";
 }
 
 // A relay that has just started, or has dropped old changes, does not know
 // which changes a caller has missed. It must report that, or the caller never
 // gets them.
-TEST_F(coalesced_reads, admit_what_they_do_not_remember)
+TEST_F(coalesced_reads, report_when_the_history_is_incomplete)
 {
-    ask(4);
+    add_call(4);
     auto answers = read(read_from(5, {}));
     EXPECT_EQ(answers.at(0).result.error(), directory_problem::history_gone);
-    ask(5);
+    add_call(5);
     (void)read(read_from(
         5, {change("b"), change("c"), change("d"), change("e"), change("f")}));
-    ask(6);
+    add_call(6);
     answers = read(read_from(10, {}));
     EXPECT_EQ(answers.at(0).result.error(), directory_problem::history_gone);
-    ask(7);
+    add_call(7);
     answers = read(read_from(10, {}));
     EXPECT_EQ((*answers.at(0).result)->items.size(), 3U);
 }
 
 // The caller has received later records elsewhere than the directory returns
 // here.
-TEST_F(coalesced_reads, vouch_for_nothing_to_a_caller_that_knows_more)
+TEST_F(coalesced_reads, refuse_a_caller_that_is_ahead)
 {
-    ask(9);
+    add_call(9);
     const auto answers = read(read_from(5, {change("b")}));
     EXPECT_EQ(answers.at(0).result.error(), directory_problem::unavailable);
 }
 
-TEST_F(coalesced_reads, start_anew_when_the_history_is_gone)
+TEST_F(coalesced_reads, reread_all_when_the_history_is_gone)
 {
-    ask(5);
+    add_call(5);
     EXPECT_TRUE(read(tl::unexpected(directory_problem::history_gone)).empty());
-    const auto again = begin();
-    EXPECT_FALSE(again.from);
+    const auto second_read = begin();
+    EXPECT_FALSE(second_read.from);
     const auto answers = end(newest({change("b")}, 90));
     EXPECT_EQ(answers.at(0).result.error(), directory_problem::history_gone);
-    ask(std::nullopt);
+    add_call(std::nullopt);
     EXPECT_EQ((*read(read_from(90, {})).at(0).result)->next_offset, 90U);
 }
 
 // The directory is unavailable. Waiting calls are refused at once, so that
 // their callers can try elsewhere. Reads are retried with backoff, and only
 // while calls are pending.
-TEST_F(coalesced_reads, tell_at_once_that_the_directory_is_away)
+TEST_F(coalesced_reads, refuse_calls_at_once_when_the_directory_is_unavailable)
 {
     auto last = milliseconds(0);
-    ask(5);
+    add_call(5);
     for (int i = 0; i < 6; ++i) {
         const auto answers =
             read(tl::unexpected(directory_problem::unavailable));
         ASSERT_EQ(answers.size(), 1U);
         EXPECT_EQ(answers[0].result.error(), directory_problem::unavailable);
         EXPECT_FALSE(reads.next_read());
-        ask(5);
+        add_call(5);
         const auto pause =
             std::chrono::duration_cast<milliseconds>(*reads.next_read() - now);
         EXPECT_GE(pause, last);
-        EXPECT_LE(pause, pace().longest_retry);
+        EXPECT_LE(pause, pace().max_retry_delay);
         last = pause;
     }
-    EXPECT_EQ(last, pace().longest_retry);
+    EXPECT_EQ(last, pace().max_retry_delay);
 }
 
 // A connection to the directory does not respond. The calls that wait for its
 // read are refused in time for their callers to try elsewhere before their
 // lease ends.
-TEST_F(coalesced_reads, give_up_on_a_read_that_hangs)
+TEST_F(coalesced_reads, time_out_a_read_that_hangs)
 {
-    ask(5);
+    add_call(5);
     (void)begin();
-    const auto late = ask(5);
-    now = *reads.overdue_at() - milliseconds(1);
-    EXPECT_TRUE(reads.give_up(now).empty());
+    const auto late_call = add_call(5);
+    now = *reads.timeout_at() - milliseconds(1);
+    EXPECT_TRUE(reads.expire_read(now).empty());
     now += milliseconds(1);
-    const auto answers = reads.give_up(now);
+    const auto answers = reads.expire_read(now);
     ASSERT_EQ(answers.size(), 1U);
-    EXPECT_NE(answers[0].call, late);
+    EXPECT_NE(answers[0].call, late_call);
     EXPECT_EQ(answers[0].result.error(), directory_problem::unavailable);
     EXPECT_EQ(reads.calls(), 1U);
 }
@@ -278,21 +280,21 @@
 TEST_F(coalesced_reads, hold_a_bounded_number_of_calls)
 {
     for (int i = 0; i < 4; ++i)
-        ask(5);
-    EXPECT_FALSE(reads.ask(5, milliseconds(900), now));
+        add_call(5);
+    EXPECT_FALSE(reads.add_call(5, milliseconds(900), now));
     EXPECT_EQ(reads.refuse_all(directory_problem::leaving).size(), 4U);
     EXPECT_EQ(reads.calls(), 0U);
 }
 
-TEST_F(coalesced_reads, forget_callers_that_have_left)
+TEST_F(coalesced_reads, drop_calls_of_disconnected_callers)
 {
-    const auto left = ask(5);
-    const auto stays = ask(5);
+    const auto disconnected = add_call(5);
+    const auto connected = add_call(5);
     (void)begin();
-    reads.forget(left);
+    reads.remove_call(disconnected);
     const auto answers = end(read_from(5, {}));
     ASSERT_EQ(answers.size(), 1U);
-    EXPECT_EQ(answers[0].call, stays);
+    EXPECT_EQ(answers[0].call, connected);
 }
 
 /**
@@ -300,10 +302,10 @@
  * Messages are delayed, processes are suspended for seconds, and relays lose
  * the directory.
  */
-class lease_world
+class lease_simulation
 {
 public:
-    explicit lease_world(unsigned seed) : random_(seed)
+    explicit lease_simulation(unsigned seed) : random_(seed)
     {
         for (auto& each : relays_)
             each.reads.emplace(coalescer_pace());
@@ -313,15 +315,15 @@
     bool run()
     {
         for (long at = 0; at < duration_ms; at += 50)
-            this->at(at, [this] { disturb(); });
+            this->at(at, [this] { inject_faults(); });
         for (std::size_t i = 0; i < gateways_.size(); ++i)
-            at(chance(100), [this, i] { ask(i); });
-        while (!events_.empty() && sound_) {
+            at(random_below(100), [this, i] { send_call(i); });
+        while (!events_.empty() && lease_respected_) {
             const auto event = events_.extract(events_.begin());
             now_ = event.key();
             event.mapped()();
         }
-        return sound_;
+        return lease_respected_;
     }
 
     int renewals() const { return renewals_; }
@@ -334,7 +336,7 @@
     static constexpr long term_ms = 4600;
 
     struct process {
-        long frozen_until = 0;
+        long suspended_until = 0;
     };
     struct relay : process {
         std::optional<text_coalescer> reads;
@@ -348,143 +350,156 @@
         std::uint64_t version = 0; ///< versions accepted are 1, 2, ...
         configuration_lease lease{milliseconds(term_ms)};
         std::uint64_t call = 0;
-        bool asking = false;
+        bool call_pending = false;
     };
 
-    long chance(long below) { return static_cast<long>(random_() % below); }
+    long random_below(long below)
+    {
+        return static_cast<long>(random_() % below);
+    }
     void at(long when, std::function<void()> what)
     {
         events_.emplace(std::max(when, now_), std::move(what));
     }
     /** A message delay: mostly some ms, sometimes seconds. */
-    long delay() { return chance(20) == 0 ? chance(6000) : 1 + chance(20); }
+    long delay()
+    {
+        return random_below(20) == 0 ? random_below(6000)
+                                     : 1 + random_below(20);
+    }
     /** Runs `what` once the process is not suspended. */
-    void on(process& who, std::function<void()> what)
+    void run_when_active(process& target, std::function<void()> what)
     {
-        if (who.frozen_until <= now_) {
+        if (target.suspended_until <= now_) {
             what();
             return;
         }
-        at(who.frozen_until,
-           [this, &who, what = std::move(what)] { on(who, what); });
+        at(target.suspended_until, [this, &target, what = std::move(what)] {
+            run_when_active(target, what);
+        });
     }
     boot_time boot() const { return boot_time(milliseconds(now_)); }
     time_point steady() const { return time_point(milliseconds(now_)); }
 
-    void disturb()
+    void inject_faults()
     {
-        if (chance(40) == 0)
+        if (random_below(40) == 0)
             accepted_.push_back(now_);
-        if (chance(60) == 0)
-            relays_.at(chance(2)).frozen_until = now_ + chance(6000);
-        if (chance(60) == 0)
-            gateways_.at(chance(3)).frozen_until = now_ + chance(6000);
-        if (chance(40) == 0)
-            relays_.at(chance(2)).cut = chance(2) == 0;
+        if (random_below(60) == 0)
+            relays_.at(random_below(2)).suspended_until =
+                now_ + random_below(6000);
+        if (random_below(60) == 0)
+            gateways_.at(random_below(3)).suspended_until =
+                now_ + random_below(6000);
+        if (random_below(40) == 0)
+            relays_.at(random_below(2)).cut = random_below(2) == 0;
         for (auto& each : gateways_)
             check(each);
     }
 
-    void check(const gateway& who)
+    void check(const gateway& each)
     {
-        if (who.frozen_until > now_ || !who.lease.valid(boot()))
+        if (each.suspended_until > now_ || !each.lease.valid(boot()))
             return;
         const auto must_know = static_cast<std::uint64_t>(
             std::upper_bound(accepted_.begin(), accepted_.end(),
                              now_ - term_ms) -
             accepted_.begin());
-        sound_ = sound_ && who.version >= must_know;
+        lease_respected_ = lease_respected_ && each.version >= must_know;
     }
 
-    void ask(std::size_t index)
+    void send_call(std::size_t index)
     {
-        auto& who = gateways_.at(index);
+        auto& sender = gateways_.at(index);
         if (now_ >= duration_ms)
             return;
-        const auto call = ++who.call;
-        who.asking = true;
-        const auto asked = boot();
-        const auto from = who.offset;
-        auto& asked_relay = relays_.at(chance(2));
+        const auto call = ++sender.call;
+        sender.call_pending = true;
+        const auto sent_at = boot();
+        const auto from = sender.offset;
+        auto& target_relay = relays_.at(random_below(2));
         // After a timeout the gateway calls a relay again; a late answer to
         // this call may still arrive.
         at(now_ + 1700, [this, index, call] {
-            on(gateways_.at(index), [this, index, call] {
+            run_when_active(gateways_.at(index), [this, index, call] {
                 if (gateways_.at(index).call == call &&
-                    gateways_.at(index).asking)
-                    ask(index);
+                    gateways_.at(index).call_pending)
+                    send_call(index);
             });
         });
-        at(now_ + delay(), [this, index, call, asked, from, &asked_relay] {
-            on(asked_relay, [this, index, call, asked, from, &asked_relay] {
-                take_call(index, call, asked, from, asked_relay);
+        at(now_ + delay(), [this, index, call, sent_at, from, &target_relay] {
+            run_when_active(target_relay, [this, index, call, sent_at, from,
+                                           &target_relay] {
+                handle_call(index, call, sent_at, from, target_relay);
             });
         });
     }
 
-    void take_call(std::size_t index, std::uint64_t call, boot_time asked,
-                   std::optional<std::uint64_t> from, relay& at_relay)
+    void handle_call(std::size_t index, std::uint64_t call, boot_time sent_at,
+                     std::optional<std::uint64_t> from, relay& receiver)
     {
-        const auto id = at_relay.reads->ask(from, milliseconds(900), steady());
+        const auto id =
+            receiver.reads->add_call(from, milliseconds(900), steady());
         if (!id)
             return;
-        at_relay.waiting[*id] = [this, index, call, asked,
+        receiver.waiting[*id] = [this, index, call, sent_at,
                                  from](const text_coalescer::answer& answer) {
-            at(now_ + delay(), [this, index, call, asked, from, answer] {
-                on(gateways_.at(index),
-                   [this, index, call, asked, from, answer] {
-                       take_answer(index, call, asked, from, answer);
-                   });
+            at(now_ + delay(), [this, index, call, sent_at, from, answer] {
+                run_when_active(gateways_.at(index), [this, index, call,
+                                                      sent_at, from, answer] {
+                    handle_answer(index, call, sent_at, from, answer);
+                });
             });
         };
-        look(at_relay);
+        schedule_read(receiver);
     }
 
-    void look(relay& who)
+    void schedule_read(relay& reader)
     {
-        const auto due = who.reads->next_read();
+        const auto due = reader.reads->next_read();
         if (!due)
             return;
         const auto when =
             std::chrono::duration_cast<milliseconds>(due->time_since_epoch())
                 .count();
-        at(when, [this, &who] {
-            on(who, [this, &who] {
-                const auto next = who.reads->next_read();
+        at(when, [this, &reader] {
+            run_when_active(reader, [this, &reader] {
+                const auto next = reader.reads->next_read();
                 if (next && *next <= steady())
-                    read(who);
+                    read(reader);
             });
         });
     }
 
-    void read(relay& who)
+    void read(relay& reader)
     {
-        const auto sent = who.reads->begin_read(steady());
-        at(now_ + delay(), [this, &who, sent] { serve(who, sent); });
+        const auto sent = reader.reads->begin_read(steady());
+        at(now_ + delay(), [this, &reader, sent] { serve_read(reader, sent); });
     }
 
     /** Simulates the directory, which holds a read until there is a record. */
-    void serve(relay& who, const text_coalescer::read& asked)
+    void serve_read(relay& reader, const text_coalescer::read& request)
     {
         const auto end = accepted_.size();
-        const bool holds = asked.from && *asked.from >= end &&
-                           asked.wait > milliseconds(0) && !who.cut;
+        const bool holds = request.from && *request.from >= end &&
+                           request.wait > milliseconds(0) && !reader.cut;
         if (holds) {
-            const auto step = std::min(milliseconds(50), asked.wait);
-            at(now_ + step.count(), [this, &who, asked, step] {
-                serve(who, {asked.from, asked.wait - step});
+            const auto step = std::min(milliseconds(50), request.wait);
+            at(now_ + step.count(), [this, &reader, request, step] {
+                serve_read(reader, {request.from, request.wait - step});
             });
             return;
         }
         tl::expected<text_page, directory_problem> result =
             tl::unexpected(directory_problem::unavailable);
-        if (!who.cut)
-            result = records(asked.from);
-        at(now_ + delay(), [this, &who, result] {
-            on(who, [this, &who, result] {
-                for (const auto& answer : who.reads->end_read(result, steady()))
-                    tell(who, answer);
-                look(who);
+        if (!reader.cut)
+            result = records(request.from);
+        at(now_ + delay(), [this, &reader, result] {
+            run_when_active(reader, [this, &reader, result] {
+                for (const auto& answer :
+                     reader.reads->end_read(result, steady()))
+                    deliver(reader, answer);
+                schedule_read(reader);
             });
         });
     }
@@ -502,37 +517,37 @@
         return page;
     }
 
-    void tell(relay& who, const text_coalescer::answer& answer)
+    void deliver(relay& reader, const text_coalescer::answer& answer)
     {
-        const auto found = who.waiting.find(answer.call);
-        if (found == who.waiting.end())
+        const auto found = reader.waiting.find(answer.call);
+        if (found == reader.waiting.end())
             return;
         const auto on_answer = std::move(found->second);
-        who.waiting.erase(found);
+        reader.waiting.erase(found);
         on_answer(answer);
     }
 
-    void take_answer(std::size_t index, std::uint64_t call, boot_time asked,
-                     std::optional<std::uint64_t> from,
-                     const text_coalescer::answer& answer)
+    void handle_answer(std::size_t index, std::uint64_t call, boot_time sent_at,
+                       std::optional<std::uint64_t> from,
+                       const text_coalescer::answer& answer)
     {
-        auto& who = gateways_.at(index);
-        const bool latest = who.call == call;
-        if (answer.result && who.offset == from) {
+        auto& receiver = gateways_.at(index);
+        const bool latest = receiver.call == call;
+        if (answer.result && receiver.offset == from) {
             for (const auto& item : (*answer.result)->items)
-                who.version = std::max(who.version,
-                                       std::uint64_t{std::stoull(item.text)});
-            who.offset = (*answer.result)->next_offset;
-            who.lease.renew(asked);
+                receiver.version = std::max(
+                    receiver.version, std::uint64_t{std::stoull(item.text)});
+            receiver.offset = (*answer.result)->next_offset;
+            receiver.lease.renew(sent_at);
             ++renewals_;
         } else if (!answer.result && latest &&
                    answer.result.error() == directory_problem::history_gone) {
-            who.offset.reset();
+            receiver.offset.reset();
         }
         if (!latest)
             return;
-        who.asking = false;
-        ask(index);
+        receiver.call_pending = false;
+        send_call(index);
     }
 
     std::mt19937 random_;
@@ -541,7 +556,7 @@
     std::vector<long> accepted_; ///< time at which each version was accepted
     std::array<relay, 2> relays_;
     std::array<gateway, 3> gateways_;
-    bool sound_ = true;
+    bool lease_respected_ = true;
     int renewals_ = 0;
 };
 
@@ -552,9 +567,9 @@
     constexpr unsigned seeds = 3000;
     int renewals = 0;
     for (unsigned seed = 0; seed < seeds; ++seed) {
-        lease_world world(seed);
-        ASSERT_TRUE(world.run()) << "seed " << seed;
-        renewals += world.renewals();
+        lease_simulation simulation(seed);
+        ASSERT_TRUE(simulation.run()) << "seed " << seed;
+        renewals += simulation.renewals();
     }
     EXPECT_GT(renewals, static_cast<int>(seeds) * 20) << "leases are renewed";
 }
