--- a/src/libcyclamenrun/gateway/gateway_process.cpp
+++ b/src/libcyclamenrun/gateway/gateway_process.cpp
@@ -375,21 +375,21 @@
 bool gateway_process::drain()
 {
     const auto started_at = steady_now();
-    const auto give_up_at =
+    const auto drain_deadline =
         started_at +
         std::max(stop_grace(settings_) - stop_margin, milliseconds(0));
-    on_loop([this, give_up_at] {
+    on_loop([this, drain_deadline] {
         context_->stopping = true;
-        context_->stop_at = give_up_at;
+        context_->stop_at = drain_deadline;
     });
     std::this_thread::sleep_until(
-        std::min(started_at + settings_.balancer_wait, give_up_at));
+        std::min(started_at + settings_.balancer_wait, drain_deadline));
     on_loop([this] {
         caller_server_->stop_accepting();
         caller_server_->close_idle();
     });
     bool idle = false;
-    while (!idle && steady_now() < give_up_at) {
+    while (!idle && steady_now() < drain_deadline) {
         std::this_thread::sleep_for(stop_check_interval);
         on_loop([&] { idle = context_->running.empty(); });
     }
--- a/src/libcyclamenrun/gateway/read_coalescer.hpp
+++ b/src/libcyclamenrun/gateway/read_coalescer.hpp
@@ -187,8 +187,9 @@
 
     static milliseconds remaining_time(time_point end, time_point now)
     {
-        const auto left = std::chrono::duration_cast<milliseconds>(end - now);
-        return std::max(left, milliseconds(0));
+        const auto remaining =
+            std::chrono::duration_cast<milliseconds>(end - now);
+        return std::max(remaining, milliseconds(0));
     }
 
     outcome answer_to(std::optional<std::uint64_t> from) const
--- a/tests/gateway/gateway_fixture.cpp
+++ b/tests/gateway/gateway_fixture.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::chrono::seconds limit{10};
+constexpr std::chrono::seconds wait_timeout{10};
 
 gateway_route route(const std::string& prefix, const std::string& service)
 {
@@ -43,7 +43,7 @@
     : socket_(Poco::Net::SocketAddress(address))
 {
     socket_.setNoDelay(true);
-    socket_.setReceiveTimeout(Poco::Timespan(limit.count(), 0));
+    socket_.setReceiveTimeout(Poco::Timespan(wait_timeout.count(), 0));
     start();
 }
 
@@ -171,7 +171,7 @@
         "\"configuration_version\":" + std::to_string(configuration.version) +
         ",";
     configurations->push(std::move(configuration));
-    const auto deadline = steady_now() + limit;
+    const auto deadline = steady_now() + wait_timeout;
     while (state().find(wanted) == std::string::npos && steady_now() < deadline)
         std::this_thread::sleep_for(milliseconds(5));
 }
@@ -218,7 +218,7 @@
 void gateway_fixture::wait_for_upstreams(std::size_t count)
 {
     const auto wanted = "\"upstreams\":" + std::to_string(count) + ",";
-    const auto deadline = steady_now() + limit;
+    const auto deadline = steady_now() + wait_timeout;
     while (state().find(wanted) == std::string::npos && steady_now() < deadline)
         std::this_thread::sleep_for(milliseconds(5));
 }
--- a/tests/gateway/gateway_program.hpp
+++ b/tests/gateway/gateway_program.hpp
@@ -125,7 +125,7 @@
                "\r\nDeadline-Ms: 4000\r\n\r\n";
     }
 
-    unsigned ask(const std::string& key)
+    unsigned status_of(const std::string& key)
     {
         test_caller caller(address);
         caller.send(request_text(key));
@@ -136,7 +136,7 @@
     {
         const auto deadline = steady_now() + std::chrono::seconds(10);
         unsigned last = 0;
-        while ((last = ask(key)) != status && steady_now() < deadline)
+        while ((last = status_of(key)) != status && steady_now() < deadline)
             std::this_thread::sleep_for(milliseconds(10));
         EXPECT_EQ(last, status);
     }
--- a/tests/gateway/stand_in_store.cpp
+++ b/tests/gateway/stand_in_store.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-std::string number(std::uint64_t value, unsigned bytes)
+std::string big_endian(std::uint64_t value, unsigned bytes)
 {
     std::string text;
     for (unsigned left = bytes; left > 0; --left)
@@ -30,17 +30,17 @@
     return out.str();
 }
 
-std::string framed(const std::string& key, const std::string& value)
+std::string frame_record(const std::string& key, const std::string& value)
 {
-    const auto content = number(key.size(), 1) + key + value;
-    return number(content.size(), 4) + content;
+    const auto content = big_endian(key.size(), 1) + key + value;
+    return big_endian(content.size(), 4) + content;
 }
 
 } // namespace
 
 stand_in_store::stand_in_store()
     : server_([this](const arrived_request& request, upstream_reply& reply) {
-          play(request, reply);
+          handle_request(request, reply);
       })
 {
 }
@@ -74,47 +74,51 @@
         topic.first = topic.records.size();
 }
 
-void stand_in_store::play(const arrived_request& request, upstream_reply& reply)
+void stand_in_store::handle_request(const arrived_request& request,
+                                    upstream_reply& reply)
 {
     const Poco::URI uri(request.head.target);
     std::map<std::string, std::string> query;
     for (const auto& [name, value] : uri.getQueryParameters())
         query[name] = value;
-    mood now = mood::sound;
+    mood current_mood = mood::healthy;
     {
         const std::scoped_lock lock(mutex_);
-        now = mood_;
+        current_mood = mood_;
     }
-    if (now == mood::busy)
+    if (current_mood == mood::busy)
         reply.answer(request, 503, "{}");
-    else if (now == mood::silent)
+    else if (current_mood == mood::silent)
         reply.wait_for_close();
-    else if (now == mood::cutting)
+    else if (current_mood == mood::disconnecting)
         reply.close();
     else if (uri.getPath() == "/log-newest")
-        newest(query, request, reply);
+        serve_newest(query, request, reply);
     else
-        read(query, request, reply);
+        serve_read(query, request, reply);
 }
 
-void stand_in_store::read(const std::map<std::string, std::string>& query,
-                          const arrived_request& request, upstream_reply& reply)
+void stand_in_store::serve_read(const std::map<std::string, std::string>& query,
+                                const arrived_request& request,
+                                upstream_reply& reply)
 {
     const auto from = std::stoul(query.at("from"));
     const std::chrono::milliseconds wait(std::stol(query.at("wait_ms")));
     std::unique_lock lock(mutex_);
     auto& topic = topics_[query.at("topic")];
     changed_.wait_for(lock, wait, [&] {
-        return topic.records.size() > from || stopping_ || mood_ != mood::sound;
+        return topic.records.size() > from || stopping_ ||
+               mood_ != mood::healthy;
     });
     if (from < topic.first) {
         lock.unlock();
         reply.answer(request, 410, "{}");
         return;
     }
-    std::string body = number(topic.records.size(), 8) + number(topic.first, 8);
+    std::string body =
+        big_endian(topic.records.size(), 8) + big_endian(topic.first, 8);
     for (auto at = from; at < topic.records.size(); ++at)
-        body += framed(topic.records[at].key, topic.records[at].value);
+        body += frame_record(topic.records[at].key, topic.records[at].value);
     lock.unlock();
     reply.answer(request, 200, body);
 }
@@ -134,9 +138,9 @@
     page_size_ = records;
 }
 
-void stand_in_store::newest(const std::map<std::string, std::string>& query,
-                            const arrived_request& request,
-                            upstream_reply& reply)
+void stand_in_store::serve_newest(
+    const std::map<std::string, std::string>& query,
+    const arrived_request& request, upstream_reply& reply)
 {
     std::unique_lock lock(mutex_);
     const auto& topic = topics_[query.at("topic")];
--- a/tests/gateway/stand_in_store.hpp
+++ b/tests/gateway/stand_in_store.hpp
@@ -22,10 +22,10 @@
 {
 public:
     enum class mood : std::uint8_t {
-        sound,
-        busy,   ///< answers 503
-        silent, ///< accepts calls and does not answer
-        cutting ///< closes the connection without an answer
+        healthy,
+        busy,         ///< answers 503
+        silent,       ///< accepts calls and does not answer
+        disconnecting ///< closes the connection without an answer
     };
 
     stand_in_store();
@@ -57,16 +57,16 @@
         std::size_t first = 0;
     };
 
-    void play(const arrived_request& request, upstream_reply& reply);
-    void read(const std::map<std::string, std::string>& query,
-              const arrived_request& request, upstream_reply& reply);
-    void newest(const std::map<std::string, std::string>& query,
-                const arrived_request& request, upstream_reply& reply);
+    void handle_request(const arrived_request& request, upstream_reply& reply);
+    void serve_read(const std::map<std::string, std::string>& query,
+                    const arrived_request& request, upstream_reply& reply);
+    void serve_newest(const std::map<std::string, std::string>& query,
+                      const arrived_request& request, upstream_reply& reply);
 
     std::mutex mutex_;
     std::condition_variable changed_;
     std::map<std::string, topic_log> topics_;
-    mood mood_ = mood::sound;
+    mood mood_ = mood::healthy;
     std::size_t page_size_ = 500;
     bool stopping_ = false;
     fake_upstream server_;
--- a/tests/gateway/test_directory_relay.cpp
+++ b/tests/gateway/test_directory_relay.cpp
@@ -326,7 +326,7 @@
     // every 0.4 s.
     const auto bound = fleet * 2 * (seconds / 2 + 1) + 2 * 2 * seconds / 0.4;
     EXPECT_LE(static_cast<double>(store.calls() - before), bound);
-    store.set_mood(stand_in_store::mood::sound);
+    store.set_mood(stand_in_store::mood::healthy);
     const auto back_at = steady_now();
     for (const auto& gateway : gateways)
         EXPECT_TRUE(eventually_answers(*gateway, "k1", 200));
@@ -380,7 +380,7 @@
     store.put("keyed.op", "config", configuration(5, "k5"));
     store.put("keyed.op", "config", configuration(6, "k6"));
     store.drop_history();
-    store.set_mood(stand_in_store::mood::sound);
+    store.set_mood(stand_in_store::mood::healthy);
     EXPECT_TRUE(eventually_answers(gateway, "k6", 200));
     EXPECT_EQ(status_of(gateway, "k1"), 401U);
 }
--- a/tests/gateway/test_programs.cpp
+++ b/tests/gateway/test_programs.cpp
@@ -11,10 +11,10 @@
 
 TEST_F(gateway_program, follows_the_store)
 {
-    EXPECT_EQ(ask("k2"), 401U);
+    EXPECT_EQ(status_of("k2"), 401U);
     store.put("keyed.op", "config", configuration_text(2, "k2"));
     wait_for_answer("k2", 200);
-    EXPECT_EQ(ask("k1"), 401U);
+    EXPECT_EQ(status_of("k1"), 401U);
     put_upstream("draining");
     wait_for_answer("k2", 503);
     put_upstream("ready");
@@ -30,7 +30,7 @@
     store.put("keyed.op", "other", configuration_text(9, "k9"));
     store.put("keyed.op", "config", configuration_text(2, "k2"));
     wait_for_answer("k2", 200);
-    EXPECT_EQ(ask("k9"), 401U);
+    EXPECT_EQ(status_of("k9"), 401U);
 }
 
 // The store is unavailable for longer than the lease, in each way in which it
@@ -39,11 +39,11 @@
 TEST_F(gateway_program, serves_until_its_lease_ends_and_again_afterwards)
 {
     using mood = stand_in_store::mood;
-    for (const auto failure : {mood::silent, mood::busy, mood::cutting}) {
+    for (const auto failure : {mood::silent, mood::busy, mood::disconnecting}) {
         store.set_mood(failure);
-        EXPECT_EQ(ask("k1"), 200U);
+        EXPECT_EQ(status_of("k1"), 200U);
         wait_for_answer("k1", 503);
-        store.set_mood(mood::sound);
+        store.set_mood(mood::healthy);
         wait_for_answer("k1", 200);
     }
     EXPECT_TRUE(wait_for_log("directory_lost"));
@@ -60,9 +60,9 @@
     store.put("keyed.op", "config", configuration_text(5, "k5"));
     store.put("keyed.op", "config", configuration_text(6, "k6"));
     store.drop_history();
-    store.set_mood(stand_in_store::mood::sound);
+    store.set_mood(stand_in_store::mood::healthy);
     wait_for_answer("k6", 200);
-    EXPECT_EQ(ask("k1"), 401U);
+    EXPECT_EQ(status_of("k1"), 401U);
 }
 
 TEST_F(gateway_program, reloads_its_settings_on_a_signal)
@@ -70,11 +70,11 @@
     settings.write("name = 7\n");
     process->signal(SIGHUP);
     EXPECT_TRUE(wait_for_log("settings_unusable"));
-    EXPECT_EQ(ask("k1"), 200U);
+    EXPECT_EQ(status_of("k1"), 200U);
     settings.write(gateway_text(store));
     process->signal(SIGHUP);
     EXPECT_TRUE(wait_for_log("settings_reloaded"));
-    EXPECT_EQ(ask("k1"), 200U);
+    EXPECT_EQ(status_of("k1"), 200U);
 }
 
 // The settings file names another store, and no signal is sent.
@@ -114,8 +114,8 @@
 
 TEST_F(gateway_program, serves_its_metrics)
 {
-    EXPECT_EQ(ask("k1"), 200U);
-    EXPECT_EQ(ask("k9"), 401U);
+    EXPECT_EQ(status_of("k1"), 200U);
+    EXPECT_EQ(status_of("k9"), 401U);
     const auto text = metrics_of(process->wait_for_listener("metrics"));
     using testing::HasSubstr;
     EXPECT_THAT(text, HasSubstr("cyclamenrun_requests_total{outcome="
@@ -144,7 +144,7 @@
 {
     store.set_mood(stand_in_store::mood::silent);
     EXPECT_TRUE(wait_for_log("lease_ended"));
-    store.set_mood(stand_in_store::mood::sound);
+    store.set_mood(stand_in_store::mood::healthy);
     wait_for_answer("k1", 200);
     const auto log = process->output();
     EXPECT_NE(log.find("lease_renewed", log.find("lease_ended")),
@@ -155,7 +155,7 @@
 // drops it.
 TEST_F(gateway_program, writes_only_json_lines)
 {
-    EXPECT_EQ(ask("k1"), 200U);
+    EXPECT_EQ(status_of("k1"), 200U);
     process->signal(SIGTERM);
     EXPECT_EQ(process->wait(), 0);
     std::istringstream log(process->output());
