--- a/src/libcyclamenrun/gateway/feed_follower.hpp
+++ b/src/libcyclamenrun/gateway/feed_follower.hpp
@@ -15,64 +15,65 @@
 namespace cyclamenrun
 {
 
-/** How a feed is read; see feed_follower. */
+/** Timing of a feed_follower's reads. */
 struct feed_pace {
-    /** Time for which the directory holds a call that has nothing to say. */
+    /** Time for which the directory holds a call without new records. */
     milliseconds wait{1500};
-    /** Time to an answer beyond the wait, then the call is given up. */
+    /** Time for an answer beyond the wait, before the call times out. */
     milliseconds slack{1200};
-    milliseconds first_retry{100};
-    milliseconds longest_retry{800};
+    milliseconds first_retry_delay{100};
+    milliseconds max_retry_delay{800};
 };
 
 /**
- * Follows one feed of the directory for the life of the process: the newest
- * record of each key first, then every record in its order. When the history
- * is gone it starts anew from the newest ones; when the directory is away it
- * keeps what it has and tries again, more and more slowly.
+ * Follows one feed of the directory for the life of the process: reads the
+ * newest record of each key first, then every later record in order. If the
+ * history at its offset has been deleted, it restarts from the newest records.
+ * While the directory is unreachable it keeps its offset and retries with
+ * exponential backoff.
  */
 template <typename Item>
 class feed_follower : public std::enable_shared_from_this<feed_follower<Item>>
 {
 public:
     struct hooks {
-        /** `whole`: these are all there is; what is missing has gone. */
+        /** `whole`: the complete set of records; missing keys are removed. */
         std::function<void(std::vector<Item>&& items, bool whole)> items;
-        /** Least time between two calls of the directory; empty: 0. */
+        /** Least time between two calls to the directory; 0 if unset. */
         std::function<milliseconds()> pause;
-        /** Time for which the directory holds the next call; empty: as the
-         * pace has it. */
+        /** Time for which the directory holds the next call; if unset, the
+         * `wait` of the timing. */
         std::function<milliseconds()> wait;
         /**
-         * The directory has answered: all that it held at `asked`, when the
-         * call was sent, is known here.
+         * The directory has answered a call sent at `sent_at`: every record
+         * that it held then is known here.
          */
-        std::function<void(boot_time asked)> current;
+        std::function<void(boot_time sent_at)> current;
         std::function<void(directory_problem)> lost;
-        /** Each call that brought nothing, also while it is lost. */
+        /** Called for each failed call, also while the directory is lost. */
         std::function<void(directory_problem)> failed;
-        /** How long a call took that was answered. */
+        /** Called with the duration of each answered call. */
         std::function<void(duration took)> answered;
-        /** Keys of records that were skipped. */
+        /** Called with the keys of records that can't be parsed. */
         std::function<void(const std::vector<std::string>& keys)> unreadable;
-        std::function<void(duration away)> regained;
+        std::function<void(duration outage)> regained;
     };
 
     feed_follower(std::shared_ptr<link_reactor> reactor,
                   std::shared_ptr<directory_feed<Item>> feed, feed_pace pace,
                   hooks on)
         : reactor_(std::move(reactor)), feed_(std::move(feed)), pace_(pace),
-          on_(std::move(on)), retry_in_(pace.first_retry)
+          on_(std::move(on)), retry_delay_(pace.first_retry_delay)
     {
     }
 
     void start() { read(); }
 
-    /** Another process has made the last call that was answered. */
+    /** The last answered call was read by a relay. */
     bool relayed() const { return relayed_; }
 
-    /** The directory may be back: there is no need to wait any longer. */
-    void try_again_now()
+    /** Retries at once: the directory may be reachable again. */
+    void retry_now()
     {
         if (lost_since_ && !reading_)
             read_at(steady_now());
@@ -89,52 +90,54 @@
     void read()
     {
         reading_ = true;
-        asked_ = boot_now();
-        asked_at_ = steady_now();
+        sent_at_ = boot_now();
+        read_started_at_ = steady_now();
         auto answer = [weak = this->weak_from_this()](auto result) {
             if (const auto self = weak.lock())
-                self->take(std::move(result));
+                self->handle_answer(std::move(result));
         };
         const auto wait = on_.wait ? on_.wait() : pace_.wait;
         if (offset_)
-            feed_->read_from(*offset_, wait, asked_at_ + wait + pace_.slack,
+            feed_->read_from(*offset_, wait,
+                             read_started_at_ + wait + pace_.slack,
                              std::move(answer));
         else
-            feed_->read_newest(asked_at_ + pace_.slack, std::move(answer));
+            feed_->read_newest(read_started_at_ + pace_.slack,
+                               std::move(answer));
     }
 
-    void take(tl::expected<page, directory_problem> result)
+    void handle_answer(tl::expected<page, directory_problem> result)
     {
         reading_ = false;
         if (!result) {
-            fail(result.error());
+            handle_failure(result.error());
             return;
         }
-        retry_in_ = pace_.first_retry;
+        retry_delay_ = pace_.first_retry_delay;
         if (lost_since_ && on_.regained)
             on_.regained(steady_now() - *lost_since_);
         lost_since_.reset();
         if (on_.answered)
-            on_.answered(steady_now() - asked_at_);
+            on_.answered(steady_now() - read_started_at_);
         if (on_.unreadable && !result->unreadable.empty())
             on_.unreadable(result->unreadable);
-        const auto asked = result->asked.value_or(asked_);
+        const auto sent_at = result->sent_at.value_or(sent_at_);
         relayed_ = result->relayed;
-        take_items(std::move(*result));
+        deliver_items(std::move(*result));
         if (on_.current)
-            on_.current(asked);
-        read_at(relayed_ ? steady_now() : asked_at_ + pause());
+            on_.current(sent_at);
+        read_at(relayed_ ? steady_now() : read_started_at_ + pause());
     }
 
-    void take_items(page&& taken)
+    void deliver_items(page&& received)
     {
         const bool whole = !offset_.has_value();
-        offset_ = taken.next_offset;
-        if (on_.items && (whole || !taken.items.empty()))
-            on_.items(std::move(taken.items), whole);
+        offset_ = received.next_offset;
+        if (on_.items && (whole || !received.items.empty()))
+            on_.items(std::move(received.items), whole);
     }
 
-    void fail(directory_problem problem)
+    void handle_failure(directory_problem problem)
     {
         if (on_.failed)
             on_.failed(problem);
@@ -148,8 +151,8 @@
             if (on_.lost)
                 on_.lost(problem);
         }
-        read_at(steady_now() + retry_in_);
-        retry_in_ = std::min(2 * retry_in_, pace_.longest_retry);
+        read_at(steady_now() + retry_delay_);
+        retry_delay_ = std::min(2 * retry_delay_, pace_.max_retry_delay);
     }
 
     void read_at(time_point when)
@@ -161,7 +164,7 @@
         });
     }
 
-    /** Unless another time was set since. */
+    /** Reads, unless the read has been rescheduled since. */
     void read_if_due(time_point when)
     {
         if (!reading_ && when == next_read_)
@@ -176,10 +179,10 @@
     bool reading_ = false;
     bool relayed_ = false;
     time_point next_read_{};
-    boot_time asked_{};
-    time_point asked_at_{};
+    boot_time sent_at_{};
+    time_point read_started_at_{};
     std::optional<time_point> lost_since_;
-    milliseconds retry_in_;
+    milliseconds retry_delay_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/feed_history.hpp
+++ b/src/libcyclamenrun/gateway/feed_history.hpp
@@ -12,18 +12,19 @@
 namespace cyclamenrun
 {
 
-/** How records of a feed relate to one another. */
+/** Key and equality of the records of the upstream feed. */
 struct upstream_record_traits {
     using item = upstream_change;
     static std::string key(const item& record) { return record.id; }
     static bool removes_key(const item& record) { return !record.record; }
-    /** A heartbeat that changes nothing. */
+    /** Equal records: the later one is only a heartbeat. */
     static bool same(const item& left, const item& right)
     {
         return left.record == right.record;
     }
 };
 
+/** Key and equality of the records of the configuration feed. */
 struct configuration_text_traits {
     using item = configuration_text;
     static std::string key(const item&) { return {}; }
@@ -35,8 +36,9 @@
 };
 
 /**
- * The newest record of each key of a feed, and the latest changes, for readers
- * that know the feed up to some offset. Bounded: the oldest changes go first.
+ * The newest record of each key of a feed and a bounded number of its latest
+ * changes. Serves readers that know the feed up to some offset; the oldest
+ * changes are dropped first.
  */
 template <typename Traits>
 class feed_history
@@ -45,46 +47,45 @@
     using item = typename Traits::item;
     using page = directory_page<item>;
 
-    explicit feed_history(std::size_t most_changes)
-        : most_changes_(most_changes)
+    explicit feed_history(std::size_t max_changes) : max_changes_(max_changes)
     {
     }
 
     bool known() const { return known_; }
-    std::uint64_t next_offset() const { return next_; }
+    std::uint64_t next_offset() const { return next_offset_; }
 
-    void forget() { known_ = false; }
+    void invalidate() { known_ = false; }
 
-    /** These are the newest of all keys; what was before them is unknown. */
+    /** Restarts from the newest records; earlier changes are not known. */
     void restart(const page& newest)
     {
         newest_.clear();
         changes_.clear();
         for (const auto& record : newest.items)
-            keep(record);
-        first_ = next_ = newest.next_offset;
+            store_record(record);
+        first_offset_ = next_offset_ = newest.next_offset;
         known_ = true;
     }
 
-    /** Records from next_offset() on. */
+    /** Appends a page that begins at next_offset(). */
     void extend(const page& read)
     {
         for (std::size_t i = 0; i < read.items.size(); ++i) {
-            if (keep(read.items[i]))
+            if (store_record(read.items[i]))
                 changes_.emplace_back(read.offsets.at(i), read.items[i]);
         }
-        next_ = std::max(next_, read.next_offset);
-        for (; changes_.size() > most_changes_; changes_.pop_front())
-            first_ = changes_.front().first + 1;
+        next_offset_ = std::max(next_offset_, read.next_offset);
+        for (; changes_.size() > max_changes_; changes_.pop_front())
+            first_offset_ = changes_.front().first + 1;
     }
 
-    /** What has changed from an offset on; empty if that is not known. */
+    /** Changes from an offset on; empty if they are not all known. */
     std::optional<page> since(std::uint64_t from) const
     {
-        if (!known_ || from < first_ || from > next_)
+        if (!known_ || from < first_offset_ || from > next_offset_)
             return std::nullopt;
         page result;
-        result.next_offset = next_;
+        result.next_offset = next_offset_;
         for (const auto& [offset, record] : changes_) {
             if (offset < from)
                 continue;
@@ -97,15 +98,15 @@
     page newest() const
     {
         page result;
-        result.next_offset = next_;
+        result.next_offset = next_offset_;
         for (const auto& [key, record] : newest_)
             result.items.push_back(record);
         return result;
     }
 
 private:
-    /** False: it says what was known. */
-    bool keep(const item& record)
+    /** Returns false if the record changes nothing. */
+    bool store_record(const item& record)
     {
         const auto key = Traits::key(record);
         const auto known = newest_.find(key);
@@ -117,10 +118,11 @@
         return true;
     }
 
-    std::size_t most_changes_;
+    std::size_t max_changes_;
     bool known_ = false;
-    std::uint64_t first_ = 0; ///< changes from here on are in changes_
-    std::uint64_t next_ = 0;
+    /** changes_ is complete from this offset on. */
+    std::uint64_t first_offset_ = 0;
+    std::uint64_t next_offset_ = 0;
     std::map<std::string, item> newest_;
     std::deque<std::pair<std::uint64_t, item>> changes_;
 };
--- a/src/libcyclamenrun/gateway/monitor_process.cpp
+++ b/src/libcyclamenrun/gateway/monitor_process.cpp
@@ -24,31 +24,31 @@
         });
     if (settings.directory.port != 0)
         open_relay(settings.directory, platform);
-    loop_->post([this, where = settings.metrics_listen] {
+    loop_->post([this, listen_address = settings.metrics_listen] {
         monitor_->start();
-        listener_->open(where);
+        listener_->open(listen_address);
     });
 }
 
 monitor_process::~monitor_process()
 {
-    // No thread of the loop may touch what is destroyed from here on.
+    // Ends the loop's threads before the members that they use are destroyed.
     loop_.reset();
 }
 
 void monitor_process::open_relay(const ip_endpoint& directory,
                                  const monitor_platform& platform)
 {
-    // The port of the datagrams, for connections.
-    const auto where = monitor_->address();
+    // Listens for connections on the port that the monitor uses for datagrams.
+    const auto listen_address = monitor_->address();
     try {
         relay_ = std::make_unique<directory_relay>(
-            *loop_, where, platform.feeds(loop_->reactor(), directory),
+            *loop_, listen_address, platform.feeds(loop_->reactor(), directory),
             metrics_);
     } catch (const Poco::Exception& error) {
         log_event(log_severity::error, log_event_name::listener_failed,
                   {{log_key::name, "directory"},
-                   {log_key::address, to_string(where)},
+                   {log_key::address, to_string(listen_address)},
                    {log_key::detail, error.displayText()}});
         return;
     }
--- a/src/libcyclamenrun/gateway/read_coalescer.hpp
+++ b/src/libcyclamenrun/gateway/read_coalescer.hpp
@@ -13,32 +13,34 @@
 namespace cyclamenrun
 {
 
-/** How a feed is read for many. */
+/** Timing and limits of a read_coalescer. */
 struct coalescer_pace {
-    /** Calls that come so soon after the first share its read. */
+    /** Calls that arrive within this time of the first share its read. */
     milliseconds gather{10};
     /** Least time between two reads. */
     milliseconds pause{0};
-    /** Longest time for which the directory is asked to hold a read. */
-    milliseconds longest_wait{30000};
-    /** A read that takes so much longer than its wait is not waited for. */
-    milliseconds patience{500};
-    /** The same for all records, which may come in many pages. */
-    milliseconds newest_patience{2500};
-    milliseconds first_retry{100};
-    milliseconds longest_retry{400};
-    std::size_t most_changes = 4096;
-    std::size_t most_calls = 2048;
+    /** Longest time for which the directory holds a read. */
+    milliseconds max_wait{30000};
+    /** Time beyond its wait after which a read has timed out. */
+    milliseconds read_timeout{500};
+    /** The same for a read of all records, which may have many pages. */
+    milliseconds newest_read_timeout{2500};
+    milliseconds first_retry_delay{100};
+    milliseconds max_retry_delay{400};
+    std::size_t max_changes = 4096;
+    std::size_t max_calls = 2048;
 };
 
 /**
  * Answers the calls of many readers of one feed with as few reads of the
- * directory as possible. A call is answered only by a read that was sent after
- * the call had come: whoever sent the call knows then all that the directory
- * held when it did so, whatever the delays and pauses on the way. A lease may
- * rest on that without any clock but the caller's.
+ * directory as possible.
  *
- * No I/O; time comes as an argument.
+ * A call is answered only by a read that was sent after the call arrived. The
+ * caller then knows every record that the directory held when the call was
+ * sent, whatever the delays in between, so a lease can be renewed from the
+ * caller's own clock alone.
+ *
+ * Does no I/O; the current time is passed in.
  */
 template <typename Traits>
 class read_coalescer
@@ -46,7 +48,7 @@
 public:
     using item = typename Traits::item;
     using page = directory_page<item>;
-    /** Calls that are to be told the same share it. */
+    /** Shared by calls with the same answer. */
     using shared_page = std::shared_ptr<const page>;
     using call_id = std::uint64_t;
 
@@ -61,74 +63,79 @@
     };
 
     explicit read_coalescer(const coalescer_pace& pace)
-        : pace_(pace), history_(pace.most_changes), retry_in_(pace.first_retry)
+        : pace_(pace), history_(pace.max_changes),
+          retry_delay_(pace.first_retry_delay)
     {
     }
 
-    /** Empty: there are too many calls. `from` empty: the caller knows none. */
-    std::optional<call_id> ask(std::optional<std::uint64_t> from,
-                               milliseconds wait, time_point now)
+    /**
+     * Adds a call. Returns nothing if too many are pending. An empty `from`
+     * requests the newest record of each key.
+     */
+    std::optional<call_id> add_call(std::optional<std::uint64_t> from,
+                                    milliseconds wait, time_point now)
     {
-        if (calls_.size() >= pace_.most_calls)
+        if (calls_.size() >= pace_.max_calls)
             return std::nullopt;
-        calls_[++last_call_] = {from, now, now + wait, false};
-        return last_call_;
+        calls_[++last_call_id_] = {from, now, now + wait, false};
+        return last_call_id_;
     }
 
-    /** The caller has left. */
-    void forget(call_id call) { calls_.erase(call); }
+    /** Removes the call of a caller that has disconnected. */
+    void remove_call(call_id call) { calls_.erase(call); }
 
     std::size_t calls() const { return calls_.size(); }
     bool reading() const { return reading_; }
 
-    /** When the next read is due; empty: none is, or one is under way. */
+    /** When the next read is due; empty without calls or during a read. */
     std::optional<time_point> next_read() const
     {
         if (reading_ || calls_.empty())
             return std::nullopt;
-        return std::max(calls_.begin()->second.asked + pace_.gather,
+        return std::max(calls_.begin()->second.arrived_at + pace_.gather,
                         not_before_);
     }
 
-    /** The read that is to be sent now. */
+    /** Starts a read and returns what to request from the directory. */
     read begin_read(time_point now)
     {
         reading_ = true;
         not_before_ = now + pace_.pause;
-        read result{std::nullopt, pace_.longest_wait};
+        read result{std::nullopt, pace_.max_wait};
         for (auto& [id, call] : calls_) {
             call.covered = true;
             result.wait =
-                std::min(result.wait, left_until(call.wait_until, now));
+                std::min(result.wait, remaining_time(call.wait_until, now));
         }
         if (history_.known())
             result.from = history_.next_offset();
         else
             result.wait = milliseconds(0);
-        give_up_at_ = now + result.wait +
-                      (result.from ? pace_.patience : pace_.newest_patience);
+        timeout_at_ =
+            now + result.wait +
+            (result.from ? pace_.read_timeout : pace_.newest_read_timeout);
         return result;
     }
 
-    /** Answers to those calls that this read can answer. */
+    /** Ends the read; returns the answers to the calls that it covers. */
     std::vector<answer>
     end_read(const tl::expected<page, directory_problem>& result,
              time_point now)
     {
         reading_ = false;
         if (!result)
-            return fail(result.error(), now);
-        retry_in_ = pace_.first_retry;
+            return handle_failure(result.error(), now);
+        retry_delay_ = pace_.first_retry_delay;
         if (history_.known())
             history_.extend(*result);
         else
             history_.restart(*result);
-        std::map<std::optional<std::uint64_t>, outcome> told;
+        std::map<std::optional<std::uint64_t>, outcome> outcomes;
         std::vector<answer> answers;
         for (const auto& [id, call] : calls_) {
             if (!call.covered)
                 continue;
-            const auto [found, is_new] = told.try_emplace(call.from);
+            const auto [found, is_new] = outcomes.try_emplace(call.from);
             if (is_new)
                 found->second = answer_to(call.from);
             answers.push_back({id, found->second});
@@ -137,26 +144,26 @@
         return answers;
     }
 
-    /** When the read under way will have taken too long. */
-    std::optional<time_point> overdue_at() const
+    /** When the current read times out; empty if there is none. */
+    std::optional<time_point> timeout_at() const
     {
         if (!reading_)
             return std::nullopt;
-        return give_up_at_;
+        return timeout_at_;
     }
 
     /**
-     * The read takes too long: those who wait for it do better to ask
-     * elsewhere.
+     * Refuses the calls that wait for the current read if it has timed out, so
+     * that their callers can try another relay or the directory.
      */
-    std::vector<answer> give_up(time_point now)
+    std::vector<answer> expire_read(time_point now)
     {
-        if (!reading_ || now < give_up_at_)
+        if (!reading_ || now < timeout_at_)
             return {};
         return refuse([](const pending_call& each) { return each.covered; });
     }
 
-    /** No more calls can be answered. */
+    /** Refuses all pending calls. */
     std::vector<answer> refuse_all(directory_problem why)
     {
         return refuse([](const pending_call&) { return true; }, why);
@@ -165,47 +172,51 @@
 private:
     struct pending_call {
         std::optional<std::uint64_t> from;
-        time_point asked;
-        /** What it has waited for the read before counts too, and no more: a
-         * read that does not wait would be followed by one for the calls that
-         * came during it, without end. */
+        time_point arrived_at;
+        /** End of the caller's wait, counted from the arrival of the call. The
+         * time that the call spent behind the previous read counts, and the
+         * next read waits for the remainder. Reads without any wait would
+         * follow one another endlessly, each for the calls that arrived
+         * during the last one. */
         time_point wait_until;
-        /** It had come when the read under way was sent. */
+        /** The call arrived before the current read was sent. */
         bool covered = false;
     };
 
     using outcome = tl::expected<shared_page, directory_problem>;
 
-    static milliseconds left_until(time_point end, time_point now)
+    static milliseconds remaining_time(time_point end, time_point now)
     {
-        const auto left = std::chrono::duration_cast<milliseconds>(end - now);
-        return std::max(left, milliseconds(0));
+        const auto remaining =
+            std::chrono::duration_cast<milliseconds>(end - now);
+        return std::max(remaining, milliseconds(0));
     }
 
     outcome answer_to(std::optional<std::uint64_t> from) const
     {
         if (!from)
             return std::make_shared<const page>(history_.newest());
-        auto news = history_.since(*from);
-        if (!news) {
-            // Behind the directory's own end: this read told less than is
-            // known elsewhere.
+        auto changes = history_.since(*from);
+        if (!changes) {
+            // The caller is ahead of this read: it has seen later records
+            // through another reader.
             const bool ahead = *from > history_.next_offset();
             return tl::unexpected(ahead ? directory_problem::unavailable
                                         : directory_problem::history_gone);
         }
-        return std::make_shared<const page>(std::move(*news));
+        return std::make_shared<const page>(std::move(*changes));
     }
 
-    std::vector<answer> fail(directory_problem problem, time_point now)
+    std::vector<answer> handle_failure(directory_problem problem,
+                                       time_point now)
     {
         if (problem == directory_problem::history_gone) {
-            history_.forget();
+            history_.invalidate();
             not_before_ = now;
             return {};
         }
-        not_before_ = now + retry_in_;
-        retry_in_ = std::min(2 * retry_in_, pace_.longest_retry);
+        not_before_ = now + retry_delay_;
+        retry_delay_ = std::min(2 * retry_delay_, pace_.max_retry_delay);
         return refuse([](const pending_call& each) { return each.covered; });
     }
 
@@ -230,12 +241,12 @@
 
     coalescer_pace pace_;
     feed_history<Traits> history_;
-    std::map<call_id, pending_call> calls_; ///< in the order in which they came
-    call_id last_call_ = 0;
+    std::map<call_id, pending_call> calls_; ///< in order of arrival
+    call_id last_call_id_ = 0;
     bool reading_ = false;
     time_point not_before_{};
-    time_point give_up_at_{};
-    milliseconds retry_in_;
+    time_point timeout_at_{};
+    milliseconds retry_delay_;
 };
 
 } // namespace cyclamenrun
--- a/tests/gateway/gateway_program.hpp
+++ b/tests/gateway/gateway_program.hpp
@@ -17,7 +17,7 @@
 namespace cyclamenrun::testing_support
 {
 
-/** A settings file that is gone with this object. */
+/** A settings file, removed by the destructor. */
 class settings_text
 {
 public:
@@ -38,7 +38,7 @@
     std::filesystem::path path_;
 };
 
-/** One that nobody listens at just now. */
+/** A TCP port that has no listener at the moment. */
 inline std::uint16_t free_port()
 {
     const Poco::Net::ServerSocket socket(
@@ -73,7 +73,7 @@
            key + "\"]}]}";
 }
 
-/** The program itself, before a stand-in store and one upstream. */
+/** Runs the gateway program with a stand-in store and one upstream. */
 class gateway_program : public testing::Test
 {
 protected:
@@ -90,7 +90,7 @@
           settings(gateway_text(store))
     {
         store.put("keyed.op", "config", configuration_text(1, "k1"));
-        tell_upstream("ready");
+        put_upstream("ready");
         process = std::make_unique<child_process>(
             "cyclamenrun-gateway",
             std::vector<std::string>{"--settings", settings.path()});
@@ -99,7 +99,7 @@
         wait_for_answer("k1", 200);
     }
 
-    /** A stream that ends in the middle. */
+    /** Sends two events of a stream, then resets the connection. */
     static void break_off(const arrived_request& request, upstream_reply& reply)
     {
         reply.begin_stream(request);
@@ -108,7 +108,7 @@
         reply.reset();
     }
 
-    void tell_upstream(const std::string& state)
+    void put_upstream(const std::string& state)
     {
         store.put("keyed.servers", "i-1",
                   R"({"service":"app","address":")" +
@@ -125,7 +125,7 @@
                "\r\nDeadline-Ms: 4000\r\n\r\n";
     }
 
-    unsigned ask(const std::string& key)
+    unsigned status_of(const std::string& key)
     {
         test_caller caller(address);
         caller.send(request_text(key));
@@ -136,7 +136,7 @@
     {
         const auto deadline = steady_now() + std::chrono::seconds(10);
         unsigned last = 0;
-        while ((last = ask(key)) != status && steady_now() < deadline)
+        while ((last = status_of(key)) != status && steady_now() < deadline)
             std::this_thread::sleep_for(milliseconds(10));
         EXPECT_EQ(last, status);
     }
--- a/tests/gateway/test_directory_messages.cpp
+++ b/tests/gateway/test_directory_messages.cpp
@@ -41,7 +41,7 @@
     EXPECT_FALSE(read->items[1].record);
 }
 
-TEST(directory_messages, tell_why_there_is_nothing)
+TEST(directory_messages, report_the_problem)
 {
     const auto problem = [](directory_problem what) {
         return read_upstreams(answer_of(what)).error();
@@ -53,12 +53,13 @@
     EXPECT_EQ(problem(directory_problem::leaving), answer_problem::leaving);
 }
 
-// A peer of another release, or a stranger, sends what it likes.
-TEST(directory_messages, are_refused_when_spoiled)
+// Guards against invalid answers from a peer of another release or from an
+// unknown sender.
+TEST(directory_messages, are_refused_when_malformed)
 {
-    const auto problem = [](const auto& spoil) {
+    const auto problem = [](const auto& change_answer) {
         auto answer = good_answer();
-        spoil(answer);
+        change_answer(answer);
         const auto read = read_upstreams(answer);
         EXPECT_FALSE(read);
         return read ? answer_problem::unavailable : read.error();
@@ -84,9 +85,9 @@
               answer_problem::malformed);
 }
 
-// Another writer's garbage stands where the configuration should: it is told
-// as unreadable and the one before it holds.
-TEST(directory_messages, tell_of_configurations_that_can_not_be_read)
+// Another writer has stored a configuration that can't be parsed. It is
+// reported as unreadable, and the valid configurations are still read.
+TEST(directory_messages, report_unreadable_configurations)
 {
     directory_page<configuration_text> page;
     page.items = {{"garbage"}, {"7"}};
--- a/tests/gateway/test_programs.cpp
+++ b/tests/gateway/test_programs.cpp
@@ -11,72 +11,74 @@
 
 TEST_F(gateway_program, follows_the_store)
 {
-    EXPECT_EQ(ask("k2"), 401U);
+    EXPECT_EQ(status_of("k2"), 401U);
     store.put("keyed.op", "config", configuration_text(2, "k2"));
     wait_for_answer("k2", 200);
-    EXPECT_EQ(ask("k1"), 401U);
-    tell_upstream("draining");
+    EXPECT_EQ(status_of("k1"), 401U);
+    put_upstream("draining");
     wait_for_answer("k2", 503);
-    tell_upstream("ready");
+    put_upstream("ready");
     wait_for_answer("k2", 200);
 }
 
-// Another writer's garbage lies among the records. It names no upstream, and
-// must neither stop the reader nor shift its place.
-TEST_F(gateway_program, reads_on_behind_records_of_other_writers)
+// Records of another writer that can't be parsed must neither stop the reader
+// nor shift its offset.
+TEST_F(gateway_program, skips_unreadable_records_of_other_writers)
 {
     store.put("keyed.servers", "i-2", "\xff\xfe garbage");
     store.put("keyed.op", "config", "{\"version\":\"seven\"}");
     store.put("keyed.op", "other", configuration_text(9, "k9"));
     store.put("keyed.op", "config", configuration_text(2, "k2"));
     wait_for_answer("k2", 200);
-    EXPECT_EQ(ask("k9"), 401U);
+    EXPECT_EQ(status_of("k9"), 401U);
 }
 
-// The store does not answer for longer than a key that was taken away may
-// live on, in each of the ways in which it can be away; then it comes back.
+// The store is unavailable for longer than the lease, in each way in which it
+// can fail, and then recovers. The gateway must refuse callers once its lease
+// has ended, since a key may have been revoked, and serve again afterwards.
 TEST_F(gateway_program, serves_until_its_lease_ends_and_again_afterwards)
 {
     using mood = stand_in_store::mood;
-    for (const auto away : {mood::silent, mood::busy, mood::cutting}) {
-        store.set_mood(away);
-        EXPECT_EQ(ask("k1"), 200U);
+    for (const auto failure : {mood::silent, mood::busy, mood::disconnecting}) {
+        store.set_mood(failure);
+        EXPECT_EQ(status_of("k1"), 200U);
         wait_for_answer("k1", 503);
-        store.set_mood(mood::sound);
+        store.set_mood(mood::healthy);
         wait_for_answer("k1", 200);
     }
     EXPECT_TRUE(wait_for_log("directory_lost"));
     EXPECT_TRUE(wait_for_log("directory_regained"));
 }
 
-// The store is away, a key is taken away, and the store drops its history
-// before it comes back: the record is not among those that are read on.
-TEST_F(gateway_program, starts_anew_when_the_history_is_gone)
+// A key is revoked while the store is unavailable, and the store deletes its
+// history before it recovers: a reader that continues at its offset would miss
+// the record.
+TEST_F(gateway_program, rereads_all_when_the_history_is_gone)
 {
     store.set_mood(stand_in_store::mood::busy);
     EXPECT_TRUE(wait_for_log("directory_lost"));
     store.put("keyed.op", "config", configuration_text(5, "k5"));
     store.put("keyed.op", "config", configuration_text(6, "k6"));
     store.drop_history();
-    store.set_mood(stand_in_store::mood::sound);
+    store.set_mood(stand_in_store::mood::healthy);
     wait_for_answer("k6", 200);
-    EXPECT_EQ(ask("k1"), 401U);
+    EXPECT_EQ(status_of("k1"), 401U);
 }
 
-TEST_F(gateway_program, reads_its_settings_again_when_told)
+TEST_F(gateway_program, reloads_its_settings_on_a_signal)
 {
     settings.write("name = 7\n");
     process->signal(SIGHUP);
     EXPECT_TRUE(wait_for_log("settings_unusable"));
-    EXPECT_EQ(ask("k1"), 200U);
+    EXPECT_EQ(status_of("k1"), 200U);
     settings.write(gateway_text(store));
     process->signal(SIGHUP);
     EXPECT_TRUE(wait_for_log("settings_reloaded"));
-    EXPECT_EQ(ask("k1"), 200U);
+    EXPECT_EQ(status_of("k1"), 200U);
 }
 
-// Nobody sends a signal, but the file names another store.
-TEST_F(gateway_program, notices_that_its_settings_have_changed)
+// The settings file names another store, and no signal is sent.
+TEST_F(gateway_program, reloads_changed_settings_without_a_signal)
 {
     stand_in_store other;
     other.put("keyed.op", "config", configuration_text(4, "k4"));
@@ -90,7 +92,7 @@
     EXPECT_EQ(process->output().find("settings_unusable"), std::string::npos);
 }
 
-TEST_F(gateway_program, a_planned_stop_cuts_nothing)
+TEST_F(gateway_program, completes_running_requests_on_a_planned_stop)
 {
     may_answer = false;
     test_caller caller(address);
@@ -112,8 +114,8 @@
 
 TEST_F(gateway_program, serves_its_metrics)
 {
-    EXPECT_EQ(ask("k1"), 200U);
-    EXPECT_EQ(ask("k9"), 401U);
+    EXPECT_EQ(status_of("k1"), 200U);
+    EXPECT_EQ(status_of("k9"), 401U);
     const auto text = metrics_of(process->wait_for_listener("metrics"));
     using testing::HasSubstr;
     EXPECT_THAT(text, HasSubstr("cyclamenrun_requests_total{outcome="
@@ -126,9 +128,9 @@
     EXPECT_THAT(text, HasSubstr("cyclamenrun_directory_call_seconds_count"));
 }
 
-// A record that another writer has spoiled is skipped; the engineer who looks
-// for the missing upstream finds why.
-TEST_F(gateway_program, tells_of_records_that_it_can_not_read)
+// A record that can't be parsed is skipped, and the log and a metric name it,
+// so that an engineer can find out why an upstream is missing.
+TEST_F(gateway_program, reports_unreadable_records)
 {
     store.put("keyed.servers", "i-7", R"({"service":7})");
     EXPECT_TRUE(wait_for_log(R"("event":"record_unreadable","name":"upstreams")"
@@ -138,22 +140,22 @@
                                    "{feed=\"upstreams\"} 1"));
 }
 
-TEST_F(gateway_program, tells_when_its_lease_ends_and_comes_back)
+TEST_F(gateway_program, logs_when_its_lease_ends_and_is_renewed)
 {
     store.set_mood(stand_in_store::mood::silent);
     EXPECT_TRUE(wait_for_log("lease_ended"));
-    store.set_mood(stand_in_store::mood::sound);
+    store.set_mood(stand_in_store::mood::healthy);
     wait_for_answer("k1", 200);
     const auto log = process->output();
     EXPECT_NE(log.find("lease_renewed", log.find("lease_ended")),
               std::string::npos);
 }
 
-// Each line that a process writes is JSON with the same four members, or the
-// collector drops it.
-TEST_F(gateway_program, writes_json_lines_and_nothing_else)
+// Each log line must be JSON with the same four members, or the log collector
+// drops it.
+TEST_F(gateway_program, writes_only_json_lines)
 {
-    EXPECT_EQ(ask("k1"), 200U);
+    EXPECT_EQ(status_of("k1"), 200U);
     process->signal(SIGTERM);
     EXPECT_EQ(process->wait(), 0);
     std::istringstream log(process->output());
