--- a/src/libcyclamenrun/gateway/engine_monitor.cpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.cpp
@@ -12,17 +12,19 @@
 namespace
 {
 
-/** A gateway asks each second; after three that went missing it is gone. */
+/** Gateways renew their subscription each second; a gateway is removed after
+ * three missing renewals. */
 constexpr milliseconds gateway_lifetime{3500};
-/** A load that has not changed is told again this often, in case the last
- * datagram was lost. */
-constexpr milliseconds tell_interval{400};
+/** An unchanged load is sent again after this time, in case the last datagram
+ * was lost. */
+constexpr milliseconds republish_interval{400};
 constexpr milliseconds engine_timeout{500};
-/** An engine whose slots are taken answers who it is when one is free. */
+/** Longer than `engine_timeout`: an engine answers the identity query only when
+ * it has a free slot. */
 constexpr milliseconds identity_timeout{2000};
 constexpr milliseconds identity_retry{300};
 
-constexpr milliseconds spacing_per_gateway{8};
+constexpr milliseconds publish_interval_per_gateway{8};
 
 engine_view view_of(const engine_load& load)
 {
@@ -39,9 +41,9 @@
 
 } // namespace
 
-milliseconds tell_spacing(std::size_t gateways)
+milliseconds load_publish_interval(std::size_t gateways)
 {
-    return static_cast<int>(gateways) * spacing_per_gateway;
+    return static_cast<int>(gateways) * publish_interval_per_gateway;
 }
 
 engine_monitor::engine_monitor(const std::shared_ptr<link_reactor>& reactor,
@@ -52,7 +54,7 @@
       socket_(std::make_shared<datagram_socket>(
           reactor, settings.listen,
           [this](const ip_endpoint& from, std::string_view bytes) {
-              take_request(from, bytes);
+              handle_request(from, bytes);
           })),
       engine_(std::make_shared<http_caller>(reactor, settings.engine)),
       identity_(std::make_shared<http_caller>(reactor, settings.engine)),
@@ -63,73 +65,75 @@
 void engine_monitor::start()
 {
     socket_->start();
-    look();
+    poll_engine();
 }
 
-void engine_monitor::take_request(const ip_endpoint& from,
-                                  std::string_view bytes)
+void engine_monitor::handle_request(const ip_endpoint& from,
+                                    std::string_view bytes)
 {
     v1::MonitorRequest request;
     if (!request.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return;
     const auto name = to_string(from);
-    auto* const gateway = know(from, name);
+    auto* const gateway = find_or_add_gateway(from, name);
     if (!request.health_target().empty()) {
         health_target_ = request.health_target();
-        identify();
+        query_identity();
     }
     if (request.loads_wanted() && gateway != nullptr)
-        take_subscription(*gateway);
+        handle_subscription(*gateway);
     if (!request.turn_ended().empty()) {
         turns_.end(request.turn_ended());
-        give_turn();
+        grant_next_turn();
     }
     if (!request.start_ended().empty()) {
         starts_.end(request.start_ended());
-        give_starts();
+        grant_starts();
     }
     if (request.has_start_wanted())
-        take_start(from, name, request.start_wanted());
+        handle_start_request(from, name, request.start_wanted());
     if (!request.turn_wanted().empty())
-        take_turn(from, name, request);
+        handle_turn_request(from, name, request);
 }
 
-engine_monitor::known_gateway* engine_monitor::know(const ip_endpoint& from,
-                                                    const std::string& name)
+engine_monitor::known_gateway*
+engine_monitor::find_or_add_gateway(const ip_endpoint& from,
+                                    const std::string& name)
 {
-    if (gateways_.size() >= most_gateways && !gateways_.contains(name))
+    if (gateways_.size() >= max_gateways && !gateways_.contains(name))
         return nullptr;
     auto& gateway = gateways_[name];
     gateway.address = from;
-    gateway.forget_at = reactor_->now() + gateway_lifetime;
+    gateway.expires_at = reactor_->now() + gateway_lifetime;
     return &gateway;
 }
 
-void engine_monitor::take_subscription(known_gateway& gateway)
+void engine_monitor::handle_subscription(known_gateway& gateway)
 {
     const auto now = reactor_->now();
-    const bool is_new = gateway.loads_until <= now;
-    gateway.loads_until = now + gateway_lifetime;
+    const bool is_new = gateway.subscribed_until <= now;
+    gateway.subscribed_until = now + gateway_lifetime;
     if (!is_new)
         return;
-    // Who is heard can be asked to read the directory, whatever its engine.
+    // Sent even without a load: the gateway can then query this monitor for the
+    // directory, whatever the state of its engine.
     v1::MonitorNotice greeting;
     greeting.set_gateways(static_cast<std::uint32_t>(gateways_.size()));
     socket_->send(gateway.address, last_load_ ? load_notice(*last_load_)
                                               : greeting.SerializeAsString());
 }
 
-std::size_t engine_monitor::listeners() const
+std::size_t engine_monitor::count_subscribers() const
 {
     const auto now = reactor_->now();
     return std::count_if(
         gateways_.begin(), gateways_.end(),
-        [&](const auto& entry) { return entry.second.loads_until > now; });
+        [&](const auto& entry) { return entry.second.subscribed_until > now; });
 }
 
-void engine_monitor::take_turn(const ip_endpoint& from,
-                               const std::string& gateway,
-                               const v1::MonitorRequest& request)
+void engine_monitor::handle_turn_request(const ip_endpoint& from,
+                                         const std::string& gateway,
+                                         const v1::MonitorRequest& request)
 {
     const auto& id = request.turn_wanted();
     const auto tokens = request.turn_tokens();
@@ -144,11 +148,11 @@
         notice.set_turn_waits(id);
     }
     write_identity(notice);
-    write_load_now(notice);
+    write_current_load(notice);
     socket_->send(from, notice.SerializeAsString());
 }
 
-void engine_monitor::give_turn()
+void engine_monitor::grant_next_turn()
 {
     const auto holder = turns_.holder(reactor_->now());
     if (!holder)
@@ -162,41 +166,41 @@
     socket_->send(found->second.address, notice.SerializeAsString());
 }
 
-void engine_monitor::take_start(const ip_endpoint& from,
-                                const std::string& gateway,
-                                const v1::StartWanted& wanted)
+void engine_monitor::handle_start_request(const ip_endpoint& from,
+                                          const std::string& gateway,
+                                          const v1::StartWanted& wanted)
 {
-    // The datagram that said so was lost.
+    // The datagram with the grant was lost.
     if (starts_.was_given(wanted.id())) {
-        send_given(gateway, wanted.id());
+        send_start_grant(gateway, wanted.id());
         return;
     }
     const auto now = reactor_->now();
-    start_request asked;
-    asked.id = wanted.id();
-    asked.gateway = gateway;
-    asked.team = wanted.team();
-    asked.prompt_tokens = wanted.prompt_tokens();
-    asked.output_tokens = wanted.output_tokens();
-    asked.first_due = now + milliseconds(wanted.first_due_ms());
+    start_request request;
+    request.id = wanted.id();
+    request.gateway = gateway;
+    request.team = wanted.team();
+    request.prompt_tokens = wanted.prompt_tokens();
+    request.output_tokens = wanted.output_tokens();
+    request.first_due = now + milliseconds(wanted.first_due_ms());
     starts_.set_slots(wanted.slots());
     if (!starts_.leaving()) {
-        starts_.ask(asked, now);
-        give_starts();
-        if (starts_.was_given(asked.id))
+        starts_.ask(request, now);
+        grant_starts();
+        if (starts_.was_given(request.id))
             return;
     }
     v1::MonitorNotice notice;
     notice.mutable_start_waits()->set_id(wanted.id());
     notice.mutable_start_waits()->set_refused(starts_.leaving());
     notice.mutable_start_waits()->set_passed_over(
-        starts_.is_passed_over(asked, now));
-    write_load_now(notice);
+        starts_.is_passed_over(request, now));
+    write_current_load(notice);
     socket_->send(from, notice.SerializeAsString());
 }
 
-void engine_monitor::send_given(const std::string& gateway,
-                                const std::string& id)
+void engine_monitor::send_start_grant(const std::string& gateway,
+                                      const std::string& id)
 {
     const auto found = gateways_.find(gateway);
     if (found == gateways_.end())
@@ -204,43 +208,45 @@
     v1::MonitorNotice notice;
     write_identity(notice);
     const auto place = starts_.outlook().place();
-    auto& given = *notice.mutable_start_given();
-    given.set_id(id);
-    given.set_slots_taken(static_cast<std::uint32_t>(place.slots_taken));
-    given.set_memory_taken(place.memory_taken);
-    write_load_now(notice);
+    auto& grant = *notice.mutable_start_given();
+    grant.set_id(id);
+    grant.set_slots_taken(static_cast<std::uint32_t>(place.slots_taken));
+    grant.set_memory_taken(place.memory_taken);
+    write_current_load(notice);
     socket_->send(found->second.address, notice.SerializeAsString());
 }
 
-void engine_monitor::give_starts()
+void engine_monitor::grant_starts()
 {
-    // A start that does not say who the engine is may be turned away there.
+    // Without the engine's id in the grant, the gateway may send its
+    // predecessor's id, and the engine would reject the request.
     if (is_identifying())
         return;
     for (const auto& start : starts_.give(reactor_->now())) {
         metrics_.count(exported_metric::starts);
-        send_given(start.gateway, start.id);
+        send_start_grant(start.gateway, start.id);
     }
     metrics_.set(exported_metric::starts_waiting, {},
                  static_cast<double>(starts_.waiting()));
-    give_starts_later();
+    schedule_start_grants();
 }
 
-void engine_monitor::give_starts_later()
+void engine_monitor::schedule_start_grants()
 {
     const auto now = reactor_->now();
     const auto next = starts_.next_event(now);
-    const bool due_sooner = give_due_ > now && next && give_due_ <= *next;
+    const bool due_sooner =
+        next_grant_check_ > now && next && next_grant_check_ <= *next;
     if (!next || due_sooner)
         return;
-    give_due_ = *next;
+    next_grant_check_ = *next;
     reactor_->post_at(*next, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->give_starts();
+            self->grant_starts();
     });
 }
 
-void engine_monitor::identify()
+void engine_monitor::query_identity()
 {
     const auto now = steady_now();
     if (health_target_.empty() || !engine_id_.empty() || !last_load_ ||
@@ -251,11 +257,11 @@
                     now + identity_timeout,
                     [weak = weak_from_this()](const call_outcome& outcome) {
                         if (const auto self = weak.lock())
-                            self->take_identity(outcome);
+                            self->handle_identity(outcome);
                     });
 }
 
-void engine_monitor::take_identity(const call_outcome& outcome)
+void engine_monitor::handle_identity(const call_outcome& outcome)
 {
     if (!outcome)
         return;
@@ -263,9 +269,9 @@
     if (!id)
         return;
     engine_id_ = *id;
-    tell_next_at_ = {};
-    last_told_.clear();
-    give_starts();
+    next_publish_at_ = {};
+    last_published_.clear();
+    grant_starts();
 }
 
 bool engine_monitor::is_identifying() const
@@ -282,59 +288,59 @@
     notice.mutable_engine()->set_id(engine_id_);
 }
 
-void engine_monitor::look()
+void engine_monitor::poll_engine()
 {
-    next_look_ = steady_now() + settings_.interval;
-    forget_silent();
+    next_poll_ = steady_now() + settings_.interval;
+    remove_expired_gateways();
     if (gateways_.empty()) {
-        look_later();
+        schedule_poll();
         return;
     }
-    looked_at_ = steady_now();
+    polled_at_ = steady_now();
     engine_->call(dialect_->load_call(), {}, steady_now() + engine_timeout,
                   [weak = weak_from_this()](const call_outcome& outcome) {
                       if (const auto self = weak.lock())
-                          self->take(outcome);
+                          self->handle_load_reply(outcome);
                   });
 }
 
-void engine_monitor::look_later()
+void engine_monitor::schedule_poll()
 {
-    reactor_->post_at(next_look_, [weak = weak_from_this()] {
+    reactor_->post_at(next_poll_, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->look();
+            self->poll_engine();
     });
 }
 
-void engine_monitor::take(const call_outcome& outcome)
+void engine_monitor::handle_load_reply(const call_outcome& outcome)
 {
     const auto load = outcome.and_then(
         [&](const http_reply& reply) { return dialect_->read_load(reply); });
-    metrics_.observe(exported_metric::load_time, {}, steady_now() - looked_at_);
+    metrics_.observe(exported_metric::load_time, {}, steady_now() - polled_at_);
     if (load) {
-        measure(*load);
+        record_load_metrics(*load);
         last_load_ = *load;
         starts_.take_view(view_of(*load), load->leaving, reactor_->now());
-        give_starts();
-        tell(*load);
-        if (load->leaving && leaving_)
-            std::exchange(leaving_, nullptr)();
+        grant_starts();
+        publish_load(*load);
+        if (load->leaving && on_leaving_)
+            std::exchange(on_leaving_, nullptr)();
     } else {
         metrics_.count(exported_metric::load_failures);
-        // It may be another one when it answers again.
+        // Another engine process may respond next time.
         engine_id_.clear();
         last_load_.reset();
     }
-    identify();
-    if (load.has_value() != std::exchange(engine_known_, load.has_value()))
+    query_identity();
+    if (load.has_value() != std::exchange(engine_reachable_, load.has_value()))
         log_event(log_severity::warning,
                   load ? log_event_name::upstream_recovered
                        : log_event_name::upstream_lost,
                   {{log_key::address, to_string(settings_.engine)}});
-    look_later();
+    schedule_poll();
 }
 
-void engine_monitor::measure(const engine_load& load)
+void engine_monitor::record_load_metrics(const engine_load& load)
 {
     metrics_.set(exported_metric::engine_running, {}, load.running);
     metrics_.set(exported_metric::engine_queued, {}, load.queued);
@@ -361,7 +367,7 @@
         message.set_leaves_in_ms(*load.leaves_in_ms);
 }
 
-void engine_monitor::write_load_now(v1::MonitorNotice& notice) const
+void engine_monitor::write_current_load(v1::MonitorNotice& notice) const
 {
     if (last_load_)
         write_load(*last_load_, *notice.mutable_load_now());
@@ -376,29 +382,30 @@
     return message.SerializeAsString();
 }
 
-void engine_monitor::tell(const engine_load& load)
+void engine_monitor::publish_load(const engine_load& load)
 {
     auto bytes = load_notice(load);
     const auto now = reactor_->now();
-    const bool same = bytes == last_told_ && now < tell_again_at_;
-    const bool too_soon = now < tell_next_at_ && load.leaving == told_leaving_;
+    const bool same = bytes == last_published_ && now < republish_at_;
+    const bool too_soon =
+        now < next_publish_at_ && load.leaving == published_leaving_;
     if (same || too_soon)
         return;
-    tell_next_at_ = now + tell_spacing(listeners());
-    told_leaving_ = load.leaving;
+    next_publish_at_ = now + load_publish_interval(count_subscribers());
+    published_leaving_ = load.leaving;
     for (const auto& [name, gateway] : gateways_) {
-        if (gateway.loads_until > now)
+        if (gateway.subscribed_until > now)
             socket_->send(gateway.address, bytes);
     }
-    last_told_ = std::move(bytes);
-    tell_again_at_ = now + tell_interval;
+    last_published_ = std::move(bytes);
+    republish_at_ = now + republish_interval;
 }
 
-void engine_monitor::forget_silent()
+void engine_monitor::remove_expired_gateways()
 {
     const auto now = reactor_->now();
     std::erase_if(gateways_, [&](const auto& entry) {
-        return entry.second.forget_at <= now;
+        return entry.second.expires_at <= now;
     });
 }
 
--- a/src/libcyclamenrun/gateway/monitor_link.cpp
+++ b/src/libcyclamenrun/gateway/monitor_link.cpp
@@ -13,23 +13,26 @@
 namespace
 {
 
-/** Time between two questions; a monitor forgets after three of them. */
-constexpr milliseconds ask_interval{1000};
-/** A host that has just appeared is asked this soon. */
-constexpr milliseconds look_interval{100};
-/** A turn is asked for again, in case a datagram was lost. */
-constexpr milliseconds turn_interval{50};
-/** A monitor that says nothing for so long is down or cut off. */
-constexpr milliseconds monitor_silence{160};
-
-/** It tells even a load that has not changed 400 ms after the last, so that
- * four in a row have gone missing by then. */
-constexpr milliseconds monitor_away{1600};
-/** The same for a monitor that tells many gateways, and each less often. */
-constexpr int most_missed = 4;
-/** Nothing of any monitor for so long: there are none, or this VM is cut off
+/** Time between two renewals of a load subscription; a monitor removes the
+ * gateway after three missing renewals. */
+constexpr milliseconds subscription_interval{1000};
+/** Time between two checks for new hosts and for monitors that timed out. */
+constexpr milliseconds host_check_interval{100};
+/** A turn request is repeated after this time, in case a datagram was lost. */
+constexpr milliseconds turn_retry_interval{50};
+/** A monitor that does not answer turn requests for this long is assumed to be
+ * down or cut off. */
+constexpr milliseconds turn_response_timeout{160};
+
+/** A monitor sends even an unchanged load every 400 ms, so this is four missing
+ * loads in a row. */
+constexpr milliseconds monitor_timeout{1600};
+/** The same bound for a monitor with so many subscribers that each receives its
+ * load less often. */
+constexpr int max_missed_loads = 4;
+/** If no monitor responds for this long, there are none or this VM is cut off
  * from all. */
-constexpr milliseconds all_away{3000};
+constexpr milliseconds all_monitors_timeout{3000};
 
 engine_load load_of(const v1::EngineLoad& message)
 {
@@ -58,15 +61,15 @@
     socket_ = std::make_shared<datagram_socket>(
         reactor_, listen,
         [this](const ip_endpoint& from, std::string_view bytes) {
-            take(from, bytes);
+            handle_datagram(from, bytes);
         });
 }
 
 void monitor_link::start()
 {
     socket_->start();
-    heard_at_ = reactor_->now();
-    ask_for_loads();
+    last_response_at_ = reactor_->now();
+    subscribe_to_loads();
 }
 
 void monitor_link::send(const std::string& host,
@@ -75,73 +78,77 @@
     socket_->send({host, monitor_port_}, request.SerializeAsString());
 }
 
-void monitor_link::ask_for_loads()
+void monitor_link::subscribe_to_loads()
 {
     const auto now = reactor_->now();
     const auto hosts = on_.hosts();
-    const bool all = now >= ask_all_at_;
+    const bool all = now >= renew_all_at_;
     if (all)
-        ask_all_at_ = now + ask_interval;
+        renew_all_at_ = now + subscription_interval;
     v1::MonitorRequest request;
     request.set_gateway(name_);
     request.set_health_target(on_.health_target());
     request.set_loads_wanted(true);
-    std::erase_if(asked_, [&](const auto& asked) {
-        return !hosts.contains(asked.first);
+    std::erase_if(monitors_, [&](const auto& entry) {
+        return !hosts.contains(entry.first);
     });
     for (const auto& host : hosts) {
-        const auto [asked, is_new] = asked_.try_emplace(host, asked_host{now});
+        const auto [monitor, is_new] =
+            monitors_.try_emplace(host, monitor_state{now});
         if (all || is_new)
             send(host, request);
-        note_silent(host, asked->second);
+        check_monitor_timeout(host, monitor->second);
     }
-    reactor_->post_at(now + look_interval, [weak = weak_from_this()] {
+    reactor_->post_at(now + host_check_interval, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
-            self->ask_for_loads();
+            self->subscribe_to_loads();
     });
 }
 
-void monitor_link::note_silent(const std::string& host, asked_host& asked)
+void monitor_link::check_monitor_timeout(const std::string& host,
+                                         monitor_state& monitor)
 {
-    const auto away =
-        std::max(monitor_away, most_missed * tell_spacing(asked.gateways));
-    if (asked.lost || reactor_->now() - asked.heard_at < away)
+    const auto timeout =
+        std::max(monitor_timeout,
+                 max_missed_loads * load_publish_interval(monitor.gateways));
+    if (monitor.lost || reactor_->now() - monitor.last_response_at < timeout)
         return;
-    asked.lost = true;
-    // One that was never heard is no news.
-    if (asked.heard)
+    monitor.lost = true;
+    // A host that never responded may have no monitor.
+    if (monitor.has_responded)
         log_event(log_severity::warning, log_event_name::monitor_lost,
                   {{log_key::address, host}});
 }
 
-void monitor_link::note_heard(const std::string& host)
+void monitor_link::record_response(const std::string& host)
 {
-    heard_at_ = reactor_->now();
-    const auto found = asked_.find(host);
-    if (found == asked_.end())
+    last_response_at_ = reactor_->now();
+    const auto found = monitors_.find(host);
+    if (found == monitors_.end())
         return;
-    const auto away = std::chrono::duration_cast<milliseconds>(
-        reactor_->now() - found->second.heard_at);
-    found->second.heard_at = reactor_->now();
-    const bool known = std::exchange(found->second.heard, true);
+    const auto outage = std::chrono::duration_cast<milliseconds>(
+        reactor_->now() - found->second.last_response_at);
+    found->second.last_response_at = reactor_->now();
+    const bool known = std::exchange(found->second.has_responded, true);
     if (std::exchange(found->second.lost, false) && known)
         log_event(log_severity::info, log_event_name::monitor_regained,
-                  {{log_key::address, host}, {log_key::duration_ms, away}});
+                  {{log_key::address, host}, {log_key::duration_ms, outage}});
 }
 
-void monitor_link::want_turn(const wanted_copy& copy, turn_hooks on)
+void monitor_link::want_turn(const copy_request& copy, turn_hooks on)
 {
     turns_[copy.id] = {copy, std::move(on), reactor_->now()};
-    ask_for_turn(copy.id);
+    send_turn_request(copy.id);
 }
 
-void monitor_link::ask_for_turn(const std::string& id)
+void monitor_link::send_turn_request(const std::string& id)
 {
     const auto found = turns_.find(id);
     if (found == turns_.end() || !found->second.on.given)
         return;
-    if (reactor_->now() - found->second.heard_at >= monitor_silence) {
-        give(id);
+    if (reactor_->now() - found->second.last_response_at >=
+        turn_response_timeout) {
+        grant_turn(id);
         return;
     }
     v1::MonitorRequest request;
@@ -150,14 +157,14 @@
     request.set_turn_tokens(found->second.copy.tokens);
     request.set_turn_into(found->second.copy.into);
     send(found->second.copy.host, request);
-    reactor_->post_at(reactor_->now() + turn_interval,
+    reactor_->post_at(reactor_->now() + turn_retry_interval,
                       [weak = weak_from_this(), id] {
                           if (const auto self = weak.lock())
-                              self->ask_for_turn(id);
+                              self->send_turn_request(id);
                       });
 }
 
-void monitor_link::give(const std::string& id)
+void monitor_link::grant_turn(const std::string& id)
 {
     const auto found = turns_.find(id);
     if (found == turns_.end())
@@ -197,7 +204,7 @@
 void monitor_link::ask_start(const std::string& host,
                              const start_request& wanted, unsigned slots)
 {
-    const auto left = std::chrono::duration_cast<milliseconds>(
+    const auto time_left = std::chrono::duration_cast<milliseconds>(
         wanted.first_due - reactor_->now());
     v1::MonitorRequest request;
     request.set_gateway(name_);
@@ -207,7 +214,7 @@
     start.set_team(wanted.team);
     start.set_prompt_tokens(wanted.prompt_tokens);
     start.set_output_tokens(wanted.output_tokens);
-    start.set_first_due_ms(left.count());
+    start.set_first_due_ms(time_left.count());
     start.set_slots(slots);
     send(host, request);
 }
@@ -222,37 +229,39 @@
 
 bool monitor_link::hears(const std::string& host) const
 {
-    const auto found = asked_.find(host);
-    return found != asked_.end() && found->second.heard && !found->second.lost;
+    const auto found = monitors_.find(host);
+    return found != monitors_.end() && found->second.has_responded &&
+           !found->second.lost;
 }
 
 bool monitor_link::misses(const std::string& host) const
 {
-    const auto found = asked_.find(host);
-    return found != asked_.end() && found->second.lost;
+    const auto found = monitors_.find(host);
+    return found != monitors_.end() && found->second.lost;
 }
 
 bool monitor_link::silent() const
 {
-    return reactor_->now() - heard_at_ > all_away;
+    return reactor_->now() - last_response_at_ > all_monitors_timeout;
 }
 
-void monitor_link::take_start_given(const std::string& host,
-                                    const v1::StartGiven& notice)
+void monitor_link::handle_start_grant(const std::string& host,
+                                      const v1::StartGiven& notice)
 {
     const auto found = starts_.find(notice.id());
-    // It started elsewhere, and the word of that is on its way or lost.
+    // The generation started elsewhere, and the withdrawal of this request is
+    // in flight or lost.
     if (found == starts_.end()) {
         end_start(host, notice.id());
         return;
     }
-    // A copy: the call may forget the start.
-    const auto given = found->second.given;
-    given(host, {notice.slots_taken(), notice.memory_taken()});
+    // Copied because the hook may call forget_start().
+    const auto granted = found->second.given;
+    granted(host, {notice.slots_taken(), notice.memory_taken()});
 }
 
-void monitor_link::take_start_waits(const std::string& host,
-                                    const v1::StartWaits& notice)
+void monitor_link::handle_start_wait(const std::string& host,
+                                     const v1::StartWaits& notice)
 {
     const auto found = starts_.find(notice.id());
     if (found == starts_.end())
@@ -266,59 +275,61 @@
     waits(host, wait);
 }
 
-void monitor_link::take_identity(const std::string& host,
-                                 const v1::EngineIdentity& engine)
+void monitor_link::handle_identity(const std::string& host,
+                                   const v1::EngineIdentity& engine)
 {
     const auto address = parse_ip_endpoint(engine.address());
-    // A monitor speaks for the engine of its own VM only.
+    // A monitor reports only the engine of its own VM.
     if (address && address->host == host && !engine.id().empty())
         on_.identity(*address, engine.id());
 }
 
-void monitor_link::take(const ip_endpoint& from, std::string_view bytes)
+void monitor_link::handle_datagram(const ip_endpoint& from,
+                                   std::string_view bytes)
 {
-    note_heard(from.host);
+    record_response(from.host);
     v1::MonitorNotice notice;
     if (!notice.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return;
-    note_gateways(from.host, notice.gateways());
+    update_gateway_count(from.host, notice.gateways());
     if (notice.has_engine())
-        take_identity(from.host, notice.engine());
+        handle_identity(from.host, notice.engine());
     if (notice.has_load_now())
-        take_load(notice.load_now());
+        handle_load(notice.load_now());
     if (notice.has_turn_given())
-        give(notice.turn_given());
+        grant_turn(notice.turn_given());
     if (notice.has_turn_refused())
         refuse_turn(notice.turn_refused());
     if (notice.has_turn_waits()) {
         const auto found = turns_.find(notice.turn_waits());
         if (found != turns_.end())
-            found->second.heard_at = reactor_->now();
+            found->second.last_response_at = reactor_->now();
     }
     if (notice.has_start_given())
-        take_start_given(from.host, notice.start_given());
+        handle_start_grant(from.host, notice.start_given());
     if (notice.has_start_waits())
-        take_start_waits(from.host, notice.start_waits());
+        handle_start_wait(from.host, notice.start_waits());
     if (notice.has_load())
-        take_load(notice.load());
+        handle_load(notice.load());
 }
 
-void monitor_link::note_gateways(const std::string& host, unsigned count)
+void monitor_link::update_gateway_count(const std::string& host, unsigned count)
 {
-    const auto found = asked_.find(host);
-    if (found == asked_.end() || count == 0)
+    const auto found = monitors_.find(host);
+    if (found == monitors_.end() || count == 0)
         return;
     found->second.gateways = count;
-    // Those that all gateways ask hear of most.
-    unsigned most = 0;
-    for (const auto& [name, asked] : asked_) {
-        if (!asked.lost)
-            most = std::max(most, asked.gateways);
+    // A monitor knows only the gateways that subscribe to it, so the largest
+    // count is the closest to the total.
+    unsigned largest = 0;
+    for (const auto& [name, monitor] : monitors_) {
+        if (!monitor.lost)
+            largest = std::max(largest, monitor.gateways);
     }
-    on_.gateways(most);
+    on_.gateways(largest);
 }
 
-void monitor_link::take_load(const v1::EngineLoad& message)
+void monitor_link::handle_load(const v1::EngineLoad& message)
 {
     const auto engine = parse_ip_endpoint(message.engine_address());
     if (!engine)
--- a/src/libcyclamenrun/gateway/monitor_link.hpp
+++ b/src/libcyclamenrun/gateway/monitor_link.hpp
@@ -26,116 +26,121 @@
 namespace cyclamenrun
 {
 
-/** Why a generation may not start at an engine yet. */
+/** Why a monitor does not grant a start yet. */
 enum class start_wait : std::uint8_t {
     for_room,
-    passed_over, ///< It is late, and its team holds more than its part.
-    refused,     ///< The engine leaves.
+    passed_over, ///< request is late and its team exceeds its fair share
+    refused,     ///< the engine leaves
 };
 
 /**
- * A gateway's side of the datagrams to the monitors beside engines: it asks
- * some for their loads again and again, and any of them for starts and for
- * turns to copy generations.
+ * The gateway's side of the datagram protocol with the monitors of engines. It
+ * renews load subscriptions at some monitors, and requests start grants and
+ * copy turns from any of them.
  *
- * Loads are wanted of the engines at which this gateway's own requests run,
- * and of a few more: told by each engine to each gateway, they would grow with
- * both, and a gateway among a hundred would hear of each once a second.
+ * A gateway subscribes only to the engines at which its own requests run, and
+ * to a few more. If each monitor sent its load to each gateway, the traffic
+ * would grow with both numbers, and with a hundred gateways each one would
+ * receive a load only once a second.
  */
 class monitor_link : public std::enable_shared_from_this<monitor_link>
 {
 public:
     struct hooks {
         std::function<void(const ip_endpoint& engine, const engine_load&)> load;
-        /** Who answers at an engine's address now. */
+        /** Id of the engine that currently responds at an address. */
         std::function<void(const ip_endpoint& engine, const std::string& id)>
             identity;
-        /** How many gateways the monitors hear of. */
+        /** Number of gateways that the monitors know. */
         std::function<void(unsigned)> gateways;
-        /** IP numbers of the VMs whose engines' loads are wanted. */
+        /** IP addresses of the VMs to whose engines' loads to subscribe. */
         std::function<std::set<std::string>()> hosts;
-        /** Where engines say who they are; empty: it is not known. */
+        /** HTTP target at which engines report their id; empty: unknown. */
         std::function<std::string()> health_target;
     };
 
-    /** Monitors listen at `monitor_port` of the engines' VMs. */
+    /** Monitors listen at `monitor_port` of the engines' VMs. `name` identifies
+     * this gateway in requests. */
     monitor_link(std::shared_ptr<link_reactor> reactor,
                  const ip_endpoint& listen, std::uint16_t monitor_port,
                  std::string name, hooks on);
 
     void start();
 
-    /** A copy that wants a turn at the link of the engine on a host. */
-    struct wanted_copy {
+    /** A copy that needs a copy turn for the link of the engine on a host. */
+    struct copy_request {
         std::string host;
         std::string id;
         std::uint64_t tokens = 0; ///< of memory to copy
-        bool into = false;        ///< that engine; else from it
+        bool into = false;        ///< true: into that engine, false: from it
     };
     struct turn_hooks {
-        /** Also if the monitor there does not answer, since a copy beside
-         * others is better than none. */
+        /** Called also if the monitor does not respond, since a copy that
+         * shares the link is better than none. */
         std::function<void()> given;
-        /** Of a copy into an engine: it leaves, or has no room. */
+        /** Called for a copy into an engine that leaves or has no room. */
         std::function<void()> refused;
     };
-    /** Calls one of the hooks, once. */
-    void want_turn(const wanted_copy& copy, turn_hooks on);
-    /** The copy is done, or no longer wanted. */
+    /** Requests a copy turn until the monitor responds or times out, then calls
+     * one of the hooks, once. */
+    void want_turn(const copy_request& copy, turn_hooks on);
+    /** Releases the turn of a copy that has ended or was cancelled. */
     void end_turn(const std::string& id);
 
     struct start_hooks {
-        /** It may start at the engine on that host. */
+        /** The generation may start at the engine on that host. */
         std::function<void(const std::string& host, const given_place&)> given;
-        /** Not yet. The monitor is alive. */
+        /** The monitor responds, but does not grant the start yet. */
         std::function<void(const std::string& host, start_wait)> waits;
     };
-    /** What monitors answer about a start goes there until forgotten. */
+    /** Passes monitors' answers about a start to the hooks until
+     * `forget_start`. */
     void hear_of_start(const std::string& id, start_hooks on);
     void forget_start(const std::string& id) { starts_.erase(id); }
-    /** Asks the monitor on that host once. */
+    /** Sends one start request to the monitor on that host. */
     void ask_start(const std::string& host, const start_request& wanted,
                    unsigned slots);
-    /** It does not wait there any more, or does not use what was given. */
+    /** Withdraws a start request, or returns a grant that is not used. */
     void end_start(const std::string& host, const std::string& id);
 
-    /** The monitor on that host has spoken of late. */
+    /** True if the monitor on that host has responded and has not timed out. */
     bool hears(const std::string& host) const;
-    /** It was asked and says nothing. */
+    /** True if the monitor on that host has timed out. */
     bool misses(const std::string& host) const;
-    /** No monitor at all has spoken for seconds. */
+    /** True if no monitor has responded for seconds. */
     bool silent() const;
 
 private:
-    struct wanted_turn {
-        wanted_copy copy;
-        turn_hooks on;       ///< empty once it was given
-        time_point heard_at; ///< from the monitor
+    struct pending_turn {
+        copy_request copy;
+        turn_hooks on;               ///< empty after the turn was granted
+        time_point last_response_at; ///< of the monitor; initially the time of
+                                     ///< the request
     };
 
-    /** A host that was asked, and when its monitor was heard. */
-    struct asked_host {
-        time_point heard_at;
-        bool heard = false;    ///< it has spoken at all
-        bool lost = false;     ///< it says nothing any more
-        unsigned gateways = 0; ///< that its monitor hears of
+    /** State of the monitor on a host with a load subscription. */
+    struct monitor_state {
+        time_point last_response_at; ///< initially the time of the subscription
+        bool has_responded = false;
+        bool lost = false;     ///< has timed out
+        unsigned gateways = 0; ///< number of gateways known to the monitor
     };
 
-    void ask_for_loads();
-    void note_silent(const std::string& host, asked_host& asked);
-    void note_heard(const std::string& host);
-    void ask_for_turn(const std::string& id);
-    void give(const std::string& id);
+    void subscribe_to_loads();
+    void check_monitor_timeout(const std::string& host, monitor_state& monitor);
+    void record_response(const std::string& host);
+    void send_turn_request(const std::string& id);
+    void grant_turn(const std::string& id);
     void refuse_turn(const std::string& id);
-    void take_load(const v1::EngineLoad& message);
-    void note_gateways(const std::string& host, unsigned count);
-    void take_start_given(const std::string& host,
-                          const v1::StartGiven& notice);
-    void take_start_waits(const std::string& host,
-                          const v1::StartWaits& notice);
-    void take_identity(const std::string& host,
-                       const v1::EngineIdentity& engine);
-    void take(const ip_endpoint& from, std::string_view bytes);
+    void handle_load(const v1::EngineLoad& message);
+    void update_gateway_count(const std::string& host, unsigned count);
+    void handle_start_grant(const std::string& host,
+                            const v1::StartGiven& notice);
+    void handle_start_wait(const std::string& host,
+                           const v1::StartWaits& notice);
+    void handle_identity(const std::string& host,
+                         const v1::EngineIdentity& engine);
+    void handle_datagram(const ip_endpoint& from, std::string_view bytes);
     void send(const std::string& host, const v1::MonitorRequest& request);
 
     std::shared_ptr<link_reactor> reactor_;
@@ -143,10 +148,10 @@
     std::uint16_t monitor_port_;
     std::string name_;
     hooks on_;
-    std::map<std::string, asked_host> asked_;
-    time_point ask_all_at_{};
-    time_point heard_at_{}; ///< any monitor
-    std::unordered_map<std::string, wanted_turn> turns_;
+    std::map<std::string, monitor_state> monitors_;
+    time_point renew_all_at_{};
+    time_point last_response_at_{}; ///< last datagram of any monitor
+    std::unordered_map<std::string, pending_turn> turns_;
     std::unordered_map<std::string, start_hooks> starts_;
 };
 
--- a/src/libcyclamenrun/gateway/request_notes.cpp
+++ b/src/libcyclamenrun/gateway/request_notes.cpp
@@ -8,7 +8,7 @@
                              milliseconds configuration_age,
                              milliseconds time_left, const request_facts& facts)
 {
-    trace_.note(
+    trace_.record(
         log_event_name::request_admitted,
         {{log_key::route, request.route->name},
          {log_key::team, request.team ? request.team->name : ""},
@@ -22,27 +22,28 @@
 
 void request_notes::placed(const placed_upstream& upstream)
 {
-    trace_.note(log_event_name::attempt_placed, fields_of(upstream));
+    trace_.record(log_event_name::attempt_placed, fields_of(upstream));
 }
 
 void request_notes::start_found(const std::string& service,
-                                const std::string& upstream, std::size_t asked,
-                                milliseconds took)
+                                const std::string& upstream,
+                                std::size_t queried, milliseconds took)
 {
     metrics_.observe(exported_metric::start_wait, {service}, took);
-    trace_.note(log_event_name::start_found, {{log_key::upstream, upstream},
-                                              {log_key::weighed, asked},
-                                              {log_key::duration_ms, took}});
+    trace_.record(log_event_name::start_found, {{log_key::upstream, upstream},
+                                                {log_key::weighed, queried},
+                                                {log_key::duration_ms, took}});
 }
 
-void request_notes::start_unheard(std::size_t asked)
+void request_notes::start_unheard(std::size_t queried)
 {
-    trace_.note(log_event_name::start_unheard, {{log_key::weighed, asked}});
+    trace_.record(log_event_name::start_unheard, {{log_key::weighed, queried}});
 }
 
-void request_notes::start_passed_over(std::size_t asked)
+void request_notes::start_passed_over(std::size_t queried)
 {
-    trace_.note(log_event_name::start_passed_over, {{log_key::weighed, asked}});
+    trace_.record(log_event_name::start_passed_over,
+                  {{log_key::weighed, queried}});
 }
 
 void request_notes::attempt_ended(const attempt& ended, std::string_view result,
@@ -52,14 +53,14 @@
                    {ended.service, std::string(result)});
     metrics_.observe(exported_metric::upstream_time, {ended.service},
                      ended.took);
-    trace_.note(log_event_name::attempt_ended,
-                {{log_key::upstream, ended.upstream},
-                 {log_key::attempt, ended.number},
-                 {log_key::reason, result},
-                 {log_key::status, ended.status},
-                 {log_key::duration_ms, ended.took},
-                 {log_key::retries_left, ended.retries_left},
-                 {log_key::next, next}});
+    trace_.record(log_event_name::attempt_ended,
+                  {{log_key::upstream, ended.upstream},
+                   {log_key::attempt, ended.number},
+                   {log_key::reason, result},
+                   {log_key::status, ended.status},
+                   {log_key::duration_ms, ended.took},
+                   {log_key::retries_left, ended.retries_left},
+                   {log_key::next, next}});
 }
 
 void request_notes::late(const answer_relay::progress& progress,
@@ -67,25 +68,25 @@
 {
     if (!progress.late_by_pause)
         return;
-    trace_.note_late();
-    trace_.note(log_event_name::answer_late,
-                {{log_key::kind, progress.was_first ? "first" : "pause"},
-                 {log_key::duration_ms, *progress.late_by_pause},
-                 {log_key::upstream, upstream},
-                 {log_key::count, events}});
+    trace_.mark_late();
+    trace_.record(log_event_name::answer_late,
+                  {{log_key::kind, progress.was_first ? "first" : "pause"},
+                   {log_key::duration_ms, *progress.late_by_pause},
+                   {log_key::upstream, upstream},
+                   {log_key::count, events}});
 }
 
 void request_notes::backed_up(const std::string& service,
                               const std::string& upstream)
 {
     metrics_.count(exported_metric::backups, {service});
-    trace_.note(log_event_name::generation_backed_up,
-                {{log_key::upstream, upstream}});
+    trace_.record(log_event_name::generation_backed_up,
+                  {{log_key::upstream, upstream}});
 }
 
 void request_notes::move_step_taken(move_step step, const std::string& upstream)
 {
-    trace_.note(
+    trace_.record(
         log_event_name::generation_move_step,
         {{log_key::kind, name_of(step)}, {log_key::upstream, upstream}});
 }
@@ -96,19 +97,19 @@
 {
     const auto result = failure ? name_of(*failure) : "moved";
     metrics_.count(exported_metric::moves, {service, std::string(result)});
-    trace_.note(failure ? log_event_name::generation_move_failed
-                        : log_event_name::generation_moved,
-                {{log_key::name, from},
-                 {log_key::upstream, to},
-                 {log_key::reason, result}});
+    trace_.record(failure ? log_event_name::generation_move_failed
+                          : log_event_name::generation_moved,
+                  {{log_key::name, from},
+                   {log_key::upstream, to},
+                   {log_key::reason, result}});
 }
 
 void request_notes::continued(const std::string& service,
                               const std::string& upstream)
 {
     metrics_.count(exported_metric::moves, {service, "from_backup"});
-    trace_.note(log_event_name::generation_continued,
-                {{log_key::upstream, upstream}});
+    trace_.record(log_event_name::generation_continued,
+                  {{log_key::upstream, upstream}});
 }
 
 void request_notes::ended(const std::string& request_id,
@@ -116,7 +117,7 @@
 {
     const auto& row = row_of(report.outcome);
     trace_.end(request_id, row.severity, row.event, fields_of(report));
-    measure(metrics_, report);
+    record_metrics(metrics_, report);
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/request_notes.hpp
+++ b/src/libcyclamenrun/gateway/request_notes.hpp
@@ -14,10 +14,7 @@
 namespace cyclamenrun
 {
 
-/**
- * What is told of one request: each decision goes into its trace, and into the
- * metrics where it counts.
- */
+/** Records the decisions on one request in its trace and in the metrics. */
 class request_notes
 {
 public:
@@ -30,12 +27,14 @@
                   milliseconds configuration_age, milliseconds time_left,
                   const request_facts& facts);
     void placed(const placed_upstream& upstream);
-    /** The engine lets it start; so many were asked, it took so long. */
+    /** One of the `queried` engines granted the start; `took` is the time that
+     * the request waited for the grant. */
     void start_found(const std::string& service, const std::string& upstream,
-                     std::size_t asked, milliseconds took);
-    void start_unheard(std::size_t asked);
-    /** Most of those that were asked let other teams go first. */
-    void start_passed_over(std::size_t asked);
+                     std::size_t queried, milliseconds took);
+    /** No monitor of the queried engines responded. */
+    void start_unheard(std::size_t queried);
+    /** Most of the queried engines grant other teams' requests first. */
+    void start_passed_over(std::size_t queried);
 
     struct attempt {
         std::string service;
@@ -50,12 +49,12 @@
 
     void late(const answer_relay::progress& progress,
               const std::string& upstream, std::uint64_t events);
-    /** Nothing of an answer has come in the time for it. */
-    void late() { trace_.note_late(); }
+    /** No part of the answer arrived before its deadline. */
+    void late() { trace_.mark_late(); }
 
     void backed_up(const std::string& service, const std::string& upstream);
     void move_step_taken(move_step step, const std::string& upstream);
-    /** No failure: it goes on at `to`. */
+    /** Without a failure the generation continues at `to`. */
     void move_tried(const std::string& service, const std::string& from,
                     const std::string& to, std::optional<move_failure> failure);
     void continued(const std::string& service, const std::string& upstream);
--- a/src/libcyclamenrun/gateway/request_report.cpp
+++ b/src/libcyclamenrun/gateway/request_report.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/** In place of a time that there is none of. */
+/** Logged for a time that is not known. */
 constexpr milliseconds none{-1};
 
 } // namespace
@@ -28,7 +28,7 @@
             {log_key::count, report.events}};
 }
 
-void measure(exported_metrics& metrics, const request_report& report)
+void record_metrics(exported_metrics& metrics, const request_report& report)
 {
     metrics.count(exported_metric::requests,
                   {report.route, report.service,
--- a/src/libcyclamenrun/gateway/request_report.hpp
+++ b/src/libcyclamenrun/gateway/request_report.hpp
@@ -15,7 +15,7 @@
 namespace cyclamenrun
 {
 
-/** What is told of a request at its end, in the log and in the metrics. */
+/** Summary of a request at its end, for the log and the metrics. */
 struct request_report {
     request_outcome outcome = request_outcome::answered;
     unsigned status = 0;
@@ -23,7 +23,7 @@
     std::string route;
     std::string service;
     std::string team;
-    std::string upstream; ///< the last
+    std::string upstream; ///< of the last attempt
     unsigned sends = 0;
     std::uint64_t revision = 0; ///< of the configuration that was used
     milliseconds configuration_age{0};
@@ -34,9 +34,9 @@
 };
 
 std::vector<log_field> fields_of(const request_report& report);
-void measure(exported_metrics& metrics, const request_report& report);
+void record_metrics(exported_metrics& metrics, const request_report& report);
 
-/** What decided for an upstream. */
+/** Log fields of the values that decided the choice of an upstream. */
 std::vector<log_field> fields_of(const placed_upstream& placed);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/request_trace.cpp
+++ b/src/libcyclamenrun/gateway/request_trace.cpp
@@ -20,22 +20,22 @@
 
 } // namespace
 
-void request_trace::note(log_event_name event, std::vector<log_field> fields)
+void request_trace::record(log_event_name event, std::vector<log_field> fields)
 {
-    step noted{std::chrono::system_clock::now(), event, std::move(fields)};
-    if (!followed_.empty()) {
-        write(noted, followed_);
+    step decision{std::chrono::system_clock::now(), event, std::move(fields)};
+    if (!followed_id_.empty()) {
+        write(decision, followed_id_);
         return;
     }
     if (first_.size() < first_steps) {
-        first_.push_back(std::move(noted));
+        first_.push_back(std::move(decision));
         return;
     }
     if (last_.size() == last_steps) {
         last_.pop_front();
-        ++left_out_;
+        ++omitted_steps_;
     }
-    last_.push_back(std::move(noted));
+    last_.push_back(std::move(decision));
 }
 
 void request_trace::end(const std::string& request_id, log_severity severity,
@@ -47,21 +47,21 @@
                      with_id(request_id, fields));
         return;
     }
-    for (const auto& noted : first_)
-        write(noted, request_id);
-    for (const auto& noted : last_)
-        write(noted, request_id);
-    if (left_out_ > 0)
-        fields.emplace_back(log_key::left_out, left_out_);
+    for (const auto& decision : first_)
+        write(decision, request_id);
+    for (const auto& decision : last_)
+        write(decision, request_id);
+    if (omitted_steps_ > 0)
+        fields.emplace_back(log_key::left_out, omitted_steps_);
     log_event_at(std::chrono::system_clock::now(), log_severity::warning, event,
                  with_id(request_id, fields));
 }
 
-void request_trace::write(const step& noted,
+void request_trace::write(const step& decision,
                           const std::string& request_id) const
 {
-    log_event_at(noted.at, log_severity::warning, noted.event,
-                 with_id(request_id, noted.fields));
+    log_event_at(decision.at, log_severity::warning, decision.event,
+                 with_id(request_id, decision.fields));
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/request_trace.hpp
+++ b/src/libcyclamenrun/gateway/request_trace.hpp
@@ -15,33 +15,37 @@
 {
 
 /**
- * The decisions that one request has met. They are logged only if it ends
- * badly or late, so that the many that end well cost one line each and the
- * cause of the others is still told. Memory is bounded: of a long story the
- * beginning and the end are kept.
+ * The decisions made on one request. They are logged only if the request fails
+ * or is late, so that a successful request costs one line and the log still
+ * shows the cause of a failure. Memory is bounded: of a long trace only the
+ * first and the last steps are kept.
  */
 class request_trace
 {
 public:
     /**
-     * Logs each decision as it is made, from now on. For investigations: a
-     * process that is killed leaves no end of the requests that it served,
-     * and only so is it seen which these were.
+     * Logs each further decision as soon as it is made. For investigations: a
+     * process that is killed does not log the end of its requests, and without
+     * this the log would not show which requests it served.
      */
-    void follow(std::string request_id) { followed_ = std::move(request_id); }
+    void follow(std::string request_id)
+    {
+        followed_id_ = std::move(request_id);
+    }
 
-    void note(log_event_name event, std::vector<log_field> fields);
-    /** A part of its answer was late. */
-    void note_late() { late_ = true; }
+    void record(log_event_name event, std::vector<log_field> fields);
+    /** Marks the request as one of whose answer a part was late. */
+    void mark_late() { late_ = true; }
 
     /**
-     * Logs how it ended: one line if all went well, else all decisions before
-     * it, each with the time at which it was made.
+     * Logs the end of the request. Unless its severity is info and no part was
+     * late, the kept decisions are logged before it, each with the time at
+     * which it was made.
      */
     void end(const std::string& request_id, log_severity severity,
              log_event_name event, std::vector<log_field> fields) const;
 
-    /** Steps kept from the beginning and from the end of a story. */
+    /** Number of steps kept from the beginning and from the end of a trace. */
     static constexpr std::size_t first_steps = 8;
     static constexpr std::size_t last_steps = 24;
 
@@ -52,13 +56,14 @@
         std::vector<log_field> fields;
     };
 
-    void write(const step& noted, const std::string& request_id) const;
+    void write(const step& decision, const std::string& request_id) const;
 
     std::vector<step> first_;
     std::deque<step> last_;
-    std::uint64_t left_out_ = 0;
+    std::uint64_t omitted_steps_ = 0;
     bool late_ = false;
-    std::string followed_; ///< id of the request; empty: not followed
+    std::string
+        followed_id_; ///< id of the followed request; empty: not followed
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/upstream_board.cpp
+++ b/src/libcyclamenrun/gateway/upstream_board.cpp
@@ -14,37 +14,39 @@
 {
 
 /**
- * After an outage of the directory, records that lapsed during it are back
- * within two seconds if the upstream lives.
+ * After an outage of the directory a live upstream renews its expired record
+ * within two seconds.
  */
-constexpr milliseconds doubt_time{1900};
+constexpr milliseconds unconfirmed_timeout{1900};
 /**
- * A load is taken up to this long after its host saw it: a dispatch that is
- * younger than that may be missing from it.
+ * Maximum time between the measurement of a load and its arrival here. A
+ * dispatch younger than that may be missing from the load.
  */
-constexpr milliseconds load_delay{30};
-/** A load that is older says little; own counts are used in its place. */
+constexpr milliseconds max_load_delay{30};
+/** An older load is not used; the gateway's own counts replace it. */
 constexpr milliseconds load_lifetime{1500};
 /**
  * An upstream to which no connection could be made is tried again after this
- * time: when this VM is cut off, each further request would wait as long as
- * the first for nothing, and its caller could have gone elsewhere.
+ * time. Without the delay, while this VM is cut off, each further request
+ * would wait for a full connection timeout, although its caller could have
+ * used another gateway.
  */
-constexpr milliseconds unreachable_time{600};
+constexpr milliseconds unreachable_retry_delay{600};
 /**
- * An upstream that has started is in the directory after this time, or it is
- * not used any more.
+ * An upstream that only a monitor has reported is removed after this time
+ * unless the directory lists it.
  */
-constexpr milliseconds listing_time{5000};
-/** A monitor may tell of an upstream for so long after it was dropped. */
-constexpr milliseconds dropped_memory{60000};
-constexpr std::size_t most_dropped = 4096;
+constexpr milliseconds listing_timeout{5000};
+/** For this long a dropped upstream is not added again by a monitor's report.
+ */
+constexpr milliseconds dropped_retention{60000};
+constexpr std::size_t max_dropped = 4096;
 /** Weight of one result in the failure rate. */
 constexpr double failure_weight = 0.15;
-/** Time in which a failure rate halves with no news. */
+/** Time in which a failure rate halves without further results. */
 constexpr milliseconds failure_half_life{2000};
-/** Part of its output that a running request has yet to make, on average. */
-constexpr double part_to_grow = 0.5;
+/** Average share of its output that a running request has not yet produced. */
+constexpr double remaining_output_share = 0.5;
 
 double unreported_tokens(const upstream_state& upstream)
 {
@@ -63,34 +65,35 @@
     return upstream.failure_rate * std::exp2(-std::max(0.0, halves));
 }
 
-struct believed {
+struct load_estimate {
     double requests = 0;
-    double unread_ms = 0; ///< to read the prompts that come before a new one
+    double unread_ms = 0; ///< time to read the prompts ahead of a new one
     double memory_tokens = 0;
 };
 
 double reading_ms(const upstream_state& upstream, double tokens)
 {
-    const bool told = upstream.load && upstream.load->tokens_read_per_ms > 0;
-    return tokens / (told ? upstream.load->tokens_read_per_ms
-                          : reading_speed::prior_tokens_per_ms);
+    const bool reported =
+        upstream.load && upstream.load->tokens_read_per_ms > 0;
+    return tokens / (reported ? upstream.load->tokens_read_per_ms
+                              : reading_speed::prior_tokens_per_ms);
 }
 
 /**
- * From the latest load and own dispatches since, or own counts alone. Of the
- * requests that run there no more is known than of the one to be placed: they
- * are taken for its like.
+ * Estimates from the latest load and this gateway's dispatches since, or from
+ * its own counts alone if the load is old. The sizes of the running requests
+ * are unknown, so each is assumed to equal the request to be placed.
  */
-believed believed_load(const upstream_state& upstream,
-                       const placement_request& request, time_point now)
+load_estimate estimate_load(const upstream_state& upstream,
+                            const placement_request& request, time_point now)
 {
-    believed result;
+    load_estimate result;
     const bool fresh = has_fresh_load(upstream, now);
     const double unreported = unreported_tokens(upstream);
     const double growth =
-        static_cast<double>(request.output_tokens) * part_to_grow;
+        static_cast<double>(request.output_tokens) * remaining_output_share;
     if (!fresh) {
-        // Other gateways send there as much as this one does.
+        // Assumes that each other gateway sends as much as this one does.
         result.requests = upstream.own_running;
         result.memory_tokens =
             result.requests * request.gateways *
@@ -103,7 +106,8 @@
                                           upstream.unreported.size());
     result.unread_ms = static_cast<double>(load.unread.count()) +
                        reading_ms(upstream, unreported);
-    // The engine's own word has no times, only those that wait.
+    // A load read from the engine itself has no reading times, only the
+    // number of waiting requests.
     if (load.tokens_read_per_ms <= 0)
         result.unread_ms += reading_ms(
             upstream, static_cast<double>((load.starting + load.queued) *
@@ -121,54 +125,54 @@
 }
 
 void upstream_board::apply(const upstream_change& change, time_point now,
-                           bool doubt)
+                           bool after_outage)
 {
     if (change.record)
         add(*change.record, now);
     else
-        remove(change.id, now, doubt);
+        remove(change.id, now, after_outage);
 }
 
 void upstream_board::replace_all(const std::vector<upstream_change>& all,
-                                 time_point now, bool doubt)
+                                 time_point now, bool after_outage)
 {
     std::set<std::string> present;
     for (const auto& change : all) {
-        apply(change, now, doubt);
+        apply(change, now, after_outage);
         if (change.record)
             present.insert(change.id);
     }
     std::vector<std::string> missing;
     for (const auto& [id, upstream] : upstreams_) {
-        if (!present.contains(id) && !upstream.vouched_until)
+        if (!present.contains(id) && !upstream.monitor_only_until)
             missing.push_back(id);
     }
     for (const auto& id : missing)
-        remove(id, now, doubt);
+        remove(id, now, after_outage);
 }
 
 void upstream_board::add(const upstream_record& record, time_point)
 {
     const auto found = upstreams_.find(record.id);
-    // A process that starts again under its id knows nothing of before.
-    if (found != upstreams_.end() && !found->second.vouched_until &&
+    // A process that restarts under its id has lost the state of the old one.
+    if (found != upstreams_.end() && !found->second.monitor_only_until &&
         (found->second.record.started_ms != record.started_ms ||
          found->second.record.address != record.address))
         drop(record.id);
     dropped_.erase(record.id);
     auto& upstream = upstreams_[record.id];
     upstream.record = record;
-    upstream.vouched_until.reset();
-    upstream.doubted_until.reset();
+    upstream.monitor_only_until.reset();
+    upstream.unconfirmed_until.reset();
     upstream.removed = false;
-    list(upstream);
+    index_address(upstream);
     if (record.draining)
-        leave(upstream, std::nullopt);
+        mark_leaving(upstream, std::nullopt);
     else if (!upstream.load || !upstream.load->leaving)
         upstream.leaving = false;
 }
 
-void upstream_board::list(upstream_state& upstream)
+void upstream_board::index_address(upstream_state& upstream)
 {
     auto& listed = by_address_[to_string(upstream.record.address)];
     const auto other = upstreams_.find(listed);
@@ -184,21 +188,23 @@
     listed = upstream.record.id;
 }
 
-void upstream_board::remove(const std::string& id, time_point now, bool doubt)
+void upstream_board::remove(const std::string& id, time_point now,
+                            bool after_outage)
 {
     const auto found = upstreams_.find(id);
     if (found == upstreams_.end())
         return;
     auto& upstream = found->second;
-    if (doubt && !upstream.leaving) {
-        if (!upstream.doubted_until)
-            upstream.doubted_until = now + doubt_time;
+    if (after_outage && !upstream.leaving) {
+        if (!upstream.unconfirmed_until)
+            upstream.unconfirmed_until = now + unconfirmed_timeout;
         return;
     }
-    note_dropped(id, now);
-    // It serves on for a while, so what runs there is left alone.
-    upstream.doubted_until.reset();
-    leave(upstream, std::nullopt);
+    record_dropped(id, now);
+    // The upstream may continue to serve for a while, so requests that run
+    // there are kept.
+    upstream.unconfirmed_until.reset();
+    mark_leaving(upstream, std::nullopt);
     upstream.removed = true;
     if (upstream.own_running == 0)
         drop(id);
@@ -209,9 +215,9 @@
     std::vector<std::string> gone;
     for (const auto& [id, upstream] : upstreams_) {
         const bool unlisted =
-            upstream.vouched_until && *upstream.vouched_until <= now;
+            upstream.monitor_only_until && *upstream.monitor_only_until <= now;
         const bool lapsed =
-            upstream.doubted_until && *upstream.doubted_until <= now;
+            upstream.unconfirmed_until && *upstream.unconfirmed_until <= now;
         if ((unlisted && !upstream.removed) || lapsed)
             gone.push_back(id);
     }
@@ -219,13 +225,13 @@
         remove(id, now, false);
 }
 
-void upstream_board::note_dropped(const std::string& id, time_point now)
+void upstream_board::record_dropped(const std::string& id, time_point now)
 {
-    if (dropped_.size() >= most_dropped)
+    if (dropped_.size() >= max_dropped)
         std::erase_if(dropped_,
                       [&](const auto& each) { return each.second <= now; });
-    if (dropped_.size() < most_dropped)
-        dropped_[id] = now + dropped_memory;
+    if (dropped_.size() < max_dropped)
+        dropped_[id] = now + dropped_retention;
 }
 
 void upstream_board::take_identity(const ip_endpoint& address,
@@ -241,12 +247,13 @@
     auto record = predecessor.record;
     record.id = id;
     record.draining = false;
-    // Later than its predecessor; the directory tells when.
+    // Any time after the predecessor's start; the directory reports the real
+    // one.
     ++record.started_ms;
     const auto [found, is_new] = upstreams_.try_emplace(id);
     if (is_new) {
         found->second.record = record;
-        found->second.vouched_until = now + listing_time;
+        found->second.monitor_only_until = now + listing_timeout;
     }
     if (found->second.record.address != address)
         return;
@@ -255,8 +262,8 @@
     listed->second = id;
 }
 
-void upstream_board::leave(upstream_state& upstream,
-                           std::optional<time_point> leaves_at)
+void upstream_board::mark_leaving(upstream_state& upstream,
+                                  std::optional<time_point> leaves_at)
 {
     if (leaves_at)
         upstream.leaves_at = leaves_at;
@@ -290,14 +297,14 @@
     upstream.load = load;
     upstream.load_at = now;
     while (!upstream.unreported.empty() &&
-           upstream.unreported.front().at < now - load_delay)
+           upstream.unreported.front().at < now - max_load_delay)
         upstream.unreported.pop_front();
     if (!load.leaving)
         return;
     std::optional<time_point> leaves_at;
     if (load.leaves_in_ms)
         leaves_at = now + milliseconds(*load.leaves_in_ms);
-    leave(upstream, leaves_at);
+    mark_leaving(upstream, leaves_at);
 }
 
 void upstream_board::expect(const std::string& id, std::uint64_t prompt_tokens,
@@ -334,19 +341,19 @@
 void upstream_board::succeeded(const std::string& id, time_point now)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
-        fold_failure(found->second, 0.0, now);
+        update_failure_rate(found->second, 0.0, now);
 }
 
 void upstream_board::failed(const std::string& id, time_point now)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
-        fold_failure(found->second, 1.0, now);
+        update_failure_rate(found->second, 1.0, now);
 }
 
 void upstream_board::unreached(const std::string& id, time_point now)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
-        found->second.unreachable_until = now + unreachable_time;
+        found->second.unreachable_until = now + unreachable_retry_delay;
 }
 
 void upstream_board::reached(const std::string& id)
@@ -361,8 +368,8 @@
         found->second.superseded = true;
 }
 
-void upstream_board::fold_failure(upstream_state& upstream, double sample,
-                                  time_point now) const
+void upstream_board::update_failure_rate(upstream_state& upstream,
+                                         double sample, time_point now) const
 {
     const double rate = failure_rate_at(upstream, now);
     upstream.failure_rate = rate + failure_weight * (sample - rate);
@@ -417,7 +424,7 @@
 {
     service_totals result;
     for (const auto* upstream : available(service)) {
-        const auto load = believed_load(*upstream, {}, now);
+        const auto load = estimate_load(*upstream, {}, now);
         ++result.upstreams;
         result.free_slots +=
             std::max(0.0, upstream->record.slots - load.requests);
@@ -439,9 +446,9 @@
     candidate.same_failure_domain =
         upstream.record.failure_domain == request.from_domain;
     candidate.failure_rate = failure_rate_at(upstream, now);
-    candidate.doubtful = upstream.doubted_until.has_value();
+    candidate.doubtful = upstream.unconfirmed_until.has_value();
     candidate.unreachable = now < upstream.unreachable_until;
-    const auto load = believed_load(upstream, request, now);
+    const auto load = estimate_load(upstream, request, now);
     const double slots = std::max(1U, upstream.record.slots);
     candidate.slots_taken = (load.requests + 1) / slots;
     if (request.engine_tokens == 0)
@@ -462,7 +469,7 @@
     if (request.engine_tokens == 0 || !upstream.load)
         return milliseconds(0);
     const double ms =
-        believed_load(upstream, request, now).unread_ms +
+        estimate_load(upstream, request, now).unread_ms +
         reading_ms(upstream, static_cast<double>(request.prompt_tokens));
     return milliseconds(std::llround(ms));
 }
--- a/src/libcyclamenrun/gateway/upstream_record.hpp
+++ b/src/libcyclamenrun/gateway/upstream_record.hpp
@@ -11,7 +11,7 @@
 namespace cyclamenrun
 {
 
-/** What an upstream says of itself in the platform's directory. */
+/** An upstream's entry in the platform's directory. */
 struct upstream_record {
     std::string id;
     std::string service;
@@ -19,29 +19,30 @@
     std::string failure_domain;
     unsigned slots = 0;
     bool draining = false;
-    /** Unix milliseconds of its start; another value is another process. */
+    /** Start of the process in Unix milliseconds; another value means another
+     * process. */
     std::int64_t started_ms = 0;
 
     bool operator==(const upstream_record&) const = default;
 };
 
-/** One change of the directory; no record: there is no such upstream. */
+/** One change of the directory; without a record the upstream was removed. */
 struct upstream_change {
     std::string id;
     std::optional<upstream_record> record;
 };
 
-/** Load of a model engine, as its own host sees it. */
+/** Load of a model engine, as measured on its own host. */
 struct engine_load {
     std::uint32_t running = 0;
-    std::uint32_t starting = 0; ///< of those: their prompts are being read
+    std::uint32_t starting = 0; ///< part of `running`: prompts being read
     std::uint32_t queued = 0;
     std::vector<held_generation> generations; ///< that have begun
-    std::uint32_t next_tokens = 0;  ///< prompt of the first that waits
-    std::uint64_t memory_used = 0;  ///< tokens that can't yield
+    std::uint32_t next_tokens = 0;  ///< prompt of the first queued request
+    std::uint64_t memory_used = 0;  ///< tokens that can't be evicted
     std::uint64_t memory_total = 0; ///< tokens
-    /** Time in which it reads the prompts that come before a new one, and how
-     * fast: the monitor's word; the engine itself does not tell. */
+    /** Time needed to read the prompts ahead of a new one. Only the monitor
+     * reports it and the reading speed; the engine itself does not. */
     milliseconds unread{0};
     double tokens_read_per_ms = 0;
     bool leaving = false;
--- a/tests/gateway/fake_upstream.cpp
+++ b/tests/gateway/fake_upstream.cpp
@@ -88,7 +88,7 @@
     try {
         Poco::Net::StreamSocket(listener_.address()).close();
     } catch (const Poco::Exception&) {
-        // It has ended by itself.
+        // The listener is closed already.
         stopping_ = true;
     }
     acceptor_.join();
@@ -169,7 +169,7 @@
             (void)reader.next_message();
         }
     } catch (const Poco::Exception&) {
-        return; // the other side has gone
+        return; // the peer closed the connection
     }
 }
 
--- a/tests/gateway/fake_upstream.hpp
+++ b/tests/gateway/fake_upstream.hpp
@@ -17,7 +17,7 @@
 namespace cyclamenrun::testing_support
 {
 
-/** A request that an upstream got. */
+/** A request that an upstream received. */
 struct arrived_request {
     http_head head;
     std::string body;
@@ -28,7 +28,7 @@
     }
 };
 
-/** What an upstream's script does with one request. */
+/** Lets an upstream's script answer one request. */
 class upstream_reply
 {
 public:
@@ -37,41 +37,42 @@
     }
 
     void send(const std::string& bytes);
-    /** A whole answer with the fields that upstreams give. */
+    /** Sends a whole answer with the header fields that upstreams set. */
     void answer(const arrived_request& request, int status,
                 const std::string& body, const std::string& more_fields = "");
-    /** The head of a stream of events. */
+    /** Sends the head of an event stream. */
     void begin_stream(const arrived_request& request);
     void event(int id);
     void end_stream() { send("0\r\n\r\n"); }
-    /** Ends the connection in good order, or by a reset. */
     void close();
+    /** Closes the connection with a TCP reset. */
     void reset();
-    /** Waits until the other side closes; false after ten seconds. */
+    /** Waits until the peer closes; returns false after ten seconds. */
     bool wait_for_close();
 
 private:
     Poco::Net::StreamSocket& socket_;
 };
 
-/** An upstream whose behaviour a script decides; a thread a connection. */
+/** An upstream that answers by a script, with one thread per connection. */
 class fake_upstream
 {
 public:
     using script = std::function<void(const arrived_request&, upstream_reply&)>;
 
-    /** Listens on `host`, one of loopback's. */
+    /** Listens on `host`, a loopback address. */
     explicit fake_upstream(script play, const std::string& host = "127.0.0.1");
     fake_upstream(const fake_upstream&) = delete;
     fake_upstream& operator=(const fake_upstream&) = delete;
     ~fake_upstream();
 
-    /** Questions for its load are answered for the script, and not counted. */
+    /** If set, load requests get a 404 answer and don't reach the script or
+     * `arrived`. */
     std::atomic<bool> tells_no_load = false;
 
     ip_endpoint address() const;
     std::vector<arrived_request> arrived() const;
-    /** Waits until so many requests have arrived. */
+    /** Waits until `count` requests have arrived, at most ten seconds. */
     std::vector<arrived_request> wait_for(std::size_t count) const;
 
 private:
@@ -89,7 +90,7 @@
     std::thread acceptor_;
 };
 
-/** An event as upstreams send it. */
+/** Returns an event as upstreams send it. */
 std::string event_text(int id);
 
 } // namespace cyclamenrun::testing_support
--- a/tests/gateway/scripted_monitor.cpp
+++ b/tests/gateway/scripted_monitor.cpp
@@ -47,29 +47,29 @@
                                from);
             }
             const std::scoped_lock lock(mutex_);
-            heard_.push_back(request);
+            received_.push_back(request);
             changed_.notify_all();
         } catch (const Poco::TimeoutException&) {
-            continue; // time to look whether the test is over
+            continue; // checks `stopping_` again
         }
     }
 }
 
 bool scripted_monitor::wait_for(
-    const std::function<bool(const v1::MonitorRequest&)>& is_it) const
+    const std::function<bool(const v1::MonitorRequest&)>& matches) const
 {
     std::unique_lock lock(mutex_);
     return changed_.wait_for(lock, limit, [&] {
-        return std::any_of(heard_.begin(), heard_.end(), is_it);
+        return std::any_of(received_.begin(), received_.end(), matches);
     });
 }
 
 std::size_t scripted_monitor::count_of(
-    const std::function<bool(const v1::MonitorRequest&)>& is_it) const
+    const std::function<bool(const v1::MonitorRequest&)>& matches) const
 {
     const std::scoped_lock lock(mutex_);
     return static_cast<std::size_t>(
-        std::count_if(heard_.begin(), heard_.end(), is_it));
+        std::count_if(received_.begin(), received_.end(), matches));
 }
 
 std::uint16_t scripted_monitor::free_port()
@@ -82,9 +82,9 @@
 v1::MonitorNotice start_given(const std::string& id, unsigned slots_taken)
 {
     v1::MonitorNotice notice;
-    auto& given = *notice.mutable_start_given();
-    given.set_id(id);
-    given.set_slots_taken(slots_taken);
+    auto& grant = *notice.mutable_start_given();
+    grant.set_id(id);
+    grant.set_slots_taken(slots_taken);
     return notice;
 }
 
--- a/tests/gateway/scripted_monitor.hpp
+++ b/tests/gateway/scripted_monitor.hpp
@@ -17,11 +17,11 @@
 namespace cyclamenrun::testing_support
 {
 
-/** A monitor that answers a gateway's datagrams as the test says. */
+/** A monitor that answers a gateway's datagrams by a script. */
 class scripted_monitor
 {
 public:
-    /** What it answers; empty: nothing. */
+    /** Returns the answer to a request; empty: no answer. */
     using script = std::function<std::optional<v1::MonitorNotice>(
         const v1::MonitorRequest&)>;
 
@@ -30,13 +30,13 @@
     scripted_monitor& operator=(const scripted_monitor&) = delete;
     ~scripted_monitor();
 
-    /** Waits until a request has come of which this is true. */
-    bool
-    wait_for(const std::function<bool(const v1::MonitorRequest&)>& is_it) const;
-    std::size_t
-    count_of(const std::function<bool(const v1::MonitorRequest&)>& is_it) const;
+    /** Waits until a matching request arrives; false after ten seconds. */
+    bool wait_for(
+        const std::function<bool(const v1::MonitorRequest&)>& matches) const;
+    std::size_t count_of(
+        const std::function<bool(const v1::MonitorRequest&)>& matches) const;
 
-    /** A UDP port that is free on all of loopback's hosts now. */
+    /** Returns a UDP port that is currently free on all addresses. */
     static std::uint16_t free_port();
 
 private:
@@ -46,16 +46,16 @@
     Poco::Net::DatagramSocket socket_;
     mutable std::mutex mutex_;
     mutable std::condition_variable changed_;
-    std::vector<v1::MonitorRequest> heard_;
+    std::vector<v1::MonitorRequest> received_;
     std::atomic<bool> stopping_ = false;
     std::thread thread_;
 };
 
-/** The generation may start. */
+/** The generation is granted its start. */
 v1::MonitorNotice start_given(const std::string& id, unsigned slots_taken = 1);
-/** It may not yet, or never there. */
+/** The start is not granted yet; `refused`: it will not be granted there. */
 v1::MonitorNotice start_waits(const std::string& id, bool refused = false);
-/** It is late, and teams that hold less wait as well. */
+/** The request is late, and requests of teams that hold less wait as well. */
 v1::MonitorNotice start_passed_over(const std::string& id);
 
 } // namespace cyclamenrun::testing_support
--- a/tests/gateway/test_explaining.cpp
+++ b/tests/gateway/test_explaining.cpp
@@ -12,11 +12,11 @@
 using testing::AllOf;
 using testing::ContainsRegex;
 
-/** The walk-throughs of docs/OPERATIONS.md, on the program's own log. */
+/** Runs the walk-throughs of docs/OPERATIONS.md on the program's own log. */
 class explaining : public gateway_program
 {
 protected:
-    /** Sends a request, waits for its end, and returns its id. */
+    /** Sends a request, waits for its answer, and returns its id. */
     std::string send(const std::string& key, const std::string& path)
     {
         test_caller caller(address);
@@ -27,14 +27,14 @@
 
     std::string explain(const std::string& id) const
     {
-        request_story story(id);
+        request_story timeline(id);
         std::istringstream log(process->output());
         for (std::string line; std::getline(log, line);)
-            story.take("collector 10.1.0.19 " + line);
-        if (story.empty())
+            timeline.take("collector 10.1.0.19 " + line);
+        if (timeline.empty())
             return "no line has the id " + id;
         std::ostringstream text;
-        story.print(text);
+        timeline.print(text);
         return text.str();
     }
 
@@ -46,26 +46,29 @@
     caller_answer last;
 };
 
-// A caller complains that its stream was cut in the middle.
+// Walk-through: a caller reports that its stream was cut in the middle.
 TEST_F(explaining, a_stream_that_was_cut)
 {
     const auto id = send("k1", "/s/x");
     EXPECT_FALSE(last.whole);
     ASSERT_TRUE(wait_for_end(id));
-    const auto story = explain(id);
+    const auto timeline = explain(id);
     EXPECT_THAT(
-        story, AllOf(ContainsRegex("request_admitted.* revision=1 route=s "
-                                   "team=north"),
-                     ContainsRegex("attempt_placed .*upstream=i-1 .*weighed=1"),
-                     ContainsRegex("attempt_ended .*next=cut reason=lost"),
-                     ContainsRegex("answer_cut .*count=2 .*upstream=i-1")));
-    // From the first decision to the last.
-    EXPECT_LT(story.find("request_admitted"), story.find("attempt_placed"));
-    EXPECT_LT(story.find("attempt_ended"), story.find("answer_cut"));
+        timeline,
+        AllOf(ContainsRegex("request_admitted.* revision=1 route=s "
+                            "team=north"),
+              ContainsRegex("attempt_placed .*upstream=i-1 .*weighed=1"),
+              ContainsRegex("attempt_ended .*next=cut reason=lost"),
+              ContainsRegex("answer_cut .*count=2 .*upstream=i-1")));
+    // The decisions are in the order in which they were made.
+    EXPECT_LT(timeline.find("request_admitted"),
+              timeline.find("attempt_placed"));
+    EXPECT_LT(timeline.find("attempt_ended"), timeline.find("answer_cut"));
 }
 
-// The dashboard showed a free upstream, and yet a caller was refused: this
-// gateway had not heard of the store for longer than a key may live on.
+// Walk-through: a caller was refused although the dashboard showed a free
+// upstream. The gateway had received nothing from the store for longer than
+// its lease on the configuration, and with it on the keys.
 TEST_F(explaining, a_refusal_while_upstreams_were_free)
 {
     store.set_mood(stand_in_store::mood::silent);
@@ -82,9 +85,9 @@
                                     ".*revision=1 ")));
 }
 
-// A key was taken away. One request was still served with it, the next was
-// refused: what did the gateway know at either time?
-TEST_F(explaining, a_key_that_was_taken_away)
+// Walk-through: a key was revoked. One request was still served with it, the
+// next was refused. The output shows the configuration at either time.
+TEST_F(explaining, a_key_that_was_revoked)
 {
     const auto served = send("k1", "/a/x");
     EXPECT_EQ(last.status(), 200U);
@@ -104,55 +107,55 @@
                                     "revision=2 status=401")));
 }
 
-TEST(request_story, passes_over_what_is_no_line_of_a_log)
+TEST(request_story, skips_invalid_log_lines)
 {
-    request_story story("a");
+    request_story timeline("a");
     for (const auto* line : {"", "{", "plain text", "{\"time\":1}", "[]",
                              "\xff\xfe{\"event\":\"x\"}"})
-        story.take(line);
-    EXPECT_TRUE(story.empty());
+        timeline.take(line);
+    EXPECT_TRUE(timeline.empty());
 }
 
-// Of a request that ended well there is one line, from its end. What counts
-// is what its gateway believed when it came.
-TEST(request_story, tells_what_was_believed_when_the_request_came)
+// The log has one line for a request that succeeded, written at its end. The
+// state shown must be the gateway's when the request arrived, not at its end.
+TEST(request_story, shows_state_when_the_request_arrived)
 {
-    request_story story("a");
+    request_story timeline("a");
     const auto applied = [](const std::string& time, const std::string& what) {
         return R"({"time":"2026-01-01T00:00:)" + time +
                R"(Z","process":"g","event":"configuration_applied",)"
                R"("revision":)" +
                what + "}";
     };
-    story.take(applied("01.000", "1"));
-    story.take(applied("03.000", "2"));
-    story.take(R"({"time":"2026-01-01T00:00:04.000Z","process":"g",)"
-               R"("event":"request_finished","request_id":"a",)"
-               R"("duration_ms":2500})");
+    timeline.take(applied("01.000", "1"));
+    timeline.take(applied("03.000", "2"));
+    timeline.take(R"({"time":"2026-01-01T00:00:04.000Z","process":"g",)"
+                  R"("event":"request_finished","request_id":"a",)"
+                  R"("duration_ms":2500})");
     std::ostringstream text;
-    story.print(text);
+    timeline.print(text);
     EXPECT_THAT(text.str(),
                 ContainsRegex("believed at 2026-01-01T00:00:01.500Z:\n"
                               "  configuration  configuration_applied "
                               "500 ms before revision=1"));
 }
 
-// Logs of several processes are read one after another; the story is in the
-// order of time.
-TEST(request_story, is_in_the_order_of_time_over_all_processes)
+// Logs of several processes are read one after another; the timeline must be
+// sorted by time over all of them.
+TEST(request_story, sorts_lines_of_all_processes_by_time)
 {
-    request_story story("a");
+    request_story timeline("a");
     const auto line = [](const std::string& second, const std::string& process,
                          const std::string& event) {
         return R"({"time":"2026-01-01T00:00:0)" + second +
                R"(.000Z","severity":"info","process":")" + process +
                R"(","event":")" + event + R"(","request_id":"a"})";
     };
-    story.take(line("2", "g", "request_finished"));
-    story.take(line("1", "h", "attempt_placed"));
-    story.take(line("0", "g", "request_admitted"));
+    timeline.take(line("2", "g", "request_finished"));
+    timeline.take(line("1", "h", "attempt_placed"));
+    timeline.take(line("0", "g", "request_admitted"));
     std::ostringstream text;
-    story.print(text);
+    timeline.print(text);
     EXPECT_THAT(text.str(), ContainsRegex("0   g request_admitted\n"
                                           " +1000   h attempt_placed\n"
                                           " +2000   g request_finished"));
--- a/tests/gateway/test_monitor.cpp
+++ b/tests/gateway/test_monitor.cpp
@@ -16,11 +16,11 @@
 
 constexpr std::chrono::seconds limit{10};
 
-/** What a gateway hears, waited for by the test. */
-class heard
+/** The reports that a gateway received; the test can wait for them. */
+class received_reports
 {
 public:
-    void note(std::string what)
+    void add(std::string what)
     {
         const std::scoped_lock lock(mutex_);
         lines_.push_back(std::move(what));
@@ -54,7 +54,7 @@
     std::vector<std::string> lines_;
 };
 
-/** A gateway's side, on a loop of its own. */
+/** A gateway's monitor_link with its own event loop. */
 class listening_gateway
 {
 public:
@@ -77,8 +77,8 @@
     {
         loop_->post([this, id, tokens, into] {
             monitor_link::turn_hooks on;
-            on.given = [this, id] { news.note("turn " + id); };
-            on.refused = [this, id] { news.note("no turn " + id); };
+            on.given = [this, id] { reports.add("turn " + id); };
+            on.refused = [this, id] { reports.add("no turn " + id); };
             link_->want_turn({"127.0.0.1", id, tokens, into}, std::move(on));
         });
     }
@@ -87,22 +87,22 @@
         loop_->post([this, id] { link_->end_turn(id); });
     }
 
-    heard news;
+    received_reports reports;
 
 private:
     monitor_link::hooks hooks(std::set<std::string> hosts)
     {
         monitor_link::hooks on;
         on.load = [this](const ip_endpoint& engine, const engine_load& load) {
-            news.note("load " + to_string(engine) + " " +
-                      std::to_string(load.queued) +
-                      (load.leaving ? " leaving" : ""));
+            reports.add("load " + to_string(engine) + " " +
+                        std::to_string(load.queued) +
+                        (load.leaving ? " leaving" : ""));
         };
         on.identity = [this](const ip_endpoint& engine, const std::string& id) {
-            news.note(id + " at " + to_string(engine));
+            reports.add(id + " at " + to_string(engine));
         };
         on.gateways = [this](unsigned count) {
-            news.note("gateways " + std::to_string(count));
+            reports.add("gateways " + std::to_string(count));
         };
         on.hosts = [hosts = std::move(hosts)] { return hosts; };
         on.health_target = [] { return std::string("/health"); };
@@ -118,7 +118,7 @@
 protected:
     monitor()
         : engine([this](const arrived_request& request, upstream_reply& reply) {
-              if (away) {
+              if (is_down) {
                   reply.reset();
                   return;
               }
@@ -149,142 +149,143 @@
         const std::scoped_lock lock(mutex);
         return engine_id;
     }
-    void start_again(const std::string& id)
+    void restart(const std::string& id)
     {
-        away = true;
+        is_down = true;
         std::this_thread::sleep_for(milliseconds(100));
         const std::scoped_lock lock(mutex);
         engine_id = id;
-        away = false;
+        is_down = false;
     }
 
     std::mutex mutex;
     std::string engine_id = "e1";
-    std::atomic<bool> away = false;
+    std::atomic<bool> is_down = false;
     std::atomic<bool> leaving = false;
     fake_upstream engine;
     std::unique_ptr<monitor_process> process;
     std::uint16_t port = 0;
 };
 
-TEST_F(monitor, tells_who_asks_how_its_engine_is)
+TEST_F(monitor, sends_load_to_subscribed_gateways)
 {
     listening_gateway gateway(port);
     const auto line = "load " + to_string(engine.address()) + " 2";
-    EXPECT_TRUE(gateway.news.wait_for(line));
-    EXPECT_TRUE(gateway.news.wait_for("gateways 1"));
+    EXPECT_TRUE(gateway.reports.wait_for(line));
+    EXPECT_TRUE(gateway.reports.wait_for("gateways 1"));
     leaving = true;
-    EXPECT_TRUE(gateway.news.wait_for(line + " leaving"));
+    EXPECT_TRUE(gateway.reports.wait_for(line + " leaving"));
     listening_gateway second(port);
-    EXPECT_TRUE(second.news.wait_for("gateways 2"));
+    EXPECT_TRUE(second.reports.wait_for("gateways 2"));
 }
 
-// The engine crashes and starts again under another id. The directory lists
-// the old one for seconds; the monitor beside it knows better at once.
-TEST_F(monitor, tells_who_its_engine_is)
+// An engine crashes and restarts under another id. The directory lists the old
+// id for seconds; the monitor must report the new one at once.
+TEST_F(monitor, reports_engine_id_after_restart)
 {
     listening_gateway gateway(port);
     const auto where = " at " + to_string(engine.address());
-    EXPECT_TRUE(gateway.news.wait_for("e1" + where));
-    start_again("e2");
-    EXPECT_TRUE(gateway.news.wait_for("e2" + where));
+    EXPECT_TRUE(gateway.reports.wait_for("e1" + where));
+    restart("e2");
+    EXPECT_TRUE(gateway.reports.wait_for("e2" + where));
 }
 
-// Each question takes a slot of the engine, or its turn in the queue.
-TEST_F(monitor, asks_its_engine_who_it_is_but_once)
+// Each identity query takes a slot of the engine or a place in its queue.
+TEST_F(monitor, queries_engine_id_once)
 {
     listening_gateway gateway(port);
-    ASSERT_TRUE(gateway.news.wait_for("e1 at " + to_string(engine.address())));
+    ASSERT_TRUE(
+        gateway.reports.wait_for("e1 at " + to_string(engine.address())));
     std::this_thread::sleep_for(milliseconds(300));
-    const auto asked = engine.arrived();
-    EXPECT_EQ(std::count_if(asked.begin(), asked.end(),
+    const auto requests = engine.arrived();
+    EXPECT_EQ(std::count_if(requests.begin(), requests.end(),
                             [](const arrived_request& request) {
                                 return request.head.target == "/health";
                             }),
               1);
 }
 
-// A hundred gateways hear from a hundred monitors, each of each: thousands of
-// datagrams a second, and a load is old when it comes. Who wants something else
-// of a monitor is told the load beside the answer, and no more.
-TEST_F(monitor, tells_its_load_again_only_to_those_who_want_it)
+// If each of a hundred monitors sent its load to each of a hundred gateways,
+// thousands of datagrams a second would delay the loads. A gateway without a
+// subscription must receive the load only once, with the answer to its request.
+TEST_F(monitor, repeats_load_only_to_subscribers)
 {
-    listening_gateway wants(port);
-    listening_gateway copies(port, {});
+    listening_gateway subscriber(port);
+    listening_gateway other(port, {});
     const auto line = "load " + to_string(engine.address()) + " 2";
-    ASSERT_TRUE(wants.news.wait_for(line));
-    copies.want_turn("a");
-    ASSERT_TRUE(copies.news.wait_for("turn a"));
-    EXPECT_TRUE(copies.news.has(line));
-    const auto told = wants.news.count(line);
+    ASSERT_TRUE(subscriber.reports.wait_for(line));
+    other.want_turn("a");
+    ASSERT_TRUE(other.reports.wait_for("turn a"));
+    EXPECT_TRUE(other.reports.has(line));
+    const auto received_before = subscriber.reports.count(line);
     std::this_thread::sleep_for(milliseconds(1000));
-    EXPECT_GT(wants.news.count(line), told);
-    EXPECT_EQ(copies.news.count(line), 1U);
+    EXPECT_GT(subscriber.reports.count(line), received_before);
+    EXPECT_EQ(other.reports.count(line), 1U);
 }
 
-TEST_F(monitor, sends_a_bounded_number_of_datagrams_however_many_listen)
+TEST_F(monitor, bounds_datagram_rate_for_any_number_of_gateways)
 {
     for (const std::size_t gateways : {1U, 5U, 27U, 370U}) {
-        const auto each =
-            1000.0 / static_cast<double>(tell_spacing(gateways).count());
+        const auto each = 1000.0 / static_cast<double>(
+                                       load_publish_interval(gateways).count());
         EXPECT_LE(each * static_cast<double>(gateways), 125.0);
     }
-    // A few gateways hear every look at the engine.
-    EXPECT_LE(tell_spacing(5), monitor_settings().interval);
+    // With few gateways each poll of the engine is published.
+    EXPECT_LE(load_publish_interval(5), monitor_settings().interval);
 }
 
-TEST_F(monitor, does_not_ask_its_engine_for_nobody)
+TEST_F(monitor, does_not_poll_engine_without_gateways)
 {
     std::this_thread::sleep_for(milliseconds(60));
     EXPECT_TRUE(engine.arrived().empty());
 }
 
-TEST_F(monitor, gives_turns_one_after_another)
+TEST_F(monitor, grants_one_copy_turn_at_a_time)
 {
     listening_gateway first(port);
     listening_gateway second(port);
     first.want_turn("a");
-    ASSERT_TRUE(first.news.wait_for("turn a"));
+    ASSERT_TRUE(first.reports.wait_for("turn a"));
     second.want_turn("b");
     std::this_thread::sleep_for(milliseconds(300));
-    EXPECT_FALSE(second.news.has("turn b"));
+    EXPECT_FALSE(second.reports.has("turn b"));
     first.end_turn("a");
-    EXPECT_TRUE(second.news.wait_for("turn b"));
+    EXPECT_TRUE(second.reports.wait_for("turn b"));
 }
 
-// Its copy would be turned away by the engine, and the turn at its source is
-// spent meanwhile.
+// The engine would reject the copy, and the copy turn at the source would be
+// blocked until then.
 TEST_F(monitor, refuses_copies_into_an_engine_without_room)
 {
     listening_gateway gateway(port);
-    ASSERT_TRUE(gateway.news.wait_for("gateways 1"));
+    ASSERT_TRUE(gateway.reports.wait_for("gateways 1"));
     gateway.want_turn("small", 80, true);
-    EXPECT_TRUE(gateway.news.wait_for("turn small"));
+    EXPECT_TRUE(gateway.reports.wait_for("turn small"));
     gateway.want_turn("large", 95, true);
-    EXPECT_TRUE(gateway.news.wait_for("no turn large"));
+    EXPECT_TRUE(gateway.reports.wait_for("no turn large"));
     gateway.want_turn("from it", 95);
     gateway.end_turn("small");
-    EXPECT_TRUE(gateway.news.wait_for("turn from it"));
+    EXPECT_TRUE(gateway.reports.wait_for("turn from it"));
 }
 
 TEST_F(monitor, refuses_copies_into_an_engine_that_leaves)
 {
     leaving = true;
     listening_gateway gateway(port);
-    ASSERT_TRUE(gateway.news.wait_for("load " + to_string(engine.address()) +
-                                      " 2 leaving"));
+    ASSERT_TRUE(gateway.reports.wait_for("load " + to_string(engine.address()) +
+                                         " 2 leaving"));
     gateway.want_turn("a", 10, true);
-    EXPECT_TRUE(gateway.news.wait_for("no turn a"));
+    EXPECT_TRUE(gateway.reports.wait_for("no turn a"));
 }
 
-// The monitor has died with the rest of its VM's processes, or is cut off. A
-// generation must not wait for a turn that nobody gives.
-TEST_F(monitor, a_turn_is_taken_where_nobody_gives_any)
+// The monitor has crashed or is cut off. A generation must not wait forever for
+// a copy turn that no monitor grants.
+TEST_F(monitor, copy_turn_is_granted_if_monitor_does_not_respond)
 {
     process.reset();
     listening_gateway gateway(port);
     gateway.want_turn("a");
-    EXPECT_TRUE(gateway.news.wait_for("turn a"));
+    EXPECT_TRUE(gateway.reports.wait_for("turn a"));
 }
 
 } // namespace
--- a/tests/gateway/test_upstream_board.cpp
+++ b/tests/gateway/test_upstream_board.cpp
@@ -25,43 +25,44 @@
 }
 
 struct board_fixture : testing::Test {
-    std::vector<std::string> left;
-    std::vector<std::string> gone;
+    std::vector<std::string> leaving_ids;
+    std::vector<std::string> removed_ids;
     upstream_board board{
         {[this](const std::string& id, std::optional<time_point>) {
-             left.push_back(id);
+             leaving_ids.push_back(id);
          },
-         [this](const std::string& id) { gone.push_back(id); }}};
+         [this](const std::string& id) { removed_ids.push_back(id); }}};
 
-    void put(const upstream_record& entry, int ms = 0, bool doubt = false)
+    void put(const upstream_record& entry, int ms = 0,
+             bool after_outage = false)
     {
-        board.apply({entry.id, entry}, at(ms), doubt);
+        board.apply({entry.id, entry}, at(ms), after_outage);
     }
-    void drop(const std::string& id, int ms = 0, bool doubt = false)
+    void drop(const std::string& id, int ms = 0, bool after_outage = false)
     {
-        board.apply({id, std::nullopt}, at(ms), doubt);
+        board.apply({id, std::nullopt}, at(ms), after_outage);
     }
     std::size_t usable() const { return board.available("s").size(); }
 };
 
 using upstream_board_test = board_fixture;
 
-// All gateways have lost power. The directory still names engines that were
-// reclaimed meanwhile, beside those that came in their place. A gateway that
-// knows nothing yet sends to the old ones, is turned away four times and
-// refuses a caller whom any other engine would have served.
-TEST_F(upstream_board_test, uses_the_one_that_started_last_at_an_address)
+// After a power loss of all gateways, the directory still lists engines that
+// were reclaimed meanwhile, beside their successors at the same addresses. A
+// gateway that used the old records would be rejected four times and refuse a
+// request that any other engine would have served.
+TEST_F(upstream_board_test, uses_latest_upstream_at_an_address)
 {
-    auto before = record("before");
-    auto after = record("after");
-    after.started_ms = 2;
+    auto predecessor = record("before");
+    auto successor = record("after");
+    successor.started_ms = 2;
     for (const bool newer_first : {true, false}) {
-        put(newer_first ? after : before);
-        put(newer_first ? before : after);
+        put(newer_first ? successor : predecessor);
+        put(newer_first ? predecessor : successor);
         ASSERT_EQ(usable(), 1U);
         EXPECT_EQ(board.available("s").front()->record.id, "after");
-        // Loads of that address are the newer one's.
-        board.take_load(after.address, {}, at(0));
+        // A load from that address belongs to the newer upstream.
+        board.take_load(successor.address, {}, at(0));
         EXPECT_TRUE(board.find("after")->load);
         EXPECT_FALSE(board.find("before")->load);
         drop("before");
@@ -69,43 +70,43 @@
         drop("after");
         EXPECT_EQ(usable(), 0U);
     }
-    // One that has come back under its id, later still, is there itself.
-    put(after);
-    before.started_ms = 3;
-    put(before);
+    // The older one restarts under its id and is the newest.
+    put(successor);
+    predecessor.started_ms = 3;
+    put(predecessor);
     ASSERT_EQ(usable(), 1U);
     EXPECT_EQ(board.available("s").front()->record.id, "before");
 }
 
-// All VMs have lost power at once. Engines answer again within a second under
-// new ids, and the directory names their predecessors for three seconds more.
-// Whoever believes it is turned away by each engine that it tries.
-TEST_F(upstream_board_test, uses_an_engine_that_its_monitor_tells_of)
+// After a power loss of all VMs, engines respond again within a second under
+// new ids, while the directory lists their predecessors for three more seconds.
+// A gateway that relied on the directory would be rejected by each engine.
+TEST_F(upstream_board_test, uses_an_engine_reported_by_its_monitor)
 {
     put(record("before"));
     board.take_identity(record("x").address, "after", at(0));
     ASSERT_EQ(usable(), 1U);
-    const auto& told = board.available("s").front()->record;
-    EXPECT_EQ(told.id, "after");
-    EXPECT_EQ(told.slots, 10U);
-    EXPECT_EQ(board.find_at(told.address)->record.id, "after");
+    const auto& reported = board.available("s").front()->record;
+    EXPECT_EQ(reported.id, "after");
+    EXPECT_EQ(reported.slots, 10U);
+    EXPECT_EQ(board.find_at(reported.address)->record.id, "after");
     board.dispatched("after", 100, at(10));
-    // The directory has its own record of it: the same process.
+    // The directory lists the same process with its own record.
     auto listed = record("after");
     listed.started_ms = 777;
     put(listed, 100);
-    EXPECT_TRUE(gone.empty());
+    EXPECT_TRUE(removed_ids.empty());
     EXPECT_EQ(board.find("after")->own_running, 1U);
     EXPECT_EQ(board.find("after")->record, listed);
-    // Late heartbeats of its predecessor change nothing.
+    // Late heartbeats of the predecessor have no effect.
     put(record("before"), 200);
     EXPECT_EQ(board.available("s").front()->record.id, "after");
     drop("before", 300);
     EXPECT_EQ(usable(), 1U);
 }
 
-// A snapshot of the directory was on its way when the engine started.
-TEST_F(upstream_board_test, keeps_one_that_is_too_new_for_a_snapshot)
+// The snapshot of the directory was made before the engine started.
+TEST_F(upstream_board_test, keeps_an_engine_newer_than_the_snapshot)
 {
     put(record("before"));
     board.take_identity(record("x").address, "after", at(0));
@@ -113,9 +114,9 @@
     EXPECT_EQ(board.available("s").front()->record.id, "after");
 }
 
-// What is told of an engine that the directory never lists must not be
-// believed for good, nor again and again.
-TEST_F(upstream_board_test, drops_one_that_the_directory_does_not_list)
+// An engine that a monitor reports but the directory never lists must be
+// removed, and must not be added again by the next report.
+TEST_F(upstream_board_test, drops_an_engine_that_the_directory_does_not_list)
 {
     put(record("before"));
     board.take_identity(record("x").address, "after", at(0));
@@ -128,9 +129,9 @@
     EXPECT_EQ(board.available("s").front()->record.id, "other");
 }
 
-// It never says that it drains: its entry goes and it serves on, beside a
-// monitor that still tells of it. No new work may go there.
-TEST_F(upstream_board_test, believes_the_directory_that_one_has_gone)
+// The upstream does not announce that it drains: its entry is removed while it
+// continues to serve and its monitor still reports it. It must get no new work.
+TEST_F(upstream_board_test, ignores_monitor_reports_of_a_dropped_upstream)
 {
     put(record("a"));
     board.dispatched("a", 100, at(0));
@@ -141,19 +142,19 @@
     EXPECT_EQ(board.available("s").front()->record.id, "next");
 }
 
-TEST_F(upstream_board_test, learns_nothing_of_addresses_that_it_does_not_know)
+TEST_F(upstream_board_test, ignores_identities_for_unknown_addresses)
 {
     board.take_identity(record("x").address, "after", at(0));
     EXPECT_EQ(board.size(), 0U);
     put(record("a", 80));
     put(record("b", 81));
-    // "b" is elsewhere: a monitor does not speak for it.
+    // "b" has another address, so the monitor's report does not apply to it.
     board.take_identity(record("x", 80).address, "b", at(0));
     EXPECT_EQ(usable(), 2U);
     EXPECT_EQ(board.find_at(record("x", 80).address)->record.id, "a");
 }
 
-TEST_F(upstream_board_test, gives_no_work_to_one_that_drains)
+TEST_F(upstream_board_test, does_not_use_a_draining_upstream)
 {
     put(record("a"));
     EXPECT_EQ(usable(), 1U);
@@ -161,57 +162,57 @@
     draining.draining = true;
     put(draining);
     EXPECT_EQ(usable(), 0U);
-    EXPECT_EQ(left, std::vector<std::string>{"a"});
+    EXPECT_EQ(leaving_ids, std::vector<std::string>{"a"});
     put(draining);
-    EXPECT_EQ(left.size(), 1U);
+    EXPECT_EQ(leaving_ids.size(), 1U);
     EXPECT_NE(board.find("a"), nullptr);
 }
 
-// Some upstreams never say that they drain: their entry goes, and they serve
-// on. What runs there must be moved, not forgotten.
-TEST_F(upstream_board_test, keeps_one_whose_entry_has_gone_while_work_runs)
+// Some upstreams do not announce that they drain: their entry is removed while
+// they continue to serve. The requests that run there must be moved, not lost.
+TEST_F(upstream_board_test, keeps_a_removed_upstream_while_requests_run)
 {
     put(record("a"));
     board.dispatched("a", 100, at(0));
     drop("a");
     EXPECT_EQ(usable(), 0U);
-    EXPECT_EQ(left.size(), 1U);
-    EXPECT_TRUE(gone.empty());
+    EXPECT_EQ(leaving_ids.size(), 1U);
+    EXPECT_TRUE(removed_ids.empty());
     board.settled("a");
-    EXPECT_EQ(gone, std::vector<std::string>{"a"});
+    EXPECT_EQ(removed_ids, std::vector<std::string>{"a"});
 }
 
-// The store was down for seconds and its entries have lapsed, though every
-// upstream lives. Dropped at once, no request could be served; kept for good,
-// work would go to those that died.
-TEST_F(upstream_board_test, doubts_entries_that_lapsed_in_an_outage)
+// The store was down for seconds and its entries have expired, although the
+// upstreams may be alive. If all were dropped at once, no request could be
+// served; if all were kept, requests would go to upstreams that have died.
+TEST_F(upstream_board_test, keeps_expired_entries_for_a_while_after_an_outage)
 {
     put(record("a"));
     put(record("b", 81));
     drop("a", 0, true);
     drop("b", 0, true);
     EXPECT_EQ(usable(), 2U);
-    EXPECT_TRUE(board.find("a")->doubted_until);
+    EXPECT_TRUE(board.find("a")->unconfirmed_until);
     put(record("a"), 500);
     board.end_doubts(at(1899));
     EXPECT_EQ(usable(), 2U);
     board.end_doubts(at(1900));
     EXPECT_EQ(usable(), 1U);
-    EXPECT_EQ(gone, std::vector<std::string>{"b"});
+    EXPECT_EQ(removed_ids, std::vector<std::string>{"b"});
 }
 
-TEST_F(upstream_board_test, a_whole_list_drops_what_is_not_in_it)
+TEST_F(upstream_board_test, snapshot_drops_missing_upstreams)
 {
     put(record("a"));
     put(record("b", 81));
     board.replace_all({{"b", record("b", 81)}}, at(0), false);
     EXPECT_EQ(usable(), 1U);
-    EXPECT_EQ(gone, std::vector<std::string>{"a"});
+    EXPECT_EQ(removed_ids, std::vector<std::string>{"a"});
 }
 
-// An upstream crashes and starts again under its id. What was believed of the
-// old process (its load, its leaving, its connections) is void.
-TEST_F(upstream_board_test, a_new_process_under_an_old_id_starts_anew)
+// An upstream crashes and restarts under its id. The state of the old process
+// (load, leaving, failure rate) must not be applied to the new one.
+TEST_F(upstream_board_test, restarted_process_has_fresh_state)
 {
     put(record("a"));
     board.failed("a", at(0));
@@ -219,29 +220,29 @@
     load.leaving = true;
     board.take_load({"10.0.0.1", 80}, load, at(0));
     EXPECT_EQ(usable(), 0U);
-    auto reborn = record("a");
-    reborn.started_ms = 2;
-    put(reborn);
-    EXPECT_EQ(gone, std::vector<std::string>{"a"});
+    auto restarted = record("a");
+    restarted.started_ms = 2;
+    put(restarted);
+    EXPECT_EQ(removed_ids, std::vector<std::string>{"a"});
     EXPECT_EQ(usable(), 1U);
     EXPECT_EQ(board.find("a")->failure_rate, 0);
 }
 
-TEST_F(upstream_board_test, a_load_tells_that_an_engine_leaves)
+TEST_F(upstream_board_test, load_reports_that_an_engine_leaves)
 {
     put(record("a"));
     engine_load load;
     load.leaving = true;
     load.leaves_in_ms = 700;
     board.take_load({"10.0.0.1", 80}, load, at(0));
-    EXPECT_EQ(left, std::vector<std::string>{"a"});
+    EXPECT_EQ(leaving_ids, std::vector<std::string>{"a"});
     EXPECT_EQ(board.find("a")->leaves_at, at(700));
-    // The directory lags behind the engine's own word.
+    // The directory is behind the engine's own report.
     put(record("a"));
     EXPECT_EQ(usable(), 0U);
 }
 
-TEST_F(upstream_board_test, counts_own_work_until_a_load_contains_it)
+TEST_F(upstream_board_test, counts_own_dispatches_until_a_load_contains_them)
 {
     put(record("a"));
     placement_request request;
@@ -256,7 +257,7 @@
         return placement_of(*board.find("a"), request, at(ms)).wait;
     };
     EXPECT_DOUBLE_EQ(wait(10), 0.5);
-    // Seen before the dispatch could reach the engine.
+    // Measured before the dispatch could reach the engine.
     board.take_load({"10.0.0.1", 80}, idle, at(20));
     EXPECT_DOUBLE_EQ(wait(20), 0.5);
     auto busy = idle;
@@ -268,10 +269,10 @@
     EXPECT_DOUBLE_EQ(wait(900), 0);
 }
 
-// Engines of another kind read four times as fast, or as slowly. A gateway
-// that went by one speed for all would send to those that seem to have less
-// to read and make callers wait there. Each engine's monitor tells its speed.
-TEST_F(upstream_board_test, believes_each_engine_as_fast_as_its_monitor_tells)
+// Engines may read prompts four times faster or slower than others. A gateway
+// that assumed one speed would prefer slow engines with short queues, and
+// callers would wait there. Each engine's monitor reports its reading speed.
+TEST_F(upstream_board_test, uses_reading_speed_reported_by_the_monitor)
 {
     put(record("a"));
     placement_request request;
@@ -290,14 +291,14 @@
     EXPECT_EQ(first_after(1.75), milliseconds(1600));
     load.unread = milliseconds(300);
     EXPECT_EQ(first_after(28), milliseconds(400));
-    // Until a monitor tells, engines of a common size are assumed.
+    // Without a reported speed the default speed is assumed.
     EXPECT_EQ(first_after(0), milliseconds(700));
 }
 
-// The monitors of some engines are silent. What this gateway runs there is
-// all that it knows, and other gateways send as much: such an engine must not
-// look emptier the more gateways there are.
-TEST_F(upstream_board_test, counts_other_gateways_where_no_load_is_told)
+// The monitors of some engines do not respond, so this gateway knows only its
+// own requests there. The estimate must include the other gateways, or such an
+// engine would seem emptier the more gateways there are.
+TEST_F(upstream_board_test, counts_other_gateways_without_a_load)
 {
     put(record("a"));
     board.dispatched("a", 1000, at(0));
@@ -313,9 +314,10 @@
     EXPECT_DOUBLE_EQ(taken(4), 0.56);
 }
 
-// This VM is cut off. The first request waits in vain for a connection; those
-// behind it must not wait as well, and the upstream is tried again soon.
-TEST_F(upstream_board_test, remembers_for_a_while_that_one_is_unreachable)
+// While this VM is cut off, the first request waits for a connection until it
+// times out. Later requests must not wait as well, and the upstream must be
+// tried again soon.
+TEST_F(upstream_board_test, marks_an_upstream_unreachable_for_a_while)
 {
     put(record("a"));
     const auto unreachable = [&](int ms) {
@@ -330,7 +332,7 @@
     EXPECT_FALSE(unreachable(710));
 }
 
-TEST_F(upstream_board_test, forgives_failures_in_time)
+TEST_F(upstream_board_test, failure_rate_decays_over_time)
 {
     put(record("a"));
     board.failed("a", at(0));
