--- a/tests/platform/test_http_dialect.cpp
+++ b/tests/platform/test_http_dialect.cpp
@@ -44,7 +44,7 @@
     EXPECT_EQ(facts->prompt_parts[1].tokens, 410U);
 }
 
-TEST(http_dialect, refuses_a_request_that_can_be_read_in_two_ways)
+TEST(http_dialect, rejects_ambiguous_requests)
 {
     for (const auto* name :
          {"Attempt-Id", "Host", "Authorization", "Deadline-Ms"}) {
@@ -61,10 +61,10 @@
     EXPECT_FALSE(http_dialect().read_request(head));
 }
 
-// A caller sets fields that are the system's: another team's name, an upstream
-// of its choice, memory of another request. Passed on, it could read what is
-// not its own.
-TEST(http_dialect, passes_nothing_on_that_is_not_the_callers_to_set)
+// A caller sets reserved fields: another team's name, an upstream of its
+// choice, the memory of another request. If they were forwarded, the caller
+// could read other teams' data.
+TEST(http_dialect, does_not_forward_reserved_fields)
 {
     auto head = caller_head();
     const std::vector<std::string> reserved{
@@ -96,7 +96,7 @@
     EXPECT_EQ(sent.target, "/a/2f?x=1");
 }
 
-TEST(http_dialect, says_from_where_a_generation_goes_on)
+TEST(http_dialect, sends_source_of_a_continued_generation)
 {
     dispatch_facts facts;
     facts.upstream_id = "i-2";
@@ -144,7 +144,7 @@
     EXPECT_FALSE(http_dialect().read_load({503, "{}"}));
 }
 
-TEST(http_dialect, reads_what_became_of_a_move)
+TEST(http_dialect, reads_move_replies)
 {
     using kind = move_reply::kind;
     const http_dialect dialect;
@@ -168,8 +168,8 @@
     return {std::istreambuf_iterator<char>(stream), {}};
 }
 
-// The platform renames a field, and only its folder should have to change.
-TEST(platform_boundary, no_name_of_the_platform_is_known_elsewhere)
+// If the platform renames a field, only its own folder should have to change.
+TEST(platform_boundary, platform_names_stay_in_their_folder)
 {
     std::vector<std::string> names{"api_keys", "kv_used", "log-read",
                                    "log-newest", "kv-move"};
--- a/tests/platform/test_record_codec.cpp
+++ b/tests/platform/test_record_codec.cpp
@@ -20,7 +20,7 @@
     return text.replace(text.find(from), from.size(), to);
 }
 
-TEST(upstream_record_codec, reads_what_an_upstream_says_of_itself)
+TEST(upstream_record_codec, reads_an_upstream_record)
 {
     const auto record = read_upstream("i-1", upstream_text);
     ASSERT_TRUE(record);
@@ -33,14 +33,14 @@
     EXPECT_EQ(record->started_ms, 1790000000000);
 }
 
-TEST(upstream_record_codec, knows_when_it_drains)
+TEST(upstream_record_codec, reads_draining_state)
 {
     EXPECT_TRUE(read_upstream("i", with("ready", "draining"))->draining);
 }
 
-// Another writer has put a record into the directory whose fields are missing
-// or of another type. Used as it is, it would send requests nowhere.
-TEST(upstream_record_codec, finds_no_upstream_in_what_others_wrote)
+// A writer has put a record with missing fields or wrong types into the
+// directory. If it were used, requests would go to an invalid address.
+TEST(upstream_record_codec, rejects_invalid_records)
 {
     EXPECT_FALSE(read_upstream("i", ""));
     EXPECT_FALSE(read_upstream("i", "\xff\xfe"));
@@ -68,7 +68,7 @@
     RC_ASSERT(!batch || batch->records.size() <= bytes.size());
 }
 
-RC_GTEST_PROP(upstream_record_codec, survives_a_record_that_was_spoiled, ())
+RC_GTEST_PROP(upstream_record_codec, survives_a_corrupted_record, ())
 {
     auto text = upstream_text;
     const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
@@ -123,14 +123,14 @@
     EXPECT_EQ(read->limits.idle_timeout, milliseconds(15000));
 }
 
-TEST(configuration_codec, repeats_nothing_of_a_kind_it_does_not_know)
+TEST(configuration_codec, unknown_route_type_is_not_idempotent)
 {
     const auto read = read_configuration(configuration_text);
     EXPECT_FALSE(read->routes[2].idempotent);
     EXPECT_FALSE(read->routes[2].resumable);
 }
 
-TEST(configuration_codec, is_none_without_a_version_or_routes)
+TEST(configuration_codec, rejects_missing_version_or_routes)
 {
     EXPECT_FALSE(read_configuration(R"({"routes":[]})"));
     EXPECT_FALSE(read_configuration(R"({"version":"7","routes":[]})"));
@@ -163,9 +163,9 @@
     EXPECT_FALSE(batch->records[1].value);
 }
 
-// A record that nobody can read lies among the others. It counts as one, or
-// the reader would be at another offset than the store from there on.
-TEST(keyed_records, counts_records_that_can_not_be_read)
+// An unreadable record must still be counted, or the reader's offset would
+// differ from the store's for all later records.
+TEST(keyed_records, counts_unreadable_records)
 {
     const auto batch =
         read_record_batch(number(2, 8) + number(0, 8) + number(0, 4) +
@@ -177,7 +177,7 @@
     EXPECT_EQ(batch->records[2].key, "b");
 }
 
-TEST(keyed_records, refuses_a_batch_that_is_cut)
+TEST(keyed_records, rejects_a_truncated_batch)
 {
     const auto whole = number(9, 8) + number(3, 8) + keyed("a", "x");
     EXPECT_FALSE(read_record_batch(whole.substr(0, whole.size() - 1)));
@@ -185,9 +185,10 @@
     EXPECT_TRUE(read_record_batch(whole.substr(0, 16)));
 }
 
-// Another writer's bytes, or an answer spoiled on its way: the record names
-// nothing, and what was read of it before the fault is not kept in memory.
-TEST(keyed_records, takes_no_value_that_is_no_base64)
+// A value is not valid base64, from a faulty writer or a corrupted answer. The
+// record must have no value, and not the part that was decoded before the
+// error.
+TEST(keyed_records, drops_invalid_base64_values)
 {
     for (const auto* value : {"!!!!", "eyJ=aaa", "\\u0001\\u0002"}) {
         const auto page = read_newest_page(
@@ -200,7 +201,7 @@
     }
 }
 
-TEST(keyed_records, reads_a_page_of_newest)
+TEST(keyed_records, reads_a_newest_page)
 {
     const auto page = read_newest_page(
         R"({"items":[{"key":"config","value":"eyJhIjoxfQ==","offset":4},)"
--- a/tests/platform/test_spoiled_messages.cpp
+++ b/tests/platform/test_spoiled_messages.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/** A sound text with a few bytes replaced, added or left out. */
-std::string spoiled(std::string text)
+/** Returns the text with a few bytes replaced, inserted or removed. */
+std::string corrupted(std::string text)
 {
     const auto changes = *rc::gen::inRange(1, 6);
     for (int i = 0; i < changes && !text.empty(); ++i) {
@@ -42,11 +42,11 @@
     R"("kv_bytes":131072,"moves":true}}],"limits":{"max_body_bytes":4096},)"
     R"("tenants":[{"name":"t","api_keys":["k"],"priority":1}]})";
 
-// Another writer has spoiled a configuration. Whatever is still read from it
-// must be something that requests can be served by.
-RC_GTEST_PROP(spoiled_messages, leave_no_impossible_configuration, ())
+// A corrupted configuration must be rejected or give only values with which
+// requests can be served.
+RC_GTEST_PROP(spoiled_messages, give_no_invalid_configuration, ())
 {
-    const auto read = read_configuration(spoiled(configuration_text));
+    const auto read = read_configuration(corrupted(configuration_text));
     if (!read)
         return;
     for (const auto& route : read->routes) {
@@ -57,13 +57,13 @@
     }
 }
 
-RC_GTEST_PROP(spoiled_messages, leave_no_impossible_load, ())
+RC_GTEST_PROP(spoiled_messages, give_a_load_or_an_error, ())
 {
     const std::string text =
         R"({"running":3,"starting":1,"queued":2,"next":1700,"kv_used":900,)"
         R"("kv_total":34215,"state":"leaving","leaves_ms":1500,)"
         R"("runs":[["a",100,5,1]]})";
-    const auto load = http_dialect().read_load({200, spoiled(text)});
+    const auto load = http_dialect().read_load({200, corrupted(text)});
     RC_ASSERT(load || load.error() == call_failure::malformed);
 }
 
@@ -71,33 +71,34 @@
 {
     const std::string text = R"({"handle":"h1","created":30})";
     const auto status = *rc::gen::element(200U, 404U, 409U, 503U, 500U);
-    const auto reply = http_dialect().read_move({status, spoiled(text)});
+    const auto reply = http_dialect().read_move({status, corrupted(text)});
     if (reply.result == move_reply::kind::copied) {
         RC_ASSERT(status == 200U);
         RC_ASSERT(!reply.handle.empty());
     }
 }
 
-RC_GTEST_PROP(spoiled_messages, of_the_store_give_no_more_than_they_hold, ())
+RC_GTEST_PROP(spoiled_messages,
+              of_the_store_give_no_more_records_than_they_hold, ())
 {
     std::string batch(16, '\0');
     for (int i = 0; i < 5; ++i)
         batch += std::string("\0\0\0\x06\x03", 5) + "keyv1";
-    const auto bytes = spoiled(batch);
+    const auto bytes = corrupted(batch);
     const auto read = read_record_batch(bytes);
     RC_ASSERT(!read || read->records.size() <= bytes.size() / 4);
-    const auto page =
-        read_newest_page(spoiled(R"({"items":[{"key":"k","value":"dmFsdWU="}],)"
-                                 R"("end_offset":7,"truncated":false})"));
+    const auto page = read_newest_page(
+        corrupted(R"({"items":[{"key":"k","value":"dmFsdWU="}],)"
+                  R"("end_offset":7,"truncated":false})"));
     RC_ASSERT(!page || page->records.size() <= 200U);
 }
 
-/** Fields of a caller, any of them spoiled, twice there or missing. */
+/** A caller's header fields, each of them corrupted, repeated or missing. */
 RC_GTEST_PROP(spoiled_messages, of_callers_are_read_or_refused, ())
 {
     http_head head;
     head.method = "POST";
-    head.target = "/a/" + spoiled("x?y=1");
+    head.target = "/a/" + corrupted("x?y=1");
     for (const auto& [name, value] :
          {std::pair("Host", "h.example"), std::pair("Attempt-Id", "9c41"),
           std::pair("Token-Usage", "1460,80"),
@@ -105,7 +106,7 @@
           std::pair("Deadline-Ms", "39000"), std::pair("Last-Event-Id", "17"),
           std::pair("Authorization", "Bearer k1")}) {
         if (*rc::gen::inRange(0, 5) > 0)
-            head.fields.push_back({name, spoiled(value)});
+            head.fields.push_back({name, corrupted(value)});
         if (*rc::gen::inRange(0, 8) == 0)
             head.fields.push_back({name, value});
     }
