--- a/src/libcyclamenrun/gateway/monitor_link.hpp
+++ b/src/libcyclamenrun/gateway/monitor_link.hpp
@@ -81,8 +81,8 @@
         /** Called for a copy into an engine that leaves or has no room. */
         std::function<void()> refused;
     };
-    /** Requests a copy turn until the monitor responds or times out, then calls
-     * one of the hooks, once. */
+    /** Repeats a request for a copy turn until the monitor grants or refuses it
+     * or times out, then calls one of the hooks, once. */
     void want_turn(const copy_request& copy, turn_hooks on);
     /** Releases the turn of a copy that has ended or was cancelled. */
     void end_turn(const std::string& id);
--- a/src/libcyclamenrun/gateway/request_notes.hpp
+++ b/src/libcyclamenrun/gateway/request_notes.hpp
@@ -49,7 +49,7 @@
 
     void late(const answer_relay::progress& progress,
               const std::string& upstream, std::uint64_t events);
-    /** No part of the answer arrived before its deadline. */
+    /** No part of the answer arrived within the route's objective. */
     void late() { trace_.mark_late(); }
 
     void backed_up(const std::string& service, const std::string& upstream);
--- a/src/libcyclamenrun/gateway/upstream_board.cpp
+++ b/src/libcyclamenrun/gateway/upstream_board.cpp
@@ -37,7 +37,7 @@
  * unless the directory lists it.
  */
 constexpr milliseconds listing_timeout{5000};
-/** For this long a dropped upstream is not added again by a monitor's report.
+/** A monitor's report does not add a dropped upstream again within this time.
  */
 constexpr milliseconds dropped_retention{60000};
 constexpr std::size_t max_dropped = 4096;
@@ -81,8 +81,8 @@
 
 /**
  * Estimates from the latest load and this gateway's dispatches since, or from
- * its own counts alone if the load is old. The sizes of the running requests
- * are unknown, so each is assumed to equal the request to be placed.
+ * its own counts alone if the load is old or unknown. The sizes of the running
+ * requests are unknown, so each is assumed to equal the request to be placed.
  */
 load_estimate estimate_load(const upstream_state& upstream,
                             const placement_request& request, time_point now)
--- a/src/libcyclamenrun/gateway/upstream_board.hpp
+++ b/src/libcyclamenrun/gateway/upstream_board.hpp
@@ -142,7 +142,8 @@
                       std::optional<time_point> leaves_at);
     void drop(const std::string& id);
     void record_dropped(const std::string& id, time_point now);
-    /** Makes the upstream the one at its address, or marks it as superseded. */
+    /** Of two upstreams at one address, marks the one that started first as
+     * superseded. */
     void index_address(upstream_state& upstream);
     void update_failure_rate(upstream_state& upstream, double sample,
                              time_point now) const;
