--- a/src/libcyclamenrun/membership/agent_clocks.hpp
+++ b/src/libcyclamenrun/membership/agent_clocks.hpp
@@ -13,9 +13,9 @@
 {
 
 /**
- * Reads agents' uptimes from their last reports, so that a ticket's expiry
- * can be written in its agent's own time. The way of a report only makes the
- * reading late: a ticket then expires early, never late.
+ * Estimates agents' uptimes from their last reports, so that a ticket's expiry
+ * can be expressed as its agent's uptime. The transit time of a report makes
+ * the estimate too low, so that a ticket may expire early but never late.
  */
 class agent_clocks
 {
@@ -34,7 +34,7 @@
 private:
     struct report {
         std::uint64_t incarnation = 0;
-        time_point started_at; ///< by this process's clock
+        time_point started_at; ///< on this process's clock
     };
 
     mutable std::mutex mutex_;
--- a/src/libcyclamenrun/membership/candidate.hpp
+++ b/src/libcyclamenrun/membership/candidate.hpp
@@ -9,16 +9,16 @@
 namespace cyclamenrun
 {
 
-/** An upstream as the choice of one sees it. */
+/** What the router knows of an upstream when it chooses one. */
 struct candidate {
     std::string upstream;
     std::string address;
     std::string service;
     std::string failure_domain;
     std::string region;
-    std::uint64_t incarnation = 0; ///< 0: not heard of yet
+    std::uint64_t incarnation = 0; ///< 0: no report received yet
     upstream_state state = upstream_state::joining;
-    /** hash64(upstream), kept by the caller; 0: worked out each time. */
+    /** Cached hash64(upstream); 0: computed at each use. */
     std::uint64_t hash = 0;
 };
 
--- a/src/libcyclamenrun/membership/membership.cpp
+++ b/src/libcyclamenrun/membership/membership.cpp
@@ -64,12 +64,13 @@
 
 list_result membership::judge(const vm_list& list, time_point now) const
 {
-    // A list service that comes back empty would have every upstream stop
-    // at once; that all VMs are gone would show by other signs.
+    // A list service that restarts empty would remove every upstream at once.
+    // If all VMs were really removed, other signs would show it.
     if (list.vms.empty() && !listed_.empty())
         return list_result::kept_for_empty;
-    // A lagging copy would bring back what is leaving. If lower revisions
-    // go on, the service has started anew and is believed.
+    // A lagging replica would bring back upstreams that are leaving. Lower
+    // revisions that continue for `older_list_for` mean that the list service
+    // has restarted, so its list is accepted.
     if (list.revision < list_revision_ &&
         now < list_taken_at_ + settings_.older_list_for)
         return list_result::kept_for_older;
--- a/src/libcyclamenrun/membership/membership.hpp
+++ b/src/libcyclamenrun/membership/membership.hpp
@@ -25,57 +25,66 @@
     std::string entry;                   ///< id of the entry's own VM
     std::string entry_service = "entry"; ///< of entries in the list
     subset_settings subset;
-    milliseconds forget_after{600'000}; ///< unlisted upstreams, for resumes
+    /** How long unlisted upstreams can still be found, for resumes. */
+    milliseconds forget_after{600'000};
+    /** How long lists of a lower revision are rejected. */
     milliseconds older_list_for{30'000};
 };
 
-/** What became of a list that the platform gave. */
+/** How a list from the platform was handled. */
 enum class list_result : std::uint8_t {
     taken,
-    kept_for_empty, ///< it held nothing: taken as the platform's fault
-    kept_for_older, ///< a lagging copy of the service gave it
-    cut_short,      ///< it was over the bound: only the first were taken
+    kept_for_empty, ///< rejected: empty, assumed to be the platform's fault
+    kept_for_older, ///< rejected: assumed to be from a lagging replica
+    cut_short,      ///< accepted only up to membership::max_vms
 };
 
 std::string_view name_of(list_result result);
 
 /**
- * What one entry makes of who is there: the platform's lagging list, and what
- * agents say and do. Whichever first says that an upstream is leaving is
- * believed. Keeps to a bounded subset of the agents of each service; any
- * upstream in the list can be found, so that a generation is resumed through
- * any entry. Safe for threads: views lie in shards, each under its own lock.
+ * One entry's view of the upstreams, from the platform's lagging list and from
+ * the agents' reports and failures. An upstream counts as leaving as soon as
+ * either source reports it. New work goes to a bounded subset of each service's
+ * upstreams, but any listed upstream can be found, so that a generation can be
+ * resumed through any entry. Thread-safe: views are sharded, with one lock for
+ * each shard.
  */
 class membership
 {
 public:
     explicit membership(membership_settings settings);
 
-    /** While the list is out, there is nothing to call: the last one holds. */
+    /**
+     * Applies a list from the platform. The last accepted list stays in effect
+     * while the list service is unavailable.
+     */
     list_result on_list(const vm_list& list, time_point now);
 
     void on_connected(const std::string& upstream);
     void on_connection_lost(const std::string& upstream, time_point now);
     void on_missed_heartbeat(const std::string& upstream, time_point now);
-    /** Refused or left unanswered, for reasons other than load. */
+    /** Handles a refusal or missing answer that has causes other than load. */
     void on_failure(const std::string& upstream, time_point now);
-    /** Any answer or heartbeat reply. */
+    /** Handles the report that comes with an answer or heartbeat reply. */
     void on_reply(const std::string& upstream, const agent_report& report,
                   time_point now);
 
-    /** Those of the subset that may be given new work; suspects are named. */
+    /** Upstreams of the subset that may receive new work, suspects included. */
     std::vector<candidate> candidates(const std::string& service) const;
 
-    /** Where any upstream is, also outside the subset; empty: unknown. */
+    /** Returns any known upstream, also one outside the subset. */
     std::optional<candidate> find(const std::string& upstream) const;
 
-    /** Upstreams to hold connections to: the subsets of all services. */
+    /** The subsets of all services: upstreams to keep connections to. */
     std::vector<candidate> subset() const;
 
-    /** Live entries by the list, this one among them. */
+    /** Entries that are live in the list, and always this one. */
     std::vector<std::string> entries() const;
 
-    /** Many there were lost at once: no upstream of it is to blame. */
+    /**
+     * Whether the failure domain is cut off: many of its upstreams were lost
+     * at once, so that no single upstream is at fault.
+     */
     bool is_cut(const std::string& failure_domain) const;
 
     static constexpr std::size_t max_vms = 8192;
@@ -110,13 +119,13 @@
     membership_settings settings_;
     std::array<shard, shard_count> shards_;
 
-    mutable std::mutex list_mutex_; ///< guards what follows, to cut_
+    mutable std::mutex list_mutex_; ///< guards the members up to cut_mutex_
     std::uint64_t list_revision_ = 0;
     time_point list_taken_at_{};
     std::vector<vm> listed_;
     std::shared_ptr<const member_lists> subsets_;
 
-    mutable std::mutex cut_mutex_;
+    mutable std::mutex cut_mutex_; ///< guards cut_
     suspicion_domain_cut cut_;
 };
 
--- a/src/libcyclamenrun/membership/route_table.cpp
+++ b/src/libcyclamenrun/membership/route_table.cpp
@@ -59,14 +59,14 @@
 }
 
 /**
- * Suspects are left out as long as anyone else is there: a suspicion may be
- * wrong, and the last upstream that may answer is better than none.
+ * Leaves out suspects unless all usable candidates are suspects. A suspicion
+ * may be wrong, so that a suspect is better than no upstream at all.
  */
 std::vector<candidate> route_table::usable(const std::string& service) const
 {
     auto candidates = members_.candidates(service);
-    // Without an incarnation nobody could tell later whether it was this
-    // life of the agent that was sent the work.
+    // Without an incarnation, the entry could not determine later whether the
+    // work was sent to the agent's current incarnation.
     std::erase_if(candidates, [](const candidate& of) {
         return of.incarnation == 0 || !takes_work(of.state);
     });
--- a/src/libcyclamenrun/membership/route_table.hpp
+++ b/src/libcyclamenrun/membership/route_table.hpp
@@ -23,7 +23,7 @@
 namespace cyclamenrun
 {
 
-/** Where an entry stands, and how it routes. */
+/** An entry's location and its routing settings. */
 struct route_table_settings {
     std::string own_region;
     std::string own_failure_domain;
@@ -33,8 +33,8 @@
 };
 
 /**
- * Where work can go from this entry: who is there, by the membership, and
- * who is best, by a router for each shard of services.
+ * Chooses upstreams for this entry's work. The membership provides the
+ * candidates, and a router for each shard of services ranks them.
  */
 class route_table
 {
@@ -48,9 +48,9 @@
                     time_point now);
     void settled(const std::string& service, const std::string& upstream,
                  time_point now);
-    /** A report that came with an answer or a heartbeat. */
+    /** Applies a report that came with an answer or a heartbeat. */
     void report(const link::LoadReport& load, time_point now);
-    /** The agent's incarnation and uptime, for a ticket. */
+    /** The agent's incarnation and estimated uptime, for a ticket. */
     std::optional<agent_clocks::reading> clock_of(const std::string& upstream,
                                                   time_point now) const;
 
--- a/src/libcyclamenrun/membership/router.cpp
+++ b/src/libcyclamenrun/membership/router.cpp
@@ -12,16 +12,17 @@
 namespace
 {
 
-// Prompt blocks remembered for each upstream.
+// Cached prompt blocks tracked for each upstream.
 constexpr std::size_t cache_blocks = 4'096;
 
-// An upstream that has told nothing yet is tried, but after known idle ones.
+// An upstream without a report costs more than one known to be idle.
 constexpr double unknown_ms = 20.0;
 
-// A prefix has a home by so many of its blocks: how much of a prompt is shared
-// is not known, the first may be the service's own and later ones the
-// request's alone. A suspect has as many, by its fingerprint, so that what it
-// may crash stays few.
+// Numbers of leading prompt blocks, each of which selects a home upstream. How
+// much of a prompt is shared is unknown: the first blocks may be common to the
+// whole service, and later blocks may be unique to the request. A suspect
+// request has as many homes, selected by its fingerprint, which bounds the
+// number of upstreams that it may crash.
 constexpr std::array<std::size_t, 3> home_depths = {4, 8, 16};
 
 std::uint64_t mix(std::uint64_t left, std::uint64_t right)
@@ -108,8 +109,8 @@
     const auto found = upstreams_.find(upstream);
     if (found != upstreams_.end())
         return found->second;
-    // Beyond the bound any one is dropped: it is learnt again by its next
-    // report, and an entry is given fewer upstreams than this.
+    // At the bound an arbitrary upstream is dropped; its next report restores
+    // its load. An entry's subsets hold fewer upstreams than the bound.
     if (upstreams_.size() >= settings_.max_upstreams)
         upstreams_.erase(upstreams_.begin());
     return upstreams_.try_emplace(upstream, cache_blocks).first->second;
@@ -168,7 +169,7 @@
     if (settings_.prefix && !request.prefix_blocks.empty())
         add_homes(request, candidates);
     std::uniform_int_distribution<std::size_t> any(0, candidates.size() - 1);
-    // Some may be unusable; a bounded number of further draws makes up.
+    // Draws again, up to a bound, to replace unusable candidates.
     for (std::size_t i = 0;
          i < 4 * settings_.sample && sampled_.size() < settings_.sample; ++i) {
         const std::size_t drawn = any(random_);
--- a/src/libcyclamenrun/membership/router.hpp
+++ b/src/libcyclamenrun/membership/router.hpp
@@ -18,27 +18,27 @@
 namespace cyclamenrun
 {
 
-/** What is to be sent somewhere. */
+/** A request to choose an upstream for. */
 struct route_request {
     std::string service;
     std::string team;
     std::uint32_t prompt_tokens = 0;
     std::vector<std::uint64_t> prefix_blocks; ///< chained hashes
-    bool suspect = false;                     ///< may crash what runs it
+    bool suspect = false;                     ///< may crash the engine
     std::uint64_t fingerprint = 0;
-    std::vector<std::string> excluded; ///< tried already
+    std::vector<std::string> excluded; ///< upstreams already tried
     std::string own_failure_domain;
     std::string own_region;
     objective goal = objective::stall_time;
 };
 
 /**
- * Chooses the upstream for a request: the least cost in time, of expected
- * wait, of reading the part of the prompt that is not cached there, and of
- * the way there. An upstream's load is the last report and own dispatches
- * since. With many candidates only the homes of the prompt's prefix and a
- * random sample are looked at, so that the cost of a choice stays bounded and
- * entries don't all pick the same one.
+ * Chooses the upstream with the least cost in time for a request: the expected
+ * wait, the prefill of the part of the prompt that is not cached there, and the
+ * network distance. An upstream's load is its last report plus this router's
+ * dispatches since. Of many candidates the router compares only the homes of
+ * the prompt's prefix and a random sample. This bounds the cost of a choice and
+ * keeps entries from all choosing the same upstream.
  *
  * One per entry and shard. Not thread-safe. No I/O. Deterministic by seed.
  */
@@ -48,7 +48,7 @@
     router(router_settings settings, std::uint64_t seed);
 
     void report(const load_report& latest, time_point now);
-    /** Cache event of an upstream: late and gappy, a hint. */
+    /** Applies a cache event of an upstream. Events may be late or lost. */
     void cached(const std::string& upstream,
                 std::span<const std::uint64_t> blocks);
     void evicted(const std::string& upstream, std::uint64_t block);
@@ -56,12 +56,12 @@
     void dispatched(const std::string& upstream, const route_request& request,
                     time_point now);
     void settled(const std::string& upstream, time_point now);
-    /** The upstream has gone. */
+    /** Drops the state of an upstream that was removed. */
     void forget(const std::string& upstream);
 
     /**
-     * Index into `candidates`; no_upstream if none may be used, queue_full
-     * with a retry_after if all are too busy.
+     * Returns an index into `candidates`. Errors: no_upstream if no candidate
+     * is usable, queue_full with a retry_after if all are too busy.
      */
     outcome<std::size_t> choose(const route_request& request,
                                 std::span<const candidate> candidates,
@@ -80,7 +80,7 @@
     const upstream_state* find(const std::string& upstream) const;
     void sample(const route_request& request,
                 std::span<const candidate> candidates);
-    /** By rendezvous hashing, so that entries agree without talking. */
+    /** Uses rendezvous hashing, so that entries agree without coordination. */
     void add_homes(const route_request& request,
                    std::span<const candidate> candidates);
     bool usable(const route_request& request, const candidate& of) const;
@@ -90,7 +90,7 @@
     router_settings settings_;
     std::mt19937_64 random_;
     std::unordered_map<std::string, upstream_state> upstreams_;
-    std::vector<std::size_t> sampled_; ///< reused from choice to choice
+    std::vector<std::size_t> sampled_; ///< kept to reuse its memory
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/router_settings.hpp
+++ b/src/libcyclamenrun/membership/router_settings.hpp
@@ -10,29 +10,30 @@
 {
 
 struct router_settings {
-    /** Upstreams whose load is remembered. */
+    /** Bound on the upstreams whose load and cache are tracked. */
     std::size_t max_upstreams = 2'048;
-    /** Looked at per choice, when there are more; the rest is luck. */
+    /** Candidates compared per choice, drawn at random if there are more. */
     std::size_t sample = 12;
-    /** Prompt tokens for each prefix block. */
+    /** Prompt tokens per prefix block. */
     std::uint32_t block_tokens = 64;
     /**
-     * Cost of a prompt token that is not cached there: the time to read it
-     * is the small part, the memory that a second copy takes is the large.
+     * Cost of a prompt token that an upstream has not cached. The memory for a
+     * second copy makes up most of it, and the prefill time the smaller part.
      */
     double prefix_miss_ms_per_token = 2.0;
     /**
-     * Cost of a full memory before anything queues: decode steps grow longer
-     * and a burst soon has to wait.
+     * Cost of a full memory while nothing is queued yet. Decode steps take
+     * longer then, and a burst soon has to wait.
      */
     double full_memory_ms = 2'000.0;
-    /** Added cost of another failure domain, and of another region. */
+    /** Added cost of an upstream in another failure domain of the region. */
     milliseconds failure_domain_cost{2};
+    /** Added cost of an upstream in another region. */
     milliseconds region_cost{50};
-    /** When every upstream would keep work waiting longer, it is refused. */
+    /** A request is refused if the expected wait is longer everywhere. */
     milliseconds max_wait{20'000};
-    bool prefix = true;     ///< affinity; false to measure its worth
-    bool own_counts = true; ///< own dispatches; false to measure their worth
+    bool prefix = true;     ///< prefix affinity; false only for comparison
+    bool own_counts = true; ///< count own dispatches; false for comparison
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/subset.cpp
+++ b/src/libcyclamenrun/membership/subset.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** Upstreams of one failure domain, best score first. */
+/** Upstreams of one failure domain, highest rendezvous hash first. */
 struct domain_members {
     std::vector<std::pair<std::uint64_t, const vm*>> ranked;
     std::size_t quota = 0;
@@ -53,7 +53,10 @@
     return order;
 }
 
-/** Shares by largest remainder, then one for each domain that got none. */
+/**
+ * Sets quotas by the largest remainder method. Each domain whose quota is 0
+ * then gets one place of the domain with the largest quota.
+ */
 void set_quotas(std::map<domain_name, domain_members>& domains,
                 std::size_t upstreams, std::size_t size)
 {
--- a/src/libcyclamenrun/membership/subset.hpp
+++ b/src/libcyclamenrun/membership/subset.hpp
@@ -11,25 +11,26 @@
 namespace cyclamenrun
 {
 
-/** How many upstreams of one service an entry has to do with. */
+/** Bounds the subset of one service's upstreams that an entry uses. */
 struct subset_settings {
     std::size_t size = 24;
-    std::size_t overlap = 3; ///< entries that each upstream is to be known to
+    std::size_t overlap = 3; ///< entries whose subset holds each upstream
     std::size_t max_size = 128;
 };
 
 /**
- * The size to choose: enough that `entries` together know each of `upstreams`
- * about `overlap` times.
+ * Returns a subset size at which each of `upstreams` is in the subsets of about
+ * `overlap` of the `entries`.
  */
 std::size_t subset_size(const subset_settings& settings, std::size_t upstreams,
                         std::size_t entries);
 
 /**
- * At most `size` of the upstreams. Each failure domain gets its share by the
- * number of its upstreams, but one at least; who it is comes of a rendezvous
- * hash of entry and upstream, so that entries differ, upstreams are known to
- * about equally many, and one joining or leaving changes about one place.
+ * Returns at most `size` of the upstreams. Each failure domain gets a number of
+ * places in proportion to its upstreams, and at least one while `size` allows.
+ * A rendezvous hash of entry and upstream selects the upstreams of a domain, so
+ * that subsets differ between entries, upstreams are in about equally many
+ * subsets, and one that joins or leaves changes about one place.
  */
 std::vector<std::string> choose_subset(std::string_view entry,
                                        const std::vector<vm>& upstreams,
--- a/src/libcyclamenrun/membership/suspicion.cpp
+++ b/src/libcyclamenrun/membership/suspicion.cpp
@@ -44,7 +44,7 @@
     connection_lost_ = false;
     missed_ = 0;
     ++replies_;
-    // One answer may have lain in a buffer since before the fault.
+    // A single reply may have been buffered since before the failure.
     if (suspected_ && replies_ >= replies_to_clear && points(now) < threshold)
         suspected_ = false;
 }
--- a/src/libcyclamenrun/membership/suspicion.hpp
+++ b/src/libcyclamenrun/membership/suspicion.hpp
@@ -9,9 +9,10 @@
 {
 
 /**
- * Weighs the signs against one upstream. A lost connection alone may be the
- * network's, a missed heartbeat a pause, a refusal the load's: no sign of one
- * kind makes a suspect, save a long silence. Two answers in a row clear it.
+ * Decides from signs of failure whether one upstream is a suspect. The network
+ * may cause a lost connection, a pause a missed heartbeat and load a refusal.
+ * Signs of one kind are therefore not enough, except for `long_silence`
+ * heartbeats missed in a row. Two replies in a row clear the suspicion.
  */
 class suspicion
 {
@@ -19,16 +20,17 @@
     void on_connection_lost(time_point now);
     void on_connected();
     void on_missed_heartbeat(time_point now);
-    /** Refused or left unanswered for reasons other than load. */
+    /** Counts a refusal or missing answer that has causes other than load. */
     void on_failure(time_point now);
     void on_reply(time_point now);
 
     bool suspected() const { return suspected_; }
-    /** When it became a suspect. */
+    /** When the upstream last became a suspect. */
     time_point since() const { return since_; }
 
     static constexpr int threshold = 3;
-    static constexpr std::uint32_t long_silence = 5; ///< heartbeats
+    /** Missed heartbeats in a row that alone make an upstream a suspect. */
+    static constexpr std::uint32_t long_silence = 5;
     static constexpr std::uint32_t replies_to_clear = 2;
     static constexpr milliseconds failures_count_for{30'000};
 
--- a/src/libcyclamenrun/membership/suspicion_domain_cut.hpp
+++ b/src/libcyclamenrun/membership/suspicion_domain_cut.hpp
@@ -10,9 +10,10 @@
 {
 
 /**
- * Tells a failure domain that is cut off from single upstreams that died:
- * half of those known there, and at least two, become suspects at about the
- * same time. It heals when fewer than half are suspects.
+ * Distinguishes a failure domain that is cut off from single failed upstreams.
+ * A domain counts as cut off when at least half of its known upstreams, and at
+ * least two, become suspects at about the same time. The cut ends when fewer
+ * are suspects.
  */
 class suspicion_domain_cut
 {
@@ -21,12 +22,12 @@
                       time_point now);
     void on_cleared(const std::string& domain, const std::string& upstream);
 
-    /** Upstreams of the domain that the entry has had to do with. */
+    /** Sets the number of the domain's upstreams in the entry's subsets. */
     void on_known(const std::string& domain, std::size_t count);
 
     bool is_cut(const std::string& domain) const;
 
-    /** Suspects count together when they came within this time. */
+    /** Upstreams that become suspects within this time count together. */
     static constexpr milliseconds at_once{15'000};
 
 private:
--- a/src/libcyclamenrun/membership/upstream_view.cpp
+++ b/src/libcyclamenrun/membership/upstream_view.cpp
@@ -49,8 +49,8 @@
         agent_leaving_ = false;
         signals_ = suspicion();
     }
-    // Within one incarnation leaving is for good: a report that was sent
-    // before the drain began and arrives after says nothing against it.
+    // An incarnation that is leaving stays so. A report that was sent before
+    // the drain began may arrive after it and must not reset the state.
     agent_leaving_ = agent_leaving_ || report.leaving;
     ready_ = report.ready;
     return true;
--- a/src/libcyclamenrun/membership/upstream_view.hpp
+++ b/src/libcyclamenrun/membership/upstream_view.hpp
@@ -13,36 +13,36 @@
 namespace cyclamenrun
 {
 
-/** What an entry makes of an upstream; new work goes to the first three. */
+/** An upstream's state at an entry. The first three may receive new work. */
 enum class upstream_state : std::uint8_t {
-    joining, ///< listed, not yet heard of
+    joining, ///< listed, but no report received yet
     live,
-    suspect, ///< more than one sign speaks against it: the last resort
-    leaving, ///< by the list's word or the agent's
-    gone,    ///< no longer listed
-    unready, ///< its agent answers, but the upstream itself does not
+    suspect, ///< probably failed: used only if no other upstream is usable
+    leaving, ///< reported by the list or by the agent
+    gone,    ///< not listed
+    unready, ///< its agent responds, but the upstream itself does not
 };
 
 std::string_view name_of(upstream_state state);
 
-/** May be given new work. */
+/** Whether an upstream in this state may receive new work. */
 bool takes_work(upstream_state state);
 
-/** What an agent says of itself with each answer and heartbeat. */
+/** The state that an agent reports with each answer and heartbeat. */
 struct agent_report {
     std::uint64_t incarnation = 0;
     bool leaving = false;
-    bool ready = true; ///< the upstream itself answers its agent
+    bool ready = true; ///< the upstream itself responds to its agent
 };
 
-/** Everything that one entry knows of one upstream. */
+/** One entry's state of one upstream, from the list, reports and failures. */
 class upstream_view
 {
 public:
     void on_listed(const vm& listed);
     void on_unlisted(time_point forget_at);
 
-    /** False for the late word of an agent that was replaced since. */
+    /** Returns false, without effect, for a report of a replaced agent. */
     bool on_report(const agent_report& report);
 
     suspicion& signals() { return signals_; }
--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -15,7 +15,7 @@
     return {id, "127.0.0.1:1", "cuyo", domain, service, vm_state::live};
 }
 
-/** An entry's membership with six upstreams in three failure domains. */
+/** Sets up an entry's membership: six upstreams in three failure domains. */
 class membership_test : public testing::Test
 {
 protected:
@@ -72,9 +72,9 @@
     time_point now{};
 };
 
-// The list lags by 10 s: it still says live for an upstream whose agent says
-// that it is leaving. New work would go on to be sent there.
-TEST_F(membership_test, believes_the_agent_before_the_list)
+// The list lags by 10 s and still shows an upstream as live whose agent reports
+// that it is leaving. The entry must not send it new work.
+TEST_F(membership_test, stops_new_work_when_the_agent_reports_leaving)
 {
     reply("vm-0");
     EXPECT_EQ(state_of("vm-0"), upstream_state::live);
@@ -86,12 +86,13 @@
     EXPECT_EQ(state_of("vm-0"), upstream_state::leaving);
     EXPECT_FALSE(working().contains("vm-0"));
     reply("vm-0", 2, false);
-    EXPECT_TRUE(working().contains("vm-0")) << "a new agent takes work";
+    EXPECT_TRUE(working().contains("vm-0")) << "a new incarnation takes work";
     reply("vm-0", 1, true);
-    EXPECT_TRUE(working().contains("vm-0")) << "the late word of the old one";
+    EXPECT_TRUE(working().contains("vm-0"))
+        << "a delayed report of the old one";
 }
 
-TEST_F(membership_test, believes_the_list_before_the_agent)
+TEST_F(membership_test, stops_new_work_when_the_list_reports_leaving)
 {
     reply("vm-0");
     listed(0).state = vm_state::leaving;
@@ -102,9 +103,9 @@
     EXPECT_TRUE(members.find("vm-0").has_value()) << "for resumes";
 }
 
-// A lagging copy of the list service answers after a newer one: what it
-// still calls live must not get new work again.
-TEST_F(membership_test, is_not_set_back_by_an_older_list)
+// A lagging replica of the list service answers after a newer one. An upstream
+// that only the older list shows as live must not get new work again.
+TEST_F(membership_test, rejects_an_older_list)
 {
     const vm_list old = list;
     listed(0).state = vm_state::leaving;
@@ -113,7 +114,7 @@
     EXPECT_EQ(state_of("vm-0"), upstream_state::leaving);
     now += milliseconds(30'000);
     EXPECT_EQ(members.on_list(old, now), list_result::taken)
-        << "a list service that started anew";
+        << "a restarted list service";
 }
 
 TEST_F(membership_test, keeps_the_last_list_when_an_empty_one_comes)
@@ -122,9 +123,9 @@
     EXPECT_EQ(working().size(), 6U);
 }
 
-// The list says live for a VM that is gone. One sign alone may be a lost
-// connection or a pause; two together make it the last resort.
-TEST_F(membership_test, suspects_by_more_than_one_sign_and_undoes_it)
+// The list still shows a VM as live that has failed. Signs of one kind may come
+// from a network fault or a pause; signs of two kinds make it a suspect.
+TEST_F(membership_test, suspects_by_more_than_one_sign_and_clears_suspicion)
 {
     reply("vm-0");
     members.on_connection_lost("vm-0", now);
@@ -133,7 +134,7 @@
     members.on_missed_heartbeat("vm-0", now);
     EXPECT_EQ(state_of("vm-0"), upstream_state::suspect);
     reply("vm-0");
-    EXPECT_EQ(state_of("vm-0"), upstream_state::suspect) << "may be a leftover";
+    EXPECT_EQ(state_of("vm-0"), upstream_state::suspect) << "may be buffered";
     reply("vm-0");
     EXPECT_EQ(state_of("vm-0"), upstream_state::live);
 
@@ -142,19 +143,20 @@
     EXPECT_EQ(state_of("vm-1"), upstream_state::joining);
     now += suspicion::failures_count_for;
     members.on_connection_lost("vm-1", now);
-    EXPECT_EQ(state_of("vm-1"), upstream_state::joining) << "failures lapsed";
+    EXPECT_EQ(state_of("vm-1"), upstream_state::joining) << "failures expired";
     members.on_failure("vm-1", now);
     EXPECT_EQ(state_of("vm-1"), upstream_state::suspect);
 
-    // A frozen process keeps its connections: only its silence tells.
+    // A frozen process keeps its connections open and only misses heartbeats.
     for (std::uint32_t i = 0; i < suspicion::long_silence; ++i)
         members.on_missed_heartbeat("vm-2", now);
     EXPECT_EQ(state_of("vm-2"), upstream_state::suspect);
 }
 
-// A failure domain is cut off: its upstreams become suspects together, which
-// must not be held against each of them, and come back as it heals.
-TEST_F(membership_test, tells_a_cut_domain_from_a_lost_upstream)
+// The upstreams of a failure domain that is cut off become suspects together.
+// The entry must attribute this to the domain, not to each upstream, until the
+// domain recovers.
+TEST_F(membership_test, distinguishes_a_cut_domain_from_a_lost_upstream)
 {
     make_suspect("vm-0");
     EXPECT_FALSE(members.is_cut("domain-0"));
@@ -171,7 +173,7 @@
     EXPECT_FALSE(members.is_cut("domain-1"));
 }
 
-TEST_F(membership_test, follows_joins_and_forgets_the_gone_in_time)
+TEST_F(membership_test, adds_listed_and_forgets_unlisted_upstreams)
 {
     list.vms.erase(list.vms.begin());
     list.vms.push_back(upstream_vm("vm-9"));
@@ -184,7 +186,7 @@
     EXPECT_FALSE(members.find("vm-0").has_value());
 }
 
-TEST_F(membership_test, takes_no_more_vms_than_it_has_room_for)
+TEST_F(membership_test, accepts_a_bounded_number_of_vms)
 {
     list.vms.clear();
     for (std::size_t i = 0; i <= membership::max_vms; ++i)
@@ -194,7 +196,7 @@
     EXPECT_EQ(working().size(), 24U);
 }
 
-/** Upstreams in domains of unequal size, as at the target. */
+/** Returns upstreams in failure domains of unequal size. */
 std::vector<vm> fleet(int upstreams)
 {
     std::vector<vm> vms;
@@ -227,7 +229,7 @@
     EXPECT_TRUE(choose_subset("e", {}, 24).empty());
 }
 
-TEST(subset, knows_each_upstream_at_about_equally_many_entries)
+TEST(subset, covers_each_upstream_at_about_equally_many_entries)
 {
     const auto vms = fleet(200);
     std::map<std::string, int> known;
@@ -242,7 +244,7 @@
         fewest = std::min(fewest, known[each.id]);
         most = std::max(most, known[each.id]);
     }
-    EXPECT_GE(fewest, 20); // 44 on average
+    EXPECT_GE(fewest, 20); // the average is 44
     EXPECT_LE(most, 75);
 }
 
