--- a/src/libcyclamenrun/orders/order_claims.hpp
+++ b/src/libcyclamenrun/orders/order_claims.hpp
@@ -17,26 +17,26 @@
 
 class configuration_store;
 
-/** Why the claim in force could not be told. */
+/** Why the current claim could not be read. */
 enum class claim_failure : std::uint8_t {
-    log_failed, ///< the log is out or slow
-    behind_gap, ///< records are missing until an entry's state has come
-    too_long,   ///< the end was not reached in a bounded number of reads
+    log_failed, ///< the log is unavailable or slow
+    behind_gap, ///< log records are missing until an entry sends its state
+    too_long,   ///< the end of the log was not reached in `max_reads` reads
 };
 
 std::string_view name_of(claim_failure failure);
 
 /**
- * Claims on the log, for an agent. It reads the log only when it has an order
- * to give: at rest its configuration comes from entries, and costs the log
- * nothing.
+ * Reads and appends claims on the platform log for an agent. The agent uses the
+ * log only when it has an order to send. Otherwise entries send it the
+ * configuration, which puts no load on the log.
  */
 class order_claims
 {
 public:
     order_claims(platform_log& log, configuration_store& store);
 
-    /** The claim in force as of the end of the log at the time of the call. */
+    /** Returns the current claim, read to the log's end at the call. */
     tl::expected<std::optional<v1::ClaimState>, claim_failure>
     read(const std::string& upstream);
 
--- a/src/libcyclamenrun/orders/order_lease.cpp
+++ b/src/libcyclamenrun/orders/order_lease.cpp
@@ -51,8 +51,8 @@
 
 void order_lease::on_claim_sent(time_point now)
 {
-    // Of several copies of one claim the log takes the first, so that the
-    // lease has to be counted from when that one was sent.
+    // The log accepts only the first of several copies of a claim, so the lease
+    // counts from when the first copy was sent.
     if (!first_sent_at_)
         first_sent_at_ = now;
     phase_ = phase::sent;
@@ -88,20 +88,21 @@
         base_ = number;
         lease_end_ = first_sent_at_.value_or(now) + settings_.lease;
         first_sent_at_.reset();
-        // Whoever claimed before sent its claim before this one was on the
-        // log, so that its lease ends within a lease from now.
+        // Any earlier claimant sent its claim before this claim was on the log,
+        // so its lease ends within one lease duration from now.
         if (!settled_ && settled_at_ == time_point::max())
             settled_at_ = settings_.engine_honours_fencing
                               ? read_started_at
                               : now + settings_.lease + settings_.margin;
     } else if (phase_ == phase::sent) {
-        // The renewal isn't on the log yet: it is sent again.
+        // The renewal is not on the log, so it is sent again.
         phase_ = phase::unclaimed;
         return;
     }
     phase_ = phase::held;
-    // The claim is read again after the wait: another agent may have taken
-    // over meanwhile, and its wait counts from our claim, not the other way.
+    // Reads the claim again after the wait, since another agent may have taken
+    // over meanwhile. A later claimant waits for the lease of this claim, but
+    // this agent does not wait for the lease of a later claimant.
     settled_ = settled_ || read_started_at >= settled_at_;
     if (!settled_)
         wake_at_ = settled_at_;
@@ -113,7 +114,8 @@
         phase_ = phase::superseded;
         return;
     }
-    // None of ours took effect on this base, nor can it any more.
+    // No claim of this agent took effect on the old base, and none can any
+    // more.
     if (number != base_)
         first_sent_at_.reset();
     base_ = number;
@@ -122,8 +124,8 @@
 
 void order_lease::forget_claim()
 {
-    // The log's state keeps a bounded number of claims, so that one which
-    // wasn't renewed for long drops out: it is made anew, as by a stranger.
+    // The log's state keeps a bounded number of claims and drops claims that
+    // were not renewed for long. The agent then claims like a new claimant.
     held_ = 0;
     base_ = 0;
     lease_end_ = time_point::min();
--- a/src/libcyclamenrun/orders/order_lease.hpp
+++ b/src/libcyclamenrun/orders/order_lease.hpp
@@ -14,29 +14,30 @@
 
 struct order_lease_settings {
     bool engine_honours_fencing = true;
-    milliseconds lease{10'000}; ///< from when the claim was sent
-    milliseconds margin{2'000}; ///< for clock drift and orders on their way
-    milliseconds order_limit{3'000}; ///< that one order may take
+    milliseconds lease{10'000};      ///< from when the claim was sent
+    milliseconds margin{2'000};      ///< for clock drift and orders in transit
+    milliseconds order_limit{3'000}; ///< time limit of one order
     milliseconds retry_after{500};
 };
 
-/** What the owner of an order_lease does next. */
+/** The next step that an order_lease requires. */
 enum class lease_step : std::uint8_t {
     read_claim,   ///< read the log to its end, then call on_claim_read()
     append_claim, ///< call on_claim_sent(), then append claim()
-    wait,         ///< until wake_at()
-    act,          ///< orders may be given, each after may_act()
-    stood_down,   ///< another agent has taken over: never act again
+    wait,         ///< wait until wake_at()
+    act,          ///< send orders, checking may_act() before each
+    stood_down,   ///< another agent has taken over: never send orders again
 };
 
 std::string_view name_of(lease_step step);
 
 /**
- * One agent's right to give orders to its upstream's engine. The claim on
- * the log gives a fencing number. For an engine that ignores such numbers a
- * taker first waits until the lease of whoever claimed before has run out,
- * and reads the claim again; the holder stops by its own monotonic clock,
- * counted from before its claim was sent. So at most one claimant acts.
+ * One agent's right to send orders to its upstream's engine. The agent's claim
+ * on the log is assigned a fencing number. If the engine ignores fencing
+ * numbers, a new claimant waits until all earlier leases have expired and reads
+ * the claim again. The holder stops by its own monotonic clock, counted from
+ * before its claim was sent. At most one claimant therefore sends orders at a
+ * time.
  */
 class order_lease
 {
@@ -44,23 +45,26 @@
     order_lease(std::string upstream, std::uint64_t incarnation,
                 order_lease_settings settings);
 
-    /** What is to be done so that an order may be given. */
+    /** Returns the next step towards the right to send an order. */
     lease_step next(time_point now) const;
     time_point wake_at() const { return wake_at_; }
 
     v1::ClaimRecord claim() const;
     void on_claim_sent(time_point now);
-    /** The log refused it or the answer was lost; reading it back decides. */
+    /**
+     * Handles an append or read of the claim that failed. The claim may still
+     * be on the log if only the answer was lost; the next read shows it.
+     */
     void on_claim_failed(time_point now);
 
-    /** The claim in force at the end of the log, as of `read_started_at`. */
+    /** Handles the current claim, read to the log's end at the given time. */
     void on_claim_read(const std::optional<v1::ClaimState>& current,
                        time_point read_started_at, time_point now);
 
-    /** Asked again right before each order is sent. */
+    /** Whether an order may be sent. Callers check it before each order. */
     bool may_act(time_point now) const;
 
-    /** Of the claim held; 0: none. */
+    /** The fencing number of the held claim; 0: none. */
     std::uint64_t fencing_number() const { return held_; }
 
 private:
@@ -84,10 +88,10 @@
     phase phase_ = phase::unread;
     std::uint64_t base_ = 0;
     std::uint64_t held_ = 0;
-    std::optional<time_point> first_sent_at_; ///< of the claim not read back
+    std::optional<time_point> first_sent_at_; ///< of the unconfirmed claim
     time_point lease_end_ = time_point::min();
     time_point settled_at_ = time_point::max();
-    bool settled_ = false; ///< no lease of an earlier claimant is left
+    bool settled_ = false; ///< the leases of all earlier claimants have expired
     time_point wake_at_ = time_point::min();
 };
 
--- a/src/libcyclamenrun/orders/order_queue.cpp
+++ b/src/libcyclamenrun/orders/order_queue.cpp
@@ -87,8 +87,8 @@
         return;
     if (desired.size() > max_orders)
         desired.resize(max_orders);
-    // A role or version that another one took the place of has to be set
-    // anew when it comes back.
+    // A role or version that was replaced has to be set again when it is
+    // assigned again.
     std::erase_if(done_, [&desired](const desired_order& order) {
         return !contains(desired, order);
     });
--- a/src/libcyclamenrun/orders/order_queue.hpp
+++ b/src/libcyclamenrun/orders/order_queue.hpp
@@ -15,7 +15,7 @@
 
 class configuration_resources;
 
-/** One thing that an engine is to have loaded or to be. */
+/** A model, version, adapter or role that an engine should have. */
 struct desired_order {
     engine_action action = engine_action::load_model;
     std::string value;
@@ -24,56 +24,57 @@
 };
 
 /**
- * What the assignments want of an upstream, in the order in which to give it:
- * models, versions, adapters, then the role. Where assignments of a service
- * name different roles, a rendezvous hash deals upstreams out to them.
+ * Returns the orders that the assignments require for an upstream, in sending
+ * order: models, versions, adapters, then the role. If assignments of a service
+ * have different roles, a rendezvous hash distributes its upstreams among them.
  */
 std::vector<desired_order>
 desired_orders(const configuration_resources& resources,
                const std::string& service, const std::string& upstream);
 
-/** How the weight store is spared. */
+/** Limits the load on the weight store. */
 struct order_queue_settings {
-    double loads_per_second = 2.0; ///< that the store bears for one service
+    double loads_per_second = 2.0; ///< capacity of the store for one service
     milliseconds first_backoff{1'000};
     milliseconds max_backoff{300'000};
 };
 
-/** How an order went. */
+/** The result of an order. */
 enum class order_result : std::uint8_t {
     done,
-    failed,        ///< or not answered: it is given again
-    store_limited, ///< the weight store had no room
+    failed,        ///< failed or not answered
+    store_limited, ///< the weight store was at its limit
     old_number,    ///< the engine has seen a higher fencing number
 };
 
 /**
- * The orders that an agent has still to give, one at a time. Loads start at a
- * random moment of a window that grows with the number of upstreams of the
- * service, and back off at random: when a failure domain restarts, all its
- * agents come with the same orders at once, and the weight store's limit
- * would turn most away, again and again.
+ * The orders that an agent has yet to send, one at a time. Loads start at a
+ * random time within a window that grows with the number of upstreams of the
+ * service. After any failure the queue retries with a randomised exponential
+ * backoff. This avoids a thundering herd: when a failure domain restarts, all
+ * its agents have the same orders at once, and the weight store would reject
+ * most of them repeatedly.
  */
 class order_queue
 {
 public:
-    using random_function = std::function<double()>; ///< even in [0, 1)
+    using random_function = std::function<double()>; ///< uniform in [0, 1)
 
     order_queue(order_queue_settings settings, random_function random);
 
-    /** `peers`: upstreams of the service, whose agents may load as well. */
+    /** `peers`: upstreams of the service whose agents may load at once. */
     void on_desired(std::vector<desired_order> desired, std::size_t peers,
                     time_point now);
 
-    /** Everything it had loaded is lost. */
+    /** Queues all orders again, since a restarted engine has nothing loaded. */
     void on_engine_restarted(time_point now);
 
-    /** The order to give now, if any; on_result() must follow. */
+    /** Returns the order to send now, if any. Report it to on_result(). */
     std::optional<desired_order> next(time_point now) const;
     void on_result(const desired_order& order, order_result result,
                    time_point now);
 
-    /** Nothing is left to be given. */
+    /** Whether all orders are done. */
     bool is_settled() const { return !pending(); }
     time_point wake_at() const { return start_at_; }
 
--- a/src/libcyclamenrun/orders/order_runner.hpp
+++ b/src/libcyclamenrun/orders/order_runner.hpp
@@ -15,24 +15,24 @@
 
 class order_claims;
 
-/** Where an agent's orders stand, for the dump. */
+/** State of an agent's orders, as shown in the dump. */
 enum class order_runner_state : std::uint8_t {
-    settled,      ///< the engine has all it is to have
-    spread_out,   ///< waits for its turn at the weight store
-    claiming,     ///< waits for its claim, or for an earlier lease to end
+    settled,      ///< the engine has executed all orders
+    spread_out,   ///< waits for its random start time or backoff to pass
+    claiming,     ///< waits for its claim, or for an earlier lease to expire
     log_out,      ///< the claim could not be read or written
-    acted,        ///< gave an order
-    lease_lapsed, ///< had an order in hand when its lease had run out
+    acted,        ///< sent an order
+    lease_lapsed, ///< held back an order because the lease had expired
     stood_down,   ///< another agent has taken over
 };
 
 std::string_view name_of(order_runner_state state);
 
-/** Gives an agent's orders to its engine, one at a time, under its lease. */
+/** Sends an agent's orders to its engine, one at a time, under its lease. */
 class order_runner
 {
 public:
-    /** Sends to the engine and waits for the answer, until the deadline. */
+    /** Sends an order and waits for the answer until the order's deadline. */
     using engine_function = std::function<order_result(const engine_order&)>;
 
     order_runner(std::string upstream, std::uint64_t incarnation,
@@ -40,10 +40,10 @@
                  order_queue& queue, engine_function engine,
                  clock_function clock);
 
-    /** One step, which may block on the log or on the engine. */
+    /** Takes one step, which may block on the log or on the engine. */
     order_runner_state pass();
 
-    /** When pass() has something to do next. */
+    /** When to call pass() next; time_point::max() if there is no need. */
     time_point wake_at() const;
 
     std::uint64_t fencing_number() const { return lease_.fencing_number(); }
--- a/src/libcyclamenrun/orders/order_worker.cpp
+++ b/src/libcyclamenrun/orders/order_worker.cpp
@@ -14,9 +14,9 @@
 namespace
 {
 
-/** The least pause between two steps, whatever the runner asks for. */
+/** Minimum pause between two steps, even if the runner requests less. */
 constexpr milliseconds shortest_pause{20};
-/** How many agents may load at once isn't known here; a service has a few. */
+/** Assumed number of agents that may load at once, which is unknown here. */
 constexpr std::size_t assumed_peers = 24;
 
 order_queue::random_function uniform_random()
--- a/src/libcyclamenrun/orders/order_worker.hpp
+++ b/src/libcyclamenrun/orders/order_worker.hpp
@@ -19,7 +19,7 @@
 class configuration_store;
 class platform_log;
 
-/** Whose orders a worker gives. */
+/** The upstream whose engine a worker controls, and the limits that apply. */
 struct order_worker_settings {
     std::string upstream;
     std::string service;
@@ -29,9 +29,9 @@
 };
 
 /**
- * Brings the engine to what the assignments in force want of it, on a thread
- * of its own. It sleeps until the configuration changes, the engine restarts
- * or the order in hand is due; without assignments it never reads the log.
+ * Reconciles the engine with the current assignments on a thread of its own.
+ * The thread sleeps until the configuration changes, the engine restarts or the
+ * next order is due. Without assignments it never reads the log.
  */
 class order_worker
 {
@@ -43,19 +43,19 @@
     order_worker& operator=(const order_worker&) = delete;
     ~order_worker();
 
-    /** The configuration in force has changed. */
+    /** Handles a change of the current configuration. */
     void on_configuration();
-    /** The engine has nothing loaded any more. */
+    /** Handles a restart of the engine, which has nothing loaded then. */
     void on_engine_restarted();
     void stop();
 
-    /** For the dump. */
+    // Shown in the dump.
     order_runner_state state() const;
     std::uint64_t fencing_number() const;
 
 private:
     void run();
-    /** What has come in since the last look; false: nothing has. */
+    /** Applies the changes that were reported since the last call. */
     void take_news();
     void wait_for_news(time_point deadline);
 
@@ -63,8 +63,8 @@
     configuration_store& store_;
     clock_function clock_;
     order_claims claims_;
-    order_queue queue_;   // the worker's thread only
-    order_runner runner_; // the worker's thread only
+    order_queue queue_;   ///< used on the worker's thread only
+    order_runner runner_; ///< used on the worker's thread only
 
     mutable std::mutex mutex_;
     std::condition_variable news_;
