--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -197,7 +197,7 @@
     EXPECT_EQ(candidate_ids().size(), 24U);
 }
 
-/** Returns upstreams in failure domains of unequal size. */
+/** Returns upstreams in domains of unequal size, as in the target fleet. */
 std::vector<vm> fleet(int upstreams)
 {
     std::vector<vm> vms;
