--- a/src/libcyclamenrun/http/datagram_socket.cpp
+++ b/src/libcyclamenrun/http/datagram_socket.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-/** Datagrams taken in one turn, so that other sockets get theirs. */
-constexpr int datagrams_a_turn = 64;
+/** Bounds the datagrams received per wake-up, so that no socket starves. */
+constexpr int max_datagrams_per_wakeup = 64;
 
 } // namespace
 
@@ -56,14 +56,14 @@
         socket_.sendTo(bytes.data(), static_cast<int>(bytes.size()),
                        Poco::Net::SocketAddress(to.host, to.port));
     } catch (const Poco::Exception&) {
-        // As if it were lost on the way, which its sender has to expect.
+        // UDP may lose any datagram, so senders already handle a lost one.
         return;
     }
 }
 
 void datagram_socket::ready(bool, bool)
 {
-    for (int i = 0; i < datagrams_a_turn && open_; ++i) {
+    for (int i = 0; i < max_datagrams_per_wakeup && open_; ++i) {
         if (!receive_one())
             return;
     }
@@ -71,18 +71,18 @@
 
 bool datagram_socket::receive_one()
 {
-    const auto room = reactor_->read_buffer();
+    const auto buffer = reactor_->read_buffer();
     sockaddr_storage from{};
     socklen_t size = sizeof from;
     const auto count =
-        ::recvfrom(socket_.impl()->sockfd(), room.data(), room.size(), 0,
+        ::recvfrom(socket_.impl()->sockfd(), buffer.data(), buffer.size(), 0,
                    reinterpret_cast<sockaddr*>(&from), &size);
     if (count < 0)
         return false;
     const Poco::Net::SocketAddress peer(reinterpret_cast<sockaddr*>(&from),
                                         size);
     on_received_({peer.host().toString(), peer.port()},
-                 {room.data(), static_cast<std::size_t>(count)});
+                 {buffer.data(), static_cast<std::size_t>(count)});
     return true;
 }
 
--- a/src/libcyclamenrun/membership/membership.hpp
+++ b/src/libcyclamenrun/membership/membership.hpp
@@ -3,8 +3,8 @@
 
 #include "candidate.hpp"
 #include "clock.hpp"
+#include "domain_cut_detector.hpp"
 #include "subset.hpp"
-#include "suspicion_domain_cut.hpp"
 #include "upstream_view.hpp"
 #include "vm_list.hpp"
 
@@ -25,57 +25,67 @@
     std::string entry;                   ///< id of the entry's own VM
     std::string entry_service = "entry"; ///< of entries in the list
     subset_settings subset;
-    milliseconds forget_after{600'000}; ///< unlisted upstreams, for resumes
-    milliseconds older_list_for{30'000};
+    /** How long unlisted upstreams can still be found, for resumes. */
+    milliseconds forget_after{600'000};
+    /** How long after an accepted list those of a lower revision are rejected.
+     */
+    milliseconds reject_older_lists_for{30'000};
 };
 
-/** What became of a list that the platform gave. */
+/** How a list from the platform was handled. */
 enum class list_result : std::uint8_t {
-    taken,
-    kept_for_empty, ///< it held nothing: taken as the platform's fault
-    kept_for_older, ///< a lagging copy of the service gave it
-    cut_short,      ///< it was over the bound: only the first were taken
+    taken,          ///< accepted
+    kept_for_empty, ///< rejected: empty, assumed to be the platform's fault
+    kept_for_older, ///< rejected: assumed to be from a lagging replica
+    cut_short,      ///< accepted only up to membership::max_vms
 };
 
 std::string_view name_of(list_result result);
 
 /**
- * What one entry makes of who is there: the platform's lagging list, and what
- * agents say and do. Whichever first says that an upstream is leaving is
- * believed. Keeps to a bounded subset of the agents of each service; any
- * upstream in the list can be found, so that a generation is resumed through
- * any entry. Safe for threads: views lie in shards, each under its own lock.
+ * One entry's view of the upstreams, from the platform's lagging list and from
+ * the agents' reports and failures. An upstream counts as leaving as soon as
+ * either source reports it. New work goes to a bounded subset of each service's
+ * upstreams, but any listed upstream can be found, so that a generation can be
+ * resumed through any entry. Thread-safe: views are sharded, with one lock for
+ * each shard.
  */
 class membership
 {
 public:
     explicit membership(membership_settings settings);
 
-    /** While the list is out, there is nothing to call: the last one holds. */
+    /**
+     * Applies a list from the platform. The last accepted list stays in effect
+     * while the list service is unavailable.
+     */
     list_result on_list(const vm_list& list, time_point now);
 
     void on_connected(const std::string& upstream);
     void on_connection_lost(const std::string& upstream, time_point now);
     void on_missed_heartbeat(const std::string& upstream, time_point now);
-    /** Refused or left unanswered, for reasons other than load. */
+    /** Handles a refusal or missing answer that has causes other than load. */
     void on_failure(const std::string& upstream, time_point now);
-    /** Any answer or heartbeat reply. */
+    /** Handles the report that comes with an answer or heartbeat reply. */
     void on_reply(const std::string& upstream, const agent_report& report,
                   time_point now);
 
-    /** Those of the subset that may be given new work; suspects are named. */
+    /** Upstreams of the subset that may receive new work, suspects included. */
     std::vector<candidate> candidates(const std::string& service) const;
 
-    /** Where any upstream is, also outside the subset; empty: unknown. */
+    /** Returns any known upstream, also one outside the subset. */
     std::optional<candidate> find(const std::string& upstream) const;
 
-    /** Upstreams to hold connections to: the subsets of all services. */
+    /** The subsets of all services: upstreams to keep connections to. */
     std::vector<candidate> subset() const;
 
-    /** Live entries by the list, this one among them. */
+    /** Entries that are live in the list, and always this one. */
     std::vector<std::string> entries() const;
 
-    /** Many there were lost at once: no upstream of it is to blame. */
+    /**
+     * Whether the failure domain is cut off: many of its upstreams were lost
+     * at once, so that no single upstream is at fault.
+     */
     bool is_cut(const std::string& failure_domain) const;
 
     static constexpr std::size_t max_vms = 8192;
@@ -93,31 +103,31 @@
 
     const shard& shard_of(const std::string& upstream) const;
     shard& shard_of(const std::string& upstream);
-    list_result judge(const vm_list& list, time_point now) const;
-    void take_views(const std::vector<vm>& vms, time_point now);
+    list_result check_list(const vm_list& list, time_point now) const;
+    void update_views(const std::vector<vm>& vms, time_point now);
     void choose_subsets();
-    void count_domains(const member_lists& chosen,
-                       const std::map<std::string, vm>& members);
+    void update_domain_sizes(const member_lists& chosen,
+                             const std::map<std::string, vm>& members);
     std::shared_ptr<const member_lists> subsets() const;
-    void add_known(std::vector<candidate>& found,
-                   const member_list& members) const;
+    void append_known(std::vector<candidate>& found,
+                      const member_list& members) const;
 
     template <typename Change>
-    void change_view(const std::string& upstream, time_point now,
+    void update_view(const std::string& upstream, time_point now,
                      Change change);
-    void note_suspicion(const vm& listed, bool suspected, time_point now);
+    void record_suspicion(const vm& listed, bool suspected, time_point now);
 
     membership_settings settings_;
     std::array<shard, shard_count> shards_;
 
-    mutable std::mutex list_mutex_; ///< guards what follows, to cut_
+    mutable std::mutex list_mutex_; ///< guards the next four members
     std::uint64_t list_revision_ = 0;
-    time_point list_taken_at_{};
+    time_point list_accepted_at_{};
     std::vector<vm> listed_;
     std::shared_ptr<const member_lists> subsets_;
 
-    mutable std::mutex cut_mutex_;
-    suspicion_domain_cut cut_;
+    mutable std::mutex domain_cuts_mutex_; ///< guards domain_cuts_
+    domain_cut_detector domain_cuts_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/upstream_view.cpp
+++ b/src/libcyclamenrun/membership/upstream_view.cpp
@@ -18,7 +18,7 @@
     return state_names.at(static_cast<std::size_t>(state));
 }
 
-bool takes_work(upstream_state state)
+bool accepts_work(upstream_state state)
 {
     return state <= upstream_state::suspect;
 }
@@ -49,8 +49,8 @@
         agent_leaving_ = false;
         signals_ = suspicion();
     }
-    // Within one incarnation leaving is for good: a report that was sent
-    // before the drain began and arrives after says nothing against it.
+    // An incarnation that is leaving stays so. A report that was sent before
+    // the drain began may arrive after it and must not reset the state.
     agent_leaving_ = agent_leaving_ || report.leaving;
     ready_ = report.ready;
     return true;
