--- a/tests/gateway/test_answer_relay.cpp
+++ b/tests/gateway/test_answer_relay.cpp
@@ -71,8 +71,8 @@
     EXPECT_EQ(relay.first_after(), milliseconds(130));
 }
 
-// The first upstream breaks off in the middle of its answer, a second one
-// answers. The caller must not get the first half before the second answer.
+// Guards against an answer that is joined from two responses: the first
+// upstream fails in the middle of its body, and the retry succeeds.
 TEST_F(answer_relays, nothing_of_a_broken_answer_is_left_in_the_next)
 {
     auto relay = relay_of(answer_shape::whole);
@@ -131,7 +131,7 @@
     EXPECT_EQ(judge_response(500, vouched()), attempt_result::failed);
     EXPECT_EQ(judge_response(503, turned_away), attempt_result::turned_away);
     EXPECT_EQ(judge_response(421, unsealed), attempt_result::turned_away);
-    // It does not say that it has not run; its status would.
+    // The status implies "not run", which the upstream did not confirm.
     EXPECT_EQ(judge_response(503, vouched()), attempt_result::lost);
 }
 
--- a/tests/gateway/test_event_splitter.cpp
+++ b/tests/gateway/test_event_splitter.cpp
@@ -24,9 +24,9 @@
     EXPECT_EQ(splitter.events(), 2U);
 }
 
-// An engine ends in the middle of an event, and the generation goes on at
-// another one, which begins with that event again. Joined to the half that
-// came before, the caller would read garbage.
+// Guards against a corrupt event: an engine fails in the middle of an event,
+// and the engine that continues the generation sends this event again from its
+// start.
 TEST(event_splitter, drops_half_an_event_when_a_new_run_goes_on)
 {
     event_splitter splitter;
--- a/tests/gateway/test_gateway_routes.cpp
+++ b/tests/gateway/test_gateway_routes.cpp
@@ -95,9 +95,10 @@
     EXPECT_EQ(admit({}, routes)->answer_by, time_point(milliseconds(1200)));
 }
 
-// A process has just started, or was cut off from the directory for longer
-// than a revoked key may live on. Saying that a route or a key does not exist
-// would make callers give up; saying that it does would let a revoked key in.
+// Guards against decisions by a missing or outdated configuration: after a
+// start, or a disconnect from the directory for longer than the lease. To
+// refuse a route or key as unknown would make callers give up; to accept it
+// could admit a revoked key.
 TEST(request_admission, says_nothing_of_routes_and_keys_it_may_not_know)
 {
     const gateway_routes routes(configuration());
--- a/tests/gateway/test_generations.cpp
+++ b/tests/gateway/test_generations.cpp
@@ -17,8 +17,8 @@
 }
 
 /**
- * An engine that streams until it is told to stop. Of a request that goes on
- * from memory it sends the events behind the last one that the caller has.
+ * An engine that streams until it receives a stop order. For a request that
+ * resumes from memory it sends the events after the caller's last one.
  */
 class generating_engine
 {
@@ -38,17 +38,17 @@
         stream(request, reply);
     }
 
-    /** Stops the stream before this event, until changed. */
+    /** Pauses the stream before this event until the value changes. */
     std::atomic<int> hold_before = 1000;
-    /** Breaks a run's first connection in the middle of this event. */
+    /** Closes the connection of a new run in the middle of this event. */
     std::atomic<int> break_before = 1000;
     std::atomic<bool> has_room = true;
-    /** Orders to stop that are carried out, and their answers are lost. */
+    /** Number of stop orders that are executed without a reply. */
     std::atomic<int> lost_stop_answers = 0;
-    /** Orders to stop that are lost themselves. */
+    /** Number of stop orders that are lost before execution. */
     std::atomic<int> lost_stop_orders = 0;
     std::atomic<int> orders = 0;
-    /** Called when the order to stop has come, before it is answered. */
+    /** Called when a stop order arrives, before the reply. */
     std::function<void()> on_stop;
 
 private:
@@ -100,7 +100,7 @@
         ended_ = true;
     }
 
-    /** Ten seconds at most, so that a test which fails also ends. */
+    /** Waits up to ten seconds, so that a failing test ends as well. */
     template <typename Condition>
     static void wait_until(Condition condition)
     {
@@ -154,9 +154,9 @@
     EXPECT_EQ(answer.field("Response-Seal"), "seal");
 }
 
-// An engine is reclaimed in the middle of a dossier. Its memory is copied to
-// another engine, and the dossier goes on there: the caller sees one answer,
-// every event once.
+// Guards against lost or repeated events when an engine is reclaimed during a
+// generation: the memory is copied to another engine, which continues the
+// stream.
 TEST_F(generations, a_generation_outlives_its_engine)
 {
     start();
@@ -172,7 +172,7 @@
     const auto answer = caller.read();
     EXPECT_TRUE(answer.whole);
     EXPECT_EQ(answer.body, events(1, generating_engine::last_event));
-    EXPECT_EQ(first->orders, 2); // a copy beside the run, then the rest
+    EXPECT_EQ(first->orders, 2); // a copy during the run, then the rest
     const auto went_on = streams(destination);
     ASSERT_EQ(went_on.size(), 1U);
     EXPECT_EQ(went_on[0].field("Kv-From"), to_string(source.address()) + "/h1");
@@ -182,9 +182,9 @@
     EXPECT_EQ(went_on[0].field("Expect-Instance"), "e2");
 }
 
-// While the last copy is under way the engine's entry goes from the directory.
-// The answer to the order must still be waited for: without it the dossier
-// would hang until its caller gives up.
+// Guards against a generation that hangs until its caller gives up: the
+// engine's record is removed from the directory during the last copy, and the
+// gateway must still wait for the reply to the order.
 TEST_F(generations, an_order_outlives_the_entry_of_its_engine)
 {
     start();
@@ -206,9 +206,9 @@
     EXPECT_EQ(answer.body, events(1, generating_engine::last_event));
 }
 
-// The engine was told to stop and copy the rest, and the answer to that order
-// is lost. Its stream has ended, so it has stopped: the dossier goes on from
-// the memory that it keeps, and every event reaches the caller once.
+// Guards against lost or repeated events when the reply to the stop order is
+// lost. The end of the source's stream shows that it stopped, so the generation
+// resumes from the memory at the source.
 TEST_F(generations, a_lost_answer_to_the_last_order_loses_nothing)
 {
     start();
@@ -231,8 +231,8 @@
     EXPECT_EQ(runs[1].field("Last-Event-Id"), "4");
 }
 
-// The same order never reaches the engine, which streams on. To begin the
-// dossier anywhere else now would be a second run; the order is given again.
+// Guards against a second run when the stop order itself is lost: the source
+// still streams, so the gateway must repeat the order and not start elsewhere.
 TEST_F(generations, a_lost_last_order_starts_no_second_run)
 {
     start();
@@ -274,8 +274,8 @@
     EXPECT_EQ(answer.body, events(1, generating_engine::last_event));
 }
 
-// An engine crashes without notice in the middle of an event. Its backup has
-// the memory; the half event must not be joined to what follows.
+// Guards against a corrupt or lost answer when an engine crashes in the middle
+// of an event: the backup continues, and the incomplete event is dropped.
 TEST_F(generations, a_crash_is_made_up_for_by_the_backup)
 {
     start();
@@ -285,7 +285,7 @@
     add_engine("e2", second);
     first->break_before = 5;
     second->break_before = 5;
-    // The first crash is seen: from now on generations have backups.
+    // Detecting the first crash enables backups for later generations.
     EXPECT_FALSE(ask("/gen/x").whole);
     const auto answer = ask("/gen/x");
     EXPECT_TRUE(answer.whole);
@@ -304,9 +304,9 @@
     EXPECT_EQ(went_on, 1U);
 }
 
-// A stream breaks off after the lease on the configuration has ended, so that
-// it may not be sent elsewhere. A refusal in the middle of its body would be
-// read as part of it; the caller must see that it is cut.
+// Guards against a refusal written into the body of a stream: the stream breaks
+// after the configuration's lease has expired, so it may not be retried. The
+// answer must end visibly incomplete.
 TEST_F(generations, no_refusal_follows_the_first_part_of_an_answer)
 {
     settings.configuration_lease = milliseconds(800);
@@ -329,8 +329,9 @@
     EXPECT_EQ(answer.body, events(1, 4));
 }
 
-// A process is told to stop, and a dossier comes that would outlast it. Begun
-// here it would be cut; turned away at once it is served whole by another.
+// Guards against streams that are cut by a planned stop: a stopping process
+// refuses a stream that would outlast it, so that another process serves it
+// completely.
 TEST_F(generations, a_stream_that_would_outlast_the_process_is_not_begun)
 {
     settings.stop_grace_s = 4;
@@ -356,8 +357,8 @@
     EXPECT_EQ(streams(upstream).size(), 1U);
 }
 
-// The only engine crashes: there is no backup, and the dossier may not run
-// again. The caller must see that its answer is cut.
+// Guards against a truncated stream that looks complete: the only engine
+// crashes, there is no backup, and the request is not idempotent.
 TEST_F(generations, a_stream_that_can_not_go_on_never_looks_whole)
 {
     start();
--- a/tests/gateway/test_overload.cpp
+++ b/tests/gateway/test_overload.cpp
@@ -16,7 +16,7 @@
     return socket.address().port();
 }
 
-/** A gateway that hears the load of one engine. */
+/** A gateway that receives load reports of one engine. */
 class overload : public gateway_fixture
 {
 protected:
@@ -36,7 +36,7 @@
         address = to_string(engine.address());
     }
 
-    /** Until the gateway must have it: no answer tells that it has. */
+    /** Sends a load report several times, since reports are unacknowledged. */
     void tell_load(unsigned queued, unsigned unread_ms)
     {
         v1::MonitorNotice notice;
@@ -70,9 +70,9 @@
     std::string address;
 };
 
-// Crowds of callers: the engine's queue holds prompts for four seconds. Who
-// can wait for no more than two would wait for nothing, and is told so while
-// it can still do something else.
+// Guards against requests that time out in a queue: the engine's queue takes
+// four seconds and the caller's deadline is two seconds away. An immediate
+// refusal leaves the caller time for an alternative.
 TEST_F(overload, what_can_not_be_in_time_is_refused_at_once)
 {
     tell_load(12, 4300);
@@ -81,7 +81,7 @@
     EXPECT_EQ(answer.status(), 503U);
     EXPECT_EQ(answer.body, R"({"error":"overloaded"})");
     EXPECT_LT(steady_now() - began, milliseconds(1500));
-    // 4.3 s less half of its time, and a fifth more or less.
+    // 4.3 s minus half of the deadline, with a jitter of 20 %.
     const auto after = std::stod(answer.field("Retry-After"));
     EXPECT_GE(after, 2.5);
     EXPECT_LE(after, 4.2);
--- a/tests/gateway/test_passing_on.cpp
+++ b/tests/gateway/test_passing_on.cpp
@@ -41,7 +41,7 @@
     start();
     add("u1", answer_with_body);
     test_caller caller(gateway->address());
-    // The second is sent before the first is answered.
+    // The second request is sent before the answer to the first.
     caller.send(request("/plain/1", "k1", "", "one") +
                 request("/plain/2", "k1", "", "two"));
     EXPECT_EQ(caller.read().body, "echo one");
@@ -65,8 +65,8 @@
     EXPECT_TRUE(upstream.arrived().empty());
 }
 
-// A caller sends half a request and falls silent. Its connection is closed
-// after the time for a head, not after that for an idle connection.
+// Guards against connections held open by half a request: the header timeout
+// applies, not the longer timeout of an idle connection.
 TEST_F(passing_on, a_caller_that_sends_half_a_request_is_closed_soon)
 {
     start();
@@ -82,8 +82,8 @@
     EXPECT_LT(steady_now() - began, milliseconds(5000));
 }
 
-// A process has just started and knows no configuration. A 404 or 401 would
-// make callers give up on what is there.
+// Guards against a 404 or 401 from a process that has just started and has no
+// configuration yet; callers would give up on routes and keys that exist.
 TEST_F(passing_on, without_a_configuration_it_is_not_ready_and_says_so)
 {
     start(false);
@@ -113,8 +113,8 @@
     EXPECT_EQ(ask("/other/x", "k1").status(), 401U);
 }
 
-// An older version arrives late, as a record that was read twice. In force
-// again, it would bring a revoked key back.
+// Guards against the return of a revoked key: an older version arrives after a
+// newer one, for example from a record that is read twice.
 TEST_F(passing_on, a_version_never_goes_back)
 {
     start();
@@ -131,7 +131,8 @@
     EXPECT_EQ(ask("/plain/x", "k2").status(), 200U);
 }
 
-// The directory is silent for longer than a revoked key may live on.
+// Guards against the use of revoked keys: the directory does not respond for
+// longer than the lease on the configuration.
 TEST_F(passing_on, an_old_configuration_serves_no_one)
 {
     settings.configuration_lease = milliseconds(900);
@@ -159,7 +160,7 @@
     auto& leaving = add("u1", answer_with_body);
     auto& staying = add("u2", answer_with_body);
     drain("u1");
-    ask("/plain/0"); // the directory is read within this
+    ask("/plain/0"); // allows time to read the directory
     std::this_thread::sleep_for(milliseconds(100));
     const auto before = leaving.arrived().size();
     for (int i = 0; i < 10; ++i)
--- a/tests/gateway/test_request_profile.cpp
+++ b/tests/gateway/test_request_profile.cpp
@@ -63,8 +63,8 @@
     EXPECT_EQ(profile("model").memory_tokens(milliseconds(60000)), 5000U);
 }
 
-// A short answer ends before its engine is gone; to copy it would take the
-// link from those that don't.
+// Guards against useless copies: a short answer ends before its engine is
+// removed, and copying it would occupy the link that longer generations need.
 TEST_F(request_profiles, are_moved_only_if_they_outlive_their_engine)
 {
     EXPECT_TRUE(profile("model").outlives(now + milliseconds(1500), now));
--- a/tests/gateway/test_start_search.cpp
+++ b/tests/gateway/test_start_search.cpp
@@ -23,7 +23,7 @@
     return !request.start_ended().empty();
 }
 
-/** Streams go on after their first event once this is false. */
+/** While true, streams pause after their first event. */
 std::atomic<bool> hold = false;
 
 void answer_shortly(const arrived_request& request, upstream_reply& reply)
@@ -35,7 +35,7 @@
     reply.end_stream();
 }
 
-/** A gateway, two engines on hosts of their own, and monitors beside them. */
+/** A gateway and two engines on separate hosts, with monitors beside them. */
 class start_searches : public gateway_fixture
 {
 protected:
@@ -60,7 +60,7 @@
     fake_upstream* two = nullptr;
 };
 
-/** Answers each that wants to start alike. */
+/** Sends the same reply to every start request. */
 template <typename Answer>
 scripted_monitor::script answer_starts(Answer answer)
 {
@@ -101,9 +101,8 @@
     }));
 }
 
-// Both engines have room in the same moment. Begun at both it would be a
-// second run of what may run once; and the start that is not used must not
-// keep the other engine's place.
+// Guards against a second run and against a leaked place: both engines grant
+// the start at the same time, one grant is used and the other must be released.
 TEST_F(start_searches, use_one_of_two_starts_and_give_the_other_back)
 {
     const auto first = monitor("127.0.0.1", give_all());
@@ -119,7 +118,8 @@
     EXPECT_EQ(one->arrived().size() + two->arrived().size(), 1U);
 }
 
-// Two engines have room. At the one that runs more, each token takes longer.
+// Guards against the slower of two granted starts: each token takes longer at
+// the engine that runs more generations.
 TEST_F(start_searches, take_the_better_of_two_starts)
 {
     const auto crowded =
@@ -135,7 +135,8 @@
     EXPECT_EQ(two->arrived().size(), 5U);
 }
 
-// All monitors are down. Their engines are well, and callers must be served.
+// Guards against a dependency on monitors: all monitors are down while their
+// engines work.
 TEST_F(start_searches, serve_by_own_beliefs_where_no_monitor_is_heard)
 {
     const auto began = steady_now();
@@ -143,7 +144,7 @@
     EXPECT_LT(steady_now() - began, milliseconds(500));
 }
 
-/** Streams, and says how many requests wait at it. */
+/** Streams, and reports a queue of this length. */
 fake_upstream::script answer_with_queue(int queued)
 {
     return [queued](const arrived_request& request, upstream_reply& reply) {
@@ -157,9 +158,9 @@
     };
 }
 
-// A fleet without monitors: of other gateways' requests nothing is known, and
-// prompts are sent to engines that have many to read. Asked itself, an engine
-// tells.
+// Guards against prompts sent to busy engines without monitors: the gateway
+// does not know the requests of other gateways, so it must query the engines'
+// loads.
 TEST_F(start_searches, ask_engines_themselves_where_no_monitor_is_heard)
 {
     forget("e1");
@@ -182,8 +183,8 @@
     EXPECT_EQ(streams(idle), 5);
 }
 
-// There are no monitors, or this VM is cut off from all of them. To ask them
-// for each start delays it for nothing; one that is heard again is asked.
+// Guards against a useless delay of each start while no monitor is reachable;
+// start requests must resume when a monitor responds again.
 TEST_F(start_searches, ask_nobody_while_no_monitor_is_heard)
 {
     std::atomic<bool> speaks = false;
@@ -214,8 +215,8 @@
     EXPECT_GT(asked(), before);
 }
 
-// The engine is full. Its caller leaves before there is room, and no start may
-// be kept for it.
+// Guards against grants for a caller that has disconnected while all engines
+// were full.
 TEST_F(start_searches, end_with_their_caller)
 {
     const auto first = monitor("127.0.0.1", let_all_wait());
@@ -231,8 +232,8 @@
     EXPECT_TRUE(one->arrived().empty());
 }
 
-// A team floods: its callers that are late wait behind all others, for all
-// the time that they have, and get nothing.
+// Guards against requests that wait until their deadline in vain: a team
+// exceeds its fair share, and all others have priority at both engines.
 TEST_F(start_searches, refuse_at_once_what_others_go_before)
 {
     const auto first = monitor("127.0.0.1", pass_all_over());
@@ -247,7 +248,8 @@
     EXPECT_TRUE(one->arrived().empty() && two->arrived().empty());
 }
 
-// Only one engine of two lets others go first: there may be room at the other.
+// Guards against a premature refusal: only one of two engines skips the
+// request, and the other may have room later.
 TEST_F(start_searches, wait_on_where_room_may_come)
 {
     const auto full = monitor("127.0.0.1", pass_all_over());
@@ -263,7 +265,7 @@
     EXPECT_EQ(two->arrived().size(), 1U);
 }
 
-// The datagram that says that it may start is lost.
+// Guards against a lost grant: the start request is repeated.
 TEST_F(start_searches, ask_again_in_case_a_datagram_was_lost)
 {
     std::atomic<int> asked = 0;
@@ -280,7 +282,8 @@
     EXPECT_EQ(one->arrived().size(), 1U);
 }
 
-// The engine leaves, and the directory does not say so yet.
+// Guards against a start at an engine that leaves, before the directory reports
+// it.
 TEST_F(start_searches, turn_away_from_an_engine_that_leaves)
 {
     const auto leaves =
@@ -303,8 +306,9 @@
     EXPECT_EQ(two->arrived().size(), 1U);
 }
 
-// The engine has started again, and the directory still names the process
-// before it. Sent to that, the request would be turned away.
+// Guards against a request addressed to a previous process: the engine has
+// restarted, and the directory still has the record of its predecessor, whose
+// requests the new process rejects.
 TEST_F(start_searches, begin_at_the_process_that_answers_now)
 {
     const auto tells_of_another =
@@ -322,7 +326,7 @@
     EXPECT_EQ(one->arrived().front().field("Expect-Instance"), "e9");
 }
 
-// A monitor speaks for the engine of its own VM and for no other.
+// Guards against a monitor that reports about the engine of another VM.
 TEST_F(start_searches, believe_no_monitor_about_the_engines_of_others)
 {
     const auto lies =
@@ -346,9 +350,9 @@
     return request.loads_wanted();
 }
 
-// Loads told by each engine to each gateway grow with both. A gateway wants
-// those of the engines where its own requests run, and of two that may read
-// the directory for it.
+// Guards against load reports from every engine to every gateway, whose number
+// grows with the product of both. A gateway subscribes to the engines that run
+// its requests, and to two that may read the directory for it.
 TEST_F(start_searches, hear_from_a_few_engines_only)
 {
     std::vector<std::unique_ptr<scripted_monitor>> monitors;
@@ -397,7 +401,8 @@
     EXPECT_EQ(heard().size(), 3U);
 }
 
-// A stranger, or a start that was given twice: nothing is begun for it.
+// Guards against leaked places: grants for unknown requests, or duplicate
+// grants, are released.
 TEST_F(start_searches, give_back_starts_that_nobody_waits_for)
 {
     const auto strange =
--- a/tests/gateway/test_turn_search.cpp
+++ b/tests/gateway/test_turn_search.cpp
@@ -39,8 +39,8 @@
     return !request.turn_ended().empty();
 }
 
-/** Engines with monitors on hosts of their own, and a copy that looks for a
- * place among them. */
+/** Engines on separate hosts with monitors, and the search of a destination
+ * among them. */
 class turn_searches : public testing::Test
 {
 protected:
@@ -148,16 +148,17 @@
     std::string result;
 };
 
-// Many generations leave their engines at once. The destination that looked
-// best a moment ago is copied to by others; waiting for it, the notice runs
-// out while links beside it are idle.
+// Guards against copies that queue while other links are idle: many generations
+// leave at once and select the same destination, and the reclaim notice expires
+// while they wait.
 TEST_F(turn_searches, go_where_the_link_is_free)
 {
     const auto& busy = add("127.0.0.2", always(answer::waits));
     const auto& idle = add("127.0.0.3", always(answer::given));
     begin();
     EXPECT_EQ(wait_for_result(), "on-127.0.0.3");
-    EXPECT_TRUE(busy.wait_for(ends_turn)) << "it waits there in vain";
+    EXPECT_TRUE(busy.wait_for(ends_turn))
+        << "the turn at the busy link was not released";
     EXPECT_EQ(idle.count_of(ends_turn), 0U);
     on_loop([this] { search->end(); });
     EXPECT_TRUE(idle.wait_for(ends_turn));
@@ -173,7 +174,8 @@
     EXPECT_TRUE(other.wait_for(ends_turn));
 }
 
-// The engine that looked best leaves itself, or has filled meanwhile.
+// Guards against a search that ends at the first refusals, which come from
+// engines that leave or have filled up.
 TEST_F(turn_searches, go_on_where_they_are_refused)
 {
     for (const auto* host :
@@ -192,7 +194,7 @@
     EXPECT_EQ(wait_for_result(), "none");
 }
 
-// All links are busy: further engines are asked.
+// Guards against waiting while the links of all requested engines are busy.
 TEST_F(turn_searches, ask_more_while_they_wait)
 {
     for (const auto* host :
@@ -203,7 +205,8 @@
     EXPECT_EQ(wait_for_result(), "on-127.0.0.6");
 }
 
-// The directory knows that it leaves, and its monitor does not yet.
+// Guards against a copy to an engine that leaves, when the directory reports it
+// before the engine's monitor does.
 TEST_F(turn_searches, use_no_engine_that_leaves)
 {
     add("127.0.0.2", always(answer::given));
@@ -218,8 +221,8 @@
     EXPECT_EQ(wait_for_result(), "on-127.0.0.3");
 }
 
-// The monitor beside the only engine has died. A copy beside others is better
-// than none.
+// Guards against a failed move when the monitor of the only engine has crashed:
+// a copy that competes with others is better than none.
 TEST_F(turn_searches, go_where_no_monitor_answers_if_nothing_else_is_left)
 {
     add("127.0.0.2", always(answer::silence));
--- a/tests/gateway/test_upstream_failures.cpp
+++ b/tests/gateway/test_upstream_failures.cpp
@@ -11,7 +11,7 @@
 class upstream_failures : public gateway_fixture
 {
 protected:
-    /** A script that fails once over all upstreams, then answers. */
+    /** A script that fails on the first request to any upstream only. */
     fake_upstream::script once(const fake_upstream::script& fail)
     {
         return [this, fail](const arrived_request& request,
@@ -23,7 +23,7 @@
         };
     }
 
-    /** Two upstreams that share such a script. */
+    /** Adds two upstreams that share such a script. */
     void add_two(const fake_upstream::script& fail)
     {
         const auto script = once(fail);
@@ -52,8 +52,9 @@
     reply.answer(request, 503, "full", "Not-Executed: 1\r\n");
 }
 
-// A tag is sent and the upstream's connection is reset. Whether it was written
-// nobody knows, so it is not sent again and the caller is not told "not run".
+// Guards against a duplicate write: the upstream's connection is reset after
+// the request was sent, so it may have run. The gateway must not retry it, and
+// must not report "not run" to the caller.
 TEST_F(upstream_failures, what_may_have_run_is_not_sent_again)
 {
     start();
@@ -80,8 +81,8 @@
     EXPECT_EQ(arrivals(), 2U);
 }
 
-// An upstream has crashed, and another took its address before the directory
-// dropped the record. Each request that goes there costs its caller a detour.
+// Guards against repeated misdirected requests: an upstream has crashed, and
+// another process uses its address before the directory removes its record.
 TEST_F(upstream_failures, one_whose_address_is_another_s_gets_no_more_work)
 {
     start();
@@ -94,7 +95,7 @@
     for (int i = 0; i < 20; ++i)
         EXPECT_EQ(ask("/plain/x").status(), 200U);
     EXPECT_LE(upstreams[0]->arrived().size(), 1U);
-    // News of it: it is asked again.
+    // A new record makes the upstream usable again.
     auto again = records[0];
     again.started_ms = 7;
     tell(again);
@@ -117,8 +118,9 @@
     EXPECT_EQ(arrivals(), 2U);
 }
 
-// 503 without the upstream's word that it has not run the request: passed on
-// it would tell the caller so, and the caller would send it again.
+// Guards against a duplicate run: the upstream returns 503 without confirming
+// "not run". If the gateway relayed the status, the caller would send the
+// request again.
 TEST_F(upstream_failures, an_unvouched_503_promises_nothing)
 {
     start();
@@ -155,8 +157,8 @@
         EXPECT_EQ(ask("/plain/x").status(), 200U);
 }
 
-// The upstream breaks off its answer. What has come looks like the start of a
-// success; the caller must never take it for the whole.
+// Guards against a truncated answer delivered as complete: the upstream closes
+// the connection in the middle of a successful response.
 TEST_F(upstream_failures, an_answer_that_is_cut_is_never_passed_on_as_whole)
 {
     start();
@@ -189,8 +191,8 @@
     EXPECT_EQ(ask("/plain/x").status(), 502U);
 }
 
-// An upstream sends a second answer behind the first, late, on a connection
-// that is kept. The next request must not get it.
+// Guards against a response that reaches the wrong caller: an upstream sends a
+// late second response on an idle connection.
 TEST_F(upstream_failures, an_answer_to_another_request_reaches_no_caller)
 {
     start();
@@ -218,23 +220,23 @@
         EXPECT_EQ(ask("/plain/x").body, "mine r" + std::to_string(i) + "\n");
 }
 
-// The upstream answers before it has read a long body. What is sent on that
-// connection next would be taken for the rest of the body.
+// Guards against a request that is read as part of a body: the upstream answers
+// before it has read a long body, and the connection must not be reused.
 TEST_F(upstream_failures, an_early_answer_does_not_free_the_connection)
 {
     start();
     add("u1", [](const arrived_request& request, upstream_reply& reply) {
         reply.answer(request, 200, "ok");
     });
-    // As long as a system's buffers on both sides.
+    // Larger than the socket buffers of both sides.
     test_caller caller(gateway->address());
     caller.send(request("/plain/x", "k1", "", std::string(3 << 20, 'x')));
     EXPECT_EQ(caller.read().status(), 200U);
     EXPECT_EQ(ask("/plain/x").status(), 200U);
 }
 
-// An inspector gives up. The upstream still works for nobody unless its
-// connection is closed at once.
+// Guards against work for a disconnected caller: the gateway must close the
+// upstream's connection at once.
 TEST_F(upstream_failures, a_caller_that_leaves_ends_its_run)
 {
     start();
@@ -273,8 +275,9 @@
     reply.wait_for_close();
 }
 
-// An upstream takes requests and never answers, while its connections stand.
-// A caller that may be served elsewhere must not see its whole time pass.
+// Guards against waiting until the deadline for an upstream that accepts
+// requests and never responds: an idempotent request is retried at another
+// upstream.
 TEST_F(upstream_failures, an_idempotent_request_is_taken_from_a_mute_upstream)
 {
     start();
@@ -290,8 +293,9 @@
     EXPECT_EQ(arrivals(), 2U);
 }
 
-// The same for a request that may not be repeated: it stays where it is, and
-// its caller learns that it may have run. Those that come next go elsewhere.
+// Guards against further requests to an upstream that never responds: a request
+// that is not idempotent expires there as possibly run, and later requests
+// avoid the upstream.
 TEST_F(upstream_failures, a_mute_upstream_is_left_out_after_a_request_ran_out)
 {
     start();
