--- a/src/libcyclamenrun/gateway/event_splitter.hpp
+++ b/src/libcyclamenrun/gateway/event_splitter.hpp
@@ -13,7 +13,7 @@
 
 enum class event_order_problem : std::uint8_t {
     gap,       ///< An event is missing.
-    too_large, ///< One event is over the limit.
+    too_large, ///< One event exceeds the limit.
 };
 
 std::string_view name_of(event_order_problem problem);
--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -606,8 +606,9 @@
     on.step = [this](move_step step, const upstream_record& engine) {
         recorder_.move_step_taken(step, engine.id);
     };
-    on.tried = [this](const upstream_record& source, const upstream_record& to,
-                      std::optional<move_failure> failure) {
+    on.move_ended = [this](const upstream_record& source,
+                           const upstream_record& to,
+                           std::optional<move_failure> failure) {
         recorder_.move_tried(service_, source.id, to.id, failure);
     };
     return std::make_shared<generation_mover>(context_, facts_.id,
--- a/src/libcyclamenrun/gateway/exchange.hpp
+++ b/src/libcyclamenrun/gateway/exchange.hpp
@@ -53,7 +53,7 @@
     /** Placement request, for bytes sent from this VM or `from_domain`. */
     placement_request needs() const;
     placement_request needs(const std::string& from_domain) const;
-    /** True if neither a run nor the answer has begun. */
+    /** False once the request may have run or its answer has begun. */
     bool may_refuse() const;
     /** True if monitors must grant the start. */
     bool needs_start_grant() const;
@@ -128,9 +128,8 @@
     unsigned sends_ = 0;
     bool over_ = false;
 
-    std::shared_ptr<start_search>
-        search_;                        ///< set while waiting for a start grant
-    std::shared_ptr<load_probe> probe_; ///< set during load queries
+    std::shared_ptr<start_search> search_; ///< set while a start is awaited
+    std::shared_ptr<load_probe> probe_;    ///< set during load queries
     std::shared_ptr<generation_mover> mover_;
     /** Engine that holds a backup of the current run. */
     std::optional<upstream_record> backup_;
--- a/src/libcyclamenrun/gateway/gateway_configuration.hpp
+++ b/src/libcyclamenrun/gateway/gateway_configuration.hpp
@@ -36,10 +36,9 @@
     milliseconds timeout{0};   ///< maximum time to the final answer; 0: none
     milliseconds objective{0}; ///< maximum latency of an answer that is on time
     milliseconds gap_target{0}; ///< maximum pause of a stream that is on time
-    unsigned max_attempts =
-        1;                  ///< maximum upstreams that one request is sent to
-    unsigned priority = 0;  ///< 0 is the most urgent
-    bool is_public = false; ///< needs no key
+    unsigned max_attempts = 1;  ///< upstreams tried per request
+    unsigned priority = 0;      ///< 0 is the most urgent
+    bool is_public = false;     ///< needs no key
 };
 
 /** Properties of the model engines of a service. */
@@ -48,9 +47,8 @@
     std::uint64_t memory_tokens = 0;
     double token_bytes = 0;
     double link_mbps = 0;
-    bool moves = false; ///< running generations can be moved
-    bool backups =
-        false; ///< running generations can be replicated as they grow
+    bool moves = false;   ///< running generations can be moved
+    bool backups = false; ///< running generations can be replicated
 };
 
 struct gateway_service {
--- a/src/libcyclamenrun/gateway/gateway_refusal.cpp
+++ b/src/libcyclamenrun/gateway/gateway_refusal.cpp
@@ -35,9 +35,8 @@
     gateway_refusal_row{
         share_spent, "share_spent", 503, true,
         "The engines are full and the team has used its fair share."},
-    gateway_refusal_row{
-        expired_unsent, "expired_unsent", 503, true,
-        "The deadline passed before the request reached an upstream."},
+    gateway_refusal_row{expired_unsent, "expired_unsent", 503, true,
+                        "The deadline passed before the request was sent."},
     gateway_refusal_row{expired, "expired", 504, false,
                         "The deadline passed at an upstream."},
     gateway_refusal_row{
--- a/src/libcyclamenrun/gateway/generation_move.hpp
+++ b/src/libcyclamenrun/gateway/generation_move.hpp
@@ -28,8 +28,7 @@
 {
 public:
     struct hooks {
-        /** The source stopped the generation; it may resume from this memory.
-         */
+        /** The source stopped; the generation may resume from here. */
         std::function<void(continuation)> stopped;
         /** `kept`: memory that the source reports it still holds. */
         std::function<void(move_failure, std::optional<continuation> kept)>
--- a/src/libcyclamenrun/gateway/generation_mover.cpp
+++ b/src/libcyclamenrun/gateway/generation_mover.cpp
@@ -163,7 +163,7 @@
     move_.reset();
     if (over_)
         return;
-    on_.tried(source, to, std::nullopt);
+    on_.move_ended(source, to, std::nullopt);
     pending_ = pending_step{from, to};
     resume_after_last_events();
 }
@@ -222,7 +222,7 @@
     const auto move = std::exchange(move_, nullptr);
     if (over_)
         return;
-    on_.tried(source, move->destination(), failure);
+    on_.move_ended(source, move->destination(), failure);
     if (failure == move_failure::no_room)
         refused_by_ = move->destination().id;
     if (kept && failure == move_failure::uncertain && !source_ended_) {
--- a/src/libcyclamenrun/gateway/generation_mover.hpp
+++ b/src/libcyclamenrun/gateway/generation_mover.hpp
@@ -14,7 +14,7 @@
 namespace cyclamenrun
 {
 
-/** Steps of a move, in the order in which they are logged. */
+/** Steps of a move. */
 enum class move_step : std::uint8_t {
     source_turn_wanted,
     source_turn_given,
@@ -46,8 +46,7 @@
         std::function<std::optional<upstream_record>(
             const upstream_record& source, const std::string& refused_by)>
             destination;
-        /** Up to `count` possible destinations, excluding those in `exclude`.
-         */
+        /** Up to `count` possible destinations, none in `exclude`. */
         std::function<std::vector<upstream_record>(
             const upstream_record& source,
             const std::vector<std::string>& exclude, std::size_t count)>
@@ -66,7 +65,7 @@
         std::function<void(const upstream_record& source,
                            const upstream_record& to,
                            std::optional<move_failure>)>
-            tried;
+            move_ended;
         /** A step of the move and the engine that it concerns. */
         std::function<void(move_step, const upstream_record&)> step;
     };
--- a/src/libcyclamenrun/gateway/request_profile.cpp
+++ b/src/libcyclamenrun/gateway/request_profile.cpp
@@ -12,8 +12,9 @@
 
 /**
  * Maximum time to establish a connection. Delays between failure domains are
- * about a millisecond; the rest allows for busy peers. No byte was sent before
- * the timeout, so another upstream can be tried within the objective.
+ * about a millisecond; the rest allows for busy peers. No byte of the request
+ * was sent before the timeout, so another upstream can be tried within the
+ * objective.
  */
 constexpr milliseconds max_connect_timeout{250};
 constexpr milliseconds min_connect_timeout{40};
@@ -62,13 +63,13 @@
 start_request request_profile::make_start_request(const std::string& id,
                                                   time_point arrived) const
 {
-    start_request wanted;
-    wanted.id = id;
-    wanted.team = team_;
-    wanted.prompt_tokens = prompt_tokens_;
-    wanted.output_tokens = max_output_tokens_ / 2;
-    wanted.first_due = arrived + route_->objective;
-    return wanted;
+    start_request request;
+    request.id = id;
+    request.team = team_;
+    request.prompt_tokens = prompt_tokens_;
+    request.output_tokens = max_output_tokens_ / 2;
+    request.first_due = arrived + route_->objective;
+    return request;
 }
 
 milliseconds request_profile::connect_timeout() const
--- a/src/libcyclamenrun/gateway/request_profile.hpp
+++ b/src/libcyclamenrun/gateway/request_profile.hpp
@@ -30,8 +30,7 @@
     /** Sets the service after it was picked from the route's services. */
     void set_service(const std::string& service) { service_ = service; }
 
-    /** Properties of the engines that serve the request; null: plain service.
-     */
+    /** Properties of the serving engines; null: a plain service. */
     const engine_traits* engine() const;
     /** `from_domain`: failure domain of the request's bytes or memory. */
     placement_request needs(const std::string& from_domain) const;
--- a/src/libcyclamenrun/gateway/start_search.cpp
+++ b/src/libcyclamenrun/gateway/start_search.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/** Engines in the first round; only this bounds the usual message rate. */
+/** Engines in the first round; the message count grows only with this. */
 constexpr std::size_t initial_engines = 8;
 /** Further engines in each later round, up to `max_engines` in total. */
 constexpr std::size_t further_engines = 8;
@@ -29,9 +29,9 @@
 
 } // namespace
 
-start_search::start_search(gateway_context& context, start_request wanted,
+start_search::start_search(gateway_context& context, start_request request,
                            hooks on)
-    : context_(context), wanted_(std::move(wanted)), on_(std::move(on))
+    : context_(context), request_(std::move(request)), on_(std::move(on))
 {
 }
 
@@ -48,7 +48,7 @@
         if (const auto self = weak.lock())
             self->handle_wait(host, wait);
     };
-    context_.monitors->hear_of_start(wanted_.id, std::move(on));
+    context_.monitors->hear_of_start(request_.id, std::move(on));
     request_more(initial_engines);
     context_.reactor->post_at(context_.reactor->now() + response_timeout,
                               [weak = weak_from_this()] {
@@ -66,7 +66,7 @@
         exclude.push_back(each.engine.id);
     for (const auto& engine : on_.candidates(exclude, count)) {
         requested_.push_back({engine, false, false, std::nullopt});
-        context_.monitors->ask_start(engine.address.host, wanted_,
+        context_.monitors->ask_start(engine.address.host, request_,
                                      engine.slots);
     }
 }
@@ -86,7 +86,7 @@
         return;
     drop_removed();
     for (const auto& each : requested_)
-        context_.monitors->ask_start(each.engine.address.host, wanted_,
+        context_.monitors->ask_start(each.engine.address.host, request_,
                                      each.engine.slots);
     request_more(std::min(further_engines, max_engines - requested_.size()));
     schedule_repeat();
@@ -141,7 +141,7 @@
         request_more(1);
         return;
     }
-    if (choosing_ && all_responded())
+    if (choice_pending_ && all_responded())
         choose();
     else
         report_if_skipped();
@@ -152,7 +152,7 @@
     const auto over = static_cast<std::size_t>(std::count_if(
         requested_.begin(), requested_.end(),
         [](const requested_engine& each) { return each.skips_request; }));
-    return !choosing_ && over > requested_.size() / 2;
+    return !choice_pending_ && over > requested_.size() / 2;
 }
 
 void start_search::report_if_skipped()
@@ -177,7 +177,7 @@
 {
     const auto found = find(host);
     if (over_ || found == requested_.end()) {
-        context_.monitors->end_start(host, wanted_.id);
+        context_.monitors->end_start(host, request_.id);
         return;
     }
     found->responded = true;
@@ -190,7 +190,7 @@
         choose();
         return;
     }
-    if (std::exchange(choosing_, true))
+    if (std::exchange(choice_pending_, true))
         return;
     context_.reactor->post_at(context_.reactor->now() + choice_delay,
                               [weak = weak_from_this()] {
@@ -201,7 +201,7 @@
 
 void start_search::choose()
 {
-    choosing_ = false;
+    choice_pending_ = false;
     if (over_)
         return;
     const requested_engine* best = nullptr;
@@ -218,7 +218,7 @@
     if (best == nullptr)
         return;
     over_ = true;
-    context_.monitors->forget_start(wanted_.id);
+    context_.monitors->forget_start(request_.id);
     // Copied, since the call may destroy the exchange and this search.
     const auto engine = best->engine;
     const auto use = on_.found;
@@ -230,7 +230,7 @@
 {
     for (const auto& each : requested_) {
         if (each.engine.address.host != host)
-            context_.monitors->end_start(each.engine.address.host, wanted_.id);
+            context_.monitors->end_start(each.engine.address.host, request_.id);
     }
 }
 
@@ -238,7 +238,7 @@
 {
     if (std::exchange(over_, true))
         return;
-    context_.monitors->forget_start(wanted_.id);
+    context_.monitors->forget_start(request_.id);
     release_others({});
 }
 
--- a/src/libcyclamenrun/gateway/start_search.hpp
+++ b/src/libcyclamenrun/gateway/start_search.hpp
@@ -37,7 +37,7 @@
         std::function<void()> no_response;
     };
 
-    start_search(gateway_context& context, start_request wanted, hooks on);
+    start_search(gateway_context& context, start_request request, hooks on);
 
     void start();
     /** Abandons the search and releases all grants. */
@@ -70,10 +70,10 @@
     std::vector<requested_engine>::iterator find(const std::string& host);
 
     gateway_context& context_;
-    start_request wanted_;
+    start_request request_;
     hooks on_;
     std::vector<requested_engine> requested_;
-    bool choosing_ = false; ///< a start is granted; waits for better ones
+    bool choice_pending_ = false; ///< a start is granted; waits for better ones
     bool over_ = false;
 };
 
--- a/src/libcyclamenrun/gateway/turn_search.cpp
+++ b/src/libcyclamenrun/gateway/turn_search.cpp
@@ -92,7 +92,7 @@
 {
     for (auto& each : requested_)
         each.granted = each.granted || each.engine.id == id;
-    if (over_ || std::exchange(choosing_, true))
+    if (over_ || std::exchange(choice_pending_, true))
         return;
     context_.reactor->post_at(context_.reactor->now() + choice_delay,
                               [weak = weak_from_this()] {
@@ -117,7 +117,7 @@
 
 void turn_search::choose()
 {
-    choosing_ = false;
+    choice_pending_ = false;
     if (over_)
         return;
     std::optional<upstream_record> best;
--- a/src/libcyclamenrun/gateway/turn_search.hpp
+++ b/src/libcyclamenrun/gateway/turn_search.hpp
@@ -64,7 +64,7 @@
     hooks on_;
     std::vector<requested_engine> requested_;
     std::vector<std::string> refused_; ///< ids of engines
-    bool choosing_ = false; ///< a turn is granted; waits for better ones
+    bool choice_pending_ = false; ///< a turn is granted; waits for better ones
     bool over_ = false;
 };
 
--- a/src/libcyclamenrun/gateway/upstream_attempt.hpp
+++ b/src/libcyclamenrun/gateway/upstream_attempt.hpp
@@ -23,7 +23,7 @@
 
 /**
  * One request on one connection to one upstream, and the response to it. A late
- * response to an earlier request on the connection is recognized by its request
+ * response to another request on the connection is recognized by its request
  * id and skipped.
  *
  * Keeps itself alive until the response is complete, the attempt is lost or
