--- a/tests/gateway/test_upstream_failures.cpp
+++ b/tests/gateway/test_upstream_failures.cpp
@@ -192,7 +192,7 @@
 }
 
 // Guards against a response that reaches the wrong caller: an upstream sends a
-// late second response on an idle connection.
+// late response to an earlier request on a reused connection.
 TEST_F(upstream_failures, an_answer_to_another_request_reaches_no_caller)
 {
     start();
@@ -228,7 +228,7 @@
     add("u1", [](const arrived_request& request, upstream_reply& reply) {
         reply.answer(request, 200, "ok");
     });
-    // Larger than the socket buffers of both sides.
+    // As large as the socket buffers of both sides.
     test_caller caller(gateway->address());
     caller.send(request("/plain/x", "k1", "", std::string(3 << 20, 'x')));
     EXPECT_EQ(caller.read().status(), 200U);
