--- a/src/libcyclamenrun/gateway/engine_callers.hpp
+++ b/src/libcyclamenrun/gateway/engine_callers.hpp
@@ -13,8 +13,9 @@
 {
 
 /**
- * Connections for orders to engines. An order is answered only when it is
- * carried out, so several to one engine need a connection each.
+ * Pool of connections for orders to engines. An engine replies to an order only
+ * after it has executed it, so concurrent orders to one engine need a
+ * connection each.
  */
 class engine_callers
 {
@@ -24,14 +25,14 @@
     {
     }
 
-    /** One that has no call under way. */
-    std::shared_ptr<http_caller> idle_caller(const upstream_record& engine);
-    void forget(const std::string& engine_id) { callers_.erase(engine_id); }
+    /** Returns a connection without a pending call; opens one if needed. */
+    std::shared_ptr<http_caller> idle_client(const upstream_record& engine);
+    void forget(const std::string& engine_id) { clients_.erase(engine_id); }
 
 private:
     std::shared_ptr<link_reactor> reactor_;
     std::unordered_map<std::string, std::vector<std::shared_ptr<http_caller>>>
-        callers_;
+        clients_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/event_splitter.cpp
+++ b/src/libcyclamenrun/gateway/event_splitter.cpp
@@ -11,10 +11,10 @@
 
 struct line {
     std::string_view text;
-    std::size_t end; ///< behind its line feed
+    std::size_t end; ///< offset after its line feed
 };
 
-/** The line that begins at `from`; empty if its end has not come. */
+/** Returns the line that begins at `from`; empty if it is incomplete. */
 std::optional<line> line_at(std::string_view bytes, std::size_t from)
 {
     const auto feed = bytes.find('\n', from);
@@ -26,7 +26,7 @@
     return line{text, feed + 1};
 }
 
-/** Bytes up to the end of the first whole event; 0 if there is none. */
+/** Returns the size of the first event; 0 if it is incomplete. */
 std::size_t first_event_end(std::string_view bytes)
 {
     std::size_t at = 0;
@@ -79,7 +79,7 @@
     while (const auto size =
                first_event_end(std::string_view(pending_).substr(at))) {
         const auto event = std::string_view(pending_).substr(at, size);
-        const auto wanted = take(event);
+        const auto wanted = accept_event(event);
         if (!wanted)
             return tl::unexpected(wanted.error());
         if (*wanted)
@@ -87,13 +87,13 @@
         at += size;
     }
     pending_.erase(0, at);
-    if (pending_.size() > largest_event_bytes)
+    if (pending_.size() > max_event_bytes)
         return tl::unexpected(event_order_problem::too_large);
     return passed;
 }
 
 tl::expected<bool, event_order_problem>
-event_splitter::take(std::string_view event)
+event_splitter::accept_event(std::string_view event)
 {
     const auto id = id_of(event);
     if (!id)
--- a/src/libcyclamenrun/gateway/exchange.hpp
+++ b/src/libcyclamenrun/gateway/exchange.hpp
@@ -22,12 +22,13 @@
 {
 
 /**
- * One request of a caller from its admission to its final answer: which
- * upstreams it is sent to, whether their responses make up an answer, and,
- * for a generation, how it goes on at another engine when its own leaves.
+ * Serves one request of a caller from its admission to its final answer.
+ * Chooses upstreams, retries failed attempts, relays the response, and moves a
+ * generation to another engine when its engine leaves.
  *
- * Keeps itself alive until the answer is final. The caller's side must call
- * caller_left() when the caller goes, and nothing after it.
+ * Keeps itself alive until the answer is final. The owner of the caller's
+ * connection must call caller_left() when the caller disconnects, and no member
+ * after that.
  */
 class exchange : public std::enable_shared_from_this<exchange>
 {
@@ -40,66 +41,66 @@
 
     void start();
     void caller_left();
-    /** An upstream leaves; at an unknown time if none is given. */
+    /** Handles an upstream that leaves; `leaves_at` is empty if unknown. */
     void upstream_leaving(const std::string& upstream_id,
                           std::optional<time_point> leaves_at);
 
     const std::string& id() const { return facts_.id; }
 
 private:
-    // Where it runs.
+    // Choice of an upstream.
     void dispatch();
-    /** What an upstream must have for it, nearest to this VM or elsewhere. */
+    /** Placement request, for bytes sent from this VM or `from_domain`. */
     placement_request needs() const;
     placement_request needs(const std::string& from_domain) const;
-    /** What has run, or goes on, has no better answer than its own. */
-    bool may_be_refused() const;
-    /** Monitors beside the engines say where it may start. */
-    bool asks_to_start() const;
-    /** It goes to engines, beside which there may be monitors. */
-    bool has_monitors() const;
-    /** The configuration may be out of date: nothing more may run by it. */
+    /** False once the request may have run or its answer has begun. */
+    bool may_refuse() const;
+    /** True if monitors must grant the start. */
+    bool needs_start_grant() const;
+    /** True if the service has engines and this gateway uses monitors. */
+    bool uses_monitors() const;
+    /** Refuses the request, since the lease on the configuration expired. */
     void refuse_without_lease();
     void search_start();
     void start_found(const upstream_record& upstream);
-    /** No monitor is heard: a few engines are asked themselves. */
+    /** Queries a few engines for their load when no monitor responds. */
     void probe_loads();
-    void dispatch_by_beliefs();
+    void dispatch_by_estimates();
     std::optional<placed_upstream> place();
     void send(const upstream_record& upstream,
               const std::optional<continuation>& goes_on);
     std::string request_for(const upstream_record& upstream,
                             const std::optional<continuation>& goes_on);
     void choose_backup(const upstream_record& upstream);
-    void settle();
+    void release_attempt();
 
-    // What an attempt brings.
-    void take_head(http_head&& head, const response_facts& facts);
-    void take_body(std::string_view bytes);
-    void take_complete();
-    void take_lost(attempt_loss loss);
-    /** Its upstream should have begun to answer by now. */
-    void watch_for_silence();
-    void take_silence();
-    bool is_silent() const;
-    attempt_state state_now() const;
+    // Events of an attempt.
+    void handle_head(http_head&& head, const response_facts& facts);
+    void handle_body(std::string_view bytes);
+    void handle_complete();
+    void handle_loss(attempt_loss loss);
+    /** Sets the timeout for the start of the response. */
+    void arm_response_timeout();
+    void handle_response_timeout();
+    bool awaits_response() const;
+    attempt_state current_state() const;
     void end_attempt(attempt_result result);
     attempt_step step_after(attempt_result result);
-    request_notes::attempt attempt_now();
-    void note_attempt(std::string_view result, std::string_view next);
-    void hold_back_if_slow();
+    request_notes::attempt attempt_record();
+    void record_attempt(std::string_view result, std::string_view next);
+    void pause_if_caller_is_slow();
 
-    // A generation that goes on elsewhere.
+    // Continuation of a generation at another engine.
     std::shared_ptr<generation_mover> make_mover();
-    void go_on_at(const upstream_record& upstream, const continuation& from);
-    bool go_on_at_backup();
-    bool go_on_at_source();
+    void resume_at(const upstream_record& upstream, const continuation& from);
+    bool resume_at_backup();
+    bool resume_at_source();
 
-    // How it ends.
+    // End of the request.
     void deliver();
-    /** `room_in`: when there will be room again, if that is known. */
+    /** `time_to_room`: expected time until there is room, if known. */
     void refuse(gateway_refusal refusal,
-                std::optional<milliseconds> room_in = std::nullopt);
+                std::optional<milliseconds> time_to_room = std::nullopt);
     void cut(std::string_view reason);
     void expire();
     void end(request_outcome outcome, unsigned status,
@@ -108,13 +109,13 @@
                           std::string_view reason) const;
 
     gateway_context& context_;
-    /** Until the answer is final: between attempts nothing else holds it. */
+    /** Keeps the exchange alive between attempts, until the answer is final. */
     std::shared_ptr<exchange> self_;
     caller_request request_;
     answer_relay answer_;
-    request_notes notes_;
+    request_notes recorder_;
     std::shared_ptr<const gateway_routes> routes_;
-    milliseconds configuration_age_{0}; ///< at its admission
+    milliseconds configuration_age_{0}; ///< at the admission
     request_facts facts_;
     admitted_request admitted_;
     request_profile profile_;
@@ -127,13 +128,13 @@
     unsigned sends_ = 0;
     bool over_ = false;
 
-    std::shared_ptr<start_search> search_; ///< while it waits for a start
-    std::shared_ptr<load_probe> probe_;    ///< while engines tell their loads
+    std::shared_ptr<start_search> search_; ///< set while a start is awaited
+    std::shared_ptr<load_probe> probe_;    ///< set during load queries
     std::shared_ptr<generation_mover> mover_;
-    /** Engine that keeps a copy of the run at hand as it grows. */
+    /** Engine that holds a backup of the current run. */
     std::optional<upstream_record> backup_;
-    /** The attempt at hand goes on from memory that lies at an engine. */
-    std::optional<continuation> goes_on_;
+    /** Memory from which the current attempt resumes. */
+    std::optional<continuation> resume_from_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/start_search.hpp
+++ b/src/libcyclamenrun/gateway/start_search.hpp
@@ -13,67 +13,67 @@
 {
 
 /**
- * Finds an engine at which one generation may start: asks the monitors beside
- * a few engines, takes the best of those that let it at once or the first that
- * does later, and tells the others. While it waits it asks more of them. Where
- * no monitor is heard, the gateway's own beliefs decide: serving does not
- * depend on monitors.
+ * Finds an engine at which one generation may start. Sends start requests to
+ * the monitors beside a few engines, uses the best of the immediate grants or
+ * else the first later one, and releases the others. Requests further engines
+ * while it waits. When no monitor responds, the gateway decides by its own load
+ * estimates, so that serving does not depend on monitors.
  */
 class start_search : public std::enable_shared_from_this<start_search>
 {
 public:
     struct hooks {
-        /** Up to `count` engines to ask, none of those in `but`. */
+        /** Up to `count` engines to request, excluding those in `exclude`. */
         std::function<std::vector<upstream_record>(
-            const std::vector<std::string>& but, std::size_t count)>
+            const std::vector<std::string>& exclude, std::size_t count)>
             candidates;
-        /** Cost of a place where it may start; lower is better. */
+        /** Cost of a granted start; lower is better. */
         std::function<double(const upstream_record&, const given_place&)> cost;
-        /** It starts there. */
+        /** The generation starts at this engine. */
         std::function<void(const upstream_record&)> found;
-        /** Most engines let others go first; it waits on unless cancelled. */
-        std::function<void()> passed_over;
-        /** No monitor has answered in the time for it. */
-        std::function<void()> unheard;
+        /** Most engines skip the request; the search waits until cancelled. */
+        std::function<void()> skipped;
+        /** No monitor responded within the timeout. */
+        std::function<void()> no_response;
     };
 
-    start_search(gateway_context& context, start_request wanted, hooks on);
+    start_search(gateway_context& context, start_request request, hooks on);
 
     void start();
-    /** The start is not wanted any more. */
+    /** Abandons the search and releases all grants. */
     void cancel();
 
-    /** Engines that were asked, and are still. */
-    std::size_t asked() const { return asked_.size(); }
+    /** Number of engines with a pending start request. */
+    std::size_t requested_count() const { return requested_.size(); }
 
 private:
-    struct asked_engine {
+    struct requested_engine {
         upstream_record engine;
-        bool heard = false;               ///< its monitor answers
-        bool passes_over = false;         ///< others go first there
-        std::optional<given_place> place; ///< where it may start
+        bool responded = false;     ///< its monitor has responded
+        bool skips_request = false; ///< other requests have priority there
+        std::optional<given_place> place; ///< set if the start is granted
     };
 
-    void ask_more(std::size_t count);
-    void ask_again();
-    void ask_again_later();
-    void drop_gone();
-    void check_heard();
-    bool all_heard() const;
-    void take_given(const std::string& host, const given_place& place);
-    bool may_use(const asked_engine& engine) const;
+    void request_more(std::size_t count);
+    void repeat_requests();
+    void schedule_repeat();
+    void drop_removed();
+    void check_responses();
+    bool all_responded() const;
+    void handle_grant(const std::string& host, const given_place& place);
+    bool may_use(const requested_engine& engine) const;
     void choose();
-    void take_waits(const std::string& host, start_wait wait);
-    bool is_passed_over() const;
-    void end_if_passed_over();
-    void end_but(const std::string& host);
-    std::vector<asked_engine>::iterator find(const std::string& host);
+    void handle_wait(const std::string& host, start_wait wait);
+    bool is_skipped() const;
+    void report_if_skipped();
+    void release_others(const std::string& host);
+    std::vector<requested_engine>::iterator find(const std::string& host);
 
     gateway_context& context_;
-    start_request wanted_;
+    start_request request_;
     hooks on_;
-    std::vector<asked_engine> asked_;
-    bool choosing_ = false; ///< it may start somewhere
+    std::vector<requested_engine> requested_;
+    bool choice_pending_ = false; ///< a start is granted; waits for better ones
     bool over_ = false;
 };
 
--- a/src/libcyclamenrun/gateway/upstream_choice.cpp
+++ b/src/libcyclamenrun/gateway/upstream_choice.cpp
@@ -9,32 +9,32 @@
 namespace
 {
 
-/** A backup takes memory from running work; only where half is free. */
+/** Backups reduce the memory of running work, so half must be free. */
 constexpr double backup_below_memory = 0.5;
-/** Copies between failure domains take twice as long on both links. */
+/** Penalty: copies between failure domains occupy both links twice as long. */
 constexpr double backup_other_domain = 0.1;
 
 /**
- * Engines are asked whether a generation may start, not told, so what is
- * believed of their load need only tell the hopeless ones. Drawn sharply by
- * news that is 150 ms old, all ask the same: mean worth of ten days with 25
- * gateways 0.588 at 0.1, 0.626 at 0.3, 0.634 at 1, 0.644 at 10 and 0.649 at 1
- * when more are asked while waiting.
+ * Width of the random spread over engines for start requests, in units of cost.
+ * Monitors grant each start, so the load estimates only need to exclude
+ * overloaded engines. With a small width all gateways select the same engines
+ * by load reports that are 150 ms old, and fewer requests are served in time.
+ * Requesting further engines during the wait gains more than a larger width.
  */
-constexpr double asking_width = 1.0;
+constexpr double start_request_width = 1.0;
 
-/** For copies: engines of the same failure domain are asked first. */
-constexpr double copying_width = 0.2;
+/** For copies: low enough to favour engines of the same failure domain. */
+constexpr double copy_request_width = 0.2;
 
-/** Cost of the best place but one. */
-std::optional<double> best_but(const std::vector<placement_candidate>& places,
-                               std::size_t but,
-                               const placement_weights& weights)
+/** Lowest cost among all places except the one at index `exclude`. */
+std::optional<double>
+lowest_cost_except(const std::vector<placement_candidate>& places,
+                   std::size_t exclude, const placement_weights& weights)
 {
     std::optional<double> best;
     for (std::size_t i = 0; i < places.size(); ++i) {
         const double cost = placement_cost(places[i], weights);
-        if (i != but && (!best || cost < *best))
+        if (i != exclude && (!best || cost < *best))
             best = cost;
     }
     return best;
@@ -71,7 +71,7 @@
     placed.record = upstream.record;
     placed.place = places[*chosen];
     placed.cost = placement_cost(places[*chosen], weights);
-    placed.second_cost = best_but(places, *chosen, weights);
+    placed.second_cost = lowest_cost_except(places, *chosen, weights);
     placed.weighed = places.size();
     if (upstream.load)
         placed.load_age =
@@ -102,20 +102,20 @@
     return choose(known, request, {}, now);
 }
 
-std::vector<upstream_record> upstream_choice::to_ask(
+std::vector<upstream_record> upstream_choice::start_candidates(
     const std::string& service, const placement_request& request,
     const std::vector<std::string>& excluded, std::size_t count, time_point now)
 {
-    return draw(candidates(service, excluded), request, {}, asking_width, count,
-                now);
+    return draw(candidates(service, excluded), request, {}, start_request_width,
+                count, now);
 }
 
-std::vector<upstream_record> upstream_choice::to_copy_to(
+std::vector<upstream_record> upstream_choice::copy_candidates(
     const std::string& service, const placement_request& request,
     const std::vector<std::string>& excluded, std::size_t count, time_point now)
 {
     return draw(candidates(service, excluded), request, copy_weights,
-                copying_width, count, now);
+                copy_request_width, count, now);
 }
 
 std::vector<upstream_record>
@@ -124,8 +124,8 @@
                       const placement_weights& weights, double width,
                       std::size_t count, time_point now)
 {
-    // Without replacement, each with a weight of exp(-cost / width): the
-    // least of costs with noise of that distribution.
+    // Gumbel noise on the costs draws without replacement, with a weight of
+    // exp(-cost / width) for each engine.
     std::extreme_value_distribution<double> noise(0, width);
     std::vector<std::pair<double, const upstream_state*>> drawn;
     for (const auto* upstream : from) {
@@ -144,27 +144,27 @@
     return records;
 }
 
-double upstream_choice::cost_of(const upstream_record& engine,
-                                const given_place& place,
-                                const placement_request& request,
-                                time_point now) const
+double upstream_choice::start_cost(const upstream_record& engine,
+                                   const given_place& place,
+                                   const placement_request& request,
+                                   time_point now) const
 {
     const auto* state = board_.find(engine.id);
-    placement_candidate told = state == nullptr
-                                   ? placement_candidate()
-                                   : placement_of(*state, request, now);
-    told.wait = 0;
-    told.slots_taken =
+    placement_candidate reported = state == nullptr
+                                       ? placement_candidate()
+                                       : placement_of(*state, request, now);
+    reported.wait = 0;
+    reported.slots_taken =
         static_cast<double>(place.slots_taken) / std::max(1U, engine.slots);
-    told.memory_taken =
+    reported.memory_taken =
         static_cast<double>(place.memory_taken + request.output_tokens) /
         static_cast<double>(std::max<std::uint64_t>(1, request.engine_tokens));
-    return placement_cost(told);
+    return placement_cost(reported);
 }
 
-double upstream_choice::cost_of_copy(const upstream_record& engine,
-                                     const placement_request& request,
-                                     time_point now) const
+double upstream_choice::copy_cost(const upstream_record& engine,
+                                  const placement_request& request,
+                                  time_point now) const
 {
     const auto* state = board_.find(engine.id);
     return placement_cost(state == nullptr ? placement_candidate()
@@ -191,7 +191,8 @@
         others.begin(), others.end(), [&](const upstream_state* other) {
             return has_fresh_load(*other, now);
         });
-    // Beside those of which a load is known, the others may be full.
+    // Engines without a fresh load may be full; use them only if there are no
+    // others.
     if (known != others.begin())
         others.erase(known, others.end());
     for (const auto* other : others) {
--- a/src/libcyclamenrun/gateway/upstream_connections.cpp
+++ b/src/libcyclamenrun/gateway/upstream_connections.cpp
@@ -6,11 +6,11 @@
 {
 
 std::shared_ptr<tcp_connection>
-upstream_connections::take(const upstream_record& upstream, time_point now)
+upstream_connections::acquire(const upstream_record& upstream, time_point now)
 {
     const auto found = idle_.find(upstream.id);
     while (found != idle_.end() && !found->second.empty()) {
-        // The one used last is the least likely to be closed by its peer.
+        // The peer is least likely to close the most recently used connection.
         auto last = std::move(found->second.back());
         found->second.pop_back();
         if (last.connection->open() && now < last.until)
@@ -32,7 +32,7 @@
                                 time_point until)
 {
     auto& kept = idle_[upstream_id];
-    if (kept.size() >= most_idle_connections || !connection->open()) {
+    if (kept.size() >= max_idle_connections || !connection->open()) {
         connection->close();
         return;
     }
--- a/tests/gateway/test_overload.cpp
+++ b/tests/gateway/test_overload.cpp
@@ -16,7 +16,7 @@
     return socket.address().port();
 }
 
-/** A gateway that hears the load of one engine. */
+/** A gateway that receives load reports of one engine. */
 class overload : public gateway_fixture
 {
 protected:
@@ -36,8 +36,8 @@
         address = to_string(engine.address());
     }
 
-    /** Until the gateway must have it: no answer tells that it has. */
-    void tell_load(unsigned queued, unsigned unread_ms)
+    /** Sends a load report several times, since reports are unacknowledged. */
+    void report_load(unsigned queued, unsigned unread_ms)
     {
         v1::MonitorNotice notice;
         auto& load = *notice.mutable_load();
@@ -56,7 +56,7 @@
         }
     }
 
-    caller_answer ask_within(int ms)
+    caller_answer send_with_deadline(int ms)
     {
         auto text = request("/res/x");
         const std::string usual = "Deadline-Ms: 9000";
@@ -70,30 +70,30 @@
     std::string address;
 };
 
-// Crowds of callers: the engine's queue holds prompts for four seconds. Who
-// can wait for no more than two would wait for nothing, and is told so while
-// it can still do something else.
-TEST_F(overload, what_can_not_be_in_time_is_refused_at_once)
+// Guards against requests that time out in a queue: the engine's queue takes
+// four seconds and the caller's deadline is two seconds away. An immediate
+// refusal leaves the caller time for an alternative.
+TEST_F(overload, refuses_a_request_that_would_miss_its_deadline)
 {
-    tell_load(12, 4300);
+    report_load(12, 4300);
     const auto began = steady_now();
-    const auto answer = ask_within(2000);
+    const auto answer = send_with_deadline(2000);
     EXPECT_EQ(answer.status(), 503U);
     EXPECT_EQ(answer.body, R"({"error":"overloaded"})");
     EXPECT_LT(steady_now() - began, milliseconds(1500));
-    // 4.3 s less half of its time, and a fifth more or less.
+    // 4.3 s minus half of the deadline, with a jitter of 20 %.
     const auto after = std::stod(answer.field("Retry-After"));
     EXPECT_GE(after, 2.5);
     EXPECT_LE(after, 4.2);
     EXPECT_TRUE(upstreams.front()->arrived().empty());
 }
 
-TEST_F(overload, who_can_wait_is_served)
+TEST_F(overload, serves_a_request_with_a_later_deadline)
 {
-    tell_load(12, 4300);
-    EXPECT_EQ(ask_within(8000).status(), 200U);
-    tell_load(0, 0);
-    EXPECT_EQ(ask_within(2000).status(), 200U);
+    report_load(12, 4300);
+    EXPECT_EQ(send_with_deadline(8000).status(), 200U);
+    report_load(0, 0);
+    EXPECT_EQ(send_with_deadline(2000).status(), 200U);
 }
 
 } // namespace
--- a/tests/gateway/test_passing_on.cpp
+++ b/tests/gateway/test_passing_on.cpp
@@ -41,7 +41,7 @@
     start();
     add("u1", answer_with_body);
     test_caller caller(gateway->address());
-    // The second is sent before the first is answered.
+    // The second request is sent before the answer to the first.
     caller.send(request("/plain/1", "k1", "", "one") +
                 request("/plain/2", "k1", "", "two"));
     EXPECT_EQ(caller.read().body, "echo one");
@@ -50,7 +50,7 @@
     EXPECT_EQ(caller.read().body, "echo three");
 }
 
-TEST_F(passing_on, a_request_that_is_not_readable_is_refused_and_closes)
+TEST_F(passing_on, a_malformed_request_is_refused_and_closes_the_connection)
 {
     start();
     auto& upstream = add("u1", answer_with_body);
@@ -65,9 +65,9 @@
     EXPECT_TRUE(upstream.arrived().empty());
 }
 
-// A caller sends half a request and falls silent. Its connection is closed
-// after the time for a head, not after that for an idle connection.
-TEST_F(passing_on, a_caller_that_sends_half_a_request_is_closed_soon)
+// Guards against connections held open by half a request: the header timeout
+// applies, not the longer timeout of an idle connection.
+TEST_F(passing_on, half_a_request_is_closed_after_the_header_timeout)
 {
     start();
     auto limited = configuration();
@@ -82,9 +82,9 @@
     EXPECT_LT(steady_now() - began, milliseconds(5000));
 }
 
-// A process has just started and knows no configuration. A 404 or 401 would
-// make callers give up on what is there.
-TEST_F(passing_on, without_a_configuration_it_is_not_ready_and_says_so)
+// Guards against a 404 or 401 from a process that has just started and has no
+// configuration yet; callers would give up on routes and keys that exist.
+TEST_F(passing_on, a_process_without_a_configuration_is_not_ready)
 {
     start(false);
     EXPECT_EQ(readiness(), 503U);
@@ -113,9 +113,9 @@
     EXPECT_EQ(ask("/other/x", "k1").status(), 401U);
 }
 
-// An older version arrives late, as a record that was read twice. In force
-// again, it would bring a revoked key back.
-TEST_F(passing_on, a_version_never_goes_back)
+// Guards against the return of a revoked key: an older version arrives after a
+// newer one, for example from a record that is read twice.
+TEST_F(passing_on, an_older_configuration_is_ignored)
 {
     start();
     add("u1", answer_with_body);
@@ -131,8 +131,9 @@
     EXPECT_EQ(ask("/plain/x", "k2").status(), 200U);
 }
 
-// The directory is silent for longer than a revoked key may live on.
-TEST_F(passing_on, an_old_configuration_serves_no_one)
+// Guards against the use of revoked keys: the directory does not respond for
+// longer than the lease on the configuration.
+TEST_F(passing_on, an_expired_configuration_refuses_all_requests)
 {
     settings.configuration_lease = milliseconds(900);
     settings.configuration_wait = milliseconds(100);
@@ -144,7 +145,7 @@
     EXPECT_EQ(readiness(), 503U);
 }
 
-TEST_F(passing_on, no_upstream_is_a_refusal_at_once)
+TEST_F(passing_on, a_missing_upstream_is_refused_at_once)
 {
     start();
     const auto began = steady_now();
@@ -153,13 +154,13 @@
     EXPECT_LT(steady_now() - began, milliseconds(1000));
 }
 
-TEST_F(passing_on, upstreams_that_leave_get_nothing_new)
+TEST_F(passing_on, leaving_upstreams_get_no_new_requests)
 {
     start();
     auto& leaving = add("u1", answer_with_body);
     auto& staying = add("u2", answer_with_body);
     drain("u1");
-    ask("/plain/0"); // the directory is read within this
+    ask("/plain/0"); // allows time to read the directory
     std::this_thread::sleep_for(milliseconds(100));
     const auto before = leaving.arrived().size();
     for (int i = 0; i < 10; ++i)
@@ -168,7 +169,7 @@
     EXPECT_GE(staying.arrived().size(), 10U);
 }
 
-TEST_F(passing_on, a_planned_stop_lets_requests_end)
+TEST_F(passing_on, a_planned_stop_completes_running_requests)
 {
     start();
     std::atomic<bool> may_answer = false;
