--- a/src/libcyclamenrun/configuration/change_submitter.cpp
+++ b/src/libcyclamenrun/configuration/change_submitter.cpp
@@ -27,7 +27,10 @@
     return response;
 }
 
-/** Why the change was judged invalid, as far as it can still be seen. */
+/**
+ * Returns why the change was found invalid. References are checked against the
+ * current resources, which may have changed since the record was applied.
+ */
 std::vector<field_error> errors_of(const v1::ChangeRecord& change,
                                    const configuration_resources& resources)
 {
@@ -35,8 +38,9 @@
     if (errors.empty())
         errors = check_references(change, resources);
     if (errors.empty())
-        errors.push_back({"resource", change_problem::unknown_reference,
-                          "names that existed when the change was read"});
+        errors.push_back(
+            {"resource", change_problem::unknown_reference,
+             "references to resources that exist when the change is applied"});
     return errors;
 }
 
@@ -81,9 +85,9 @@
         offset_ = *answer;
         return;
     }
-    // The answer was lost: the record may be on the log. A second copy is
-    // harmless, since readers know the change's id, but the first is given
-    // time to be read back.
+    // The answer was lost, so the record may be on the log. A second copy is
+    // harmless because readers detect duplicates by the change id; the delay
+    // leaves time to read the first copy back.
     if (may_have_been_appended(answer.error().failure)) {
         append_at_ = now + settings_.resend_after;
         return;
@@ -103,8 +107,9 @@
         finish_by(*progress.outcome, progress);
         return true;
     }
-    // Revisions of a resource only grow: a base that is below the current
-    // one can never apply, wherever copies of the record may still be.
+    // Revisions of a resource only increase, so a change whose base revision
+    // is below the current one can never apply, even if copies of its record
+    // reach the log later.
     if (progress.current &&
         progress.current->revision() > change_.base_revision()) {
         finish_conflict(progress);
@@ -119,7 +124,7 @@
     done_ = true;
     if (known.fingerprint() != fingerprint_of(change_)) {
         result_ = invalid_for({{"change_id", change_problem::duplicate,
-                                "an id that no other change has"}});
+                                "an id that no other change uses"}});
         return;
     }
     if (known.result() == v1::CHANGE_RESULT_CONFLICT) {
@@ -151,9 +156,9 @@
 void change_submitter::finish_at_deadline()
 {
     done_ = true;
-    // Also when the log took no record from here: the operator may have sent
-    // the same change by another entry, whose answer got lost, and would
-    // take a refusal by this one for the truth about the change.
+    // The outcome is unknown even if the log accepted no record from this
+    // entry: the operator may have sent the same change through another entry
+    // and lost that answer, and would take a refusal for the final outcome.
     v1::ApplyChangeResponse response;
     response.mutable_unknown()->set_change_id(change_.change_id());
     result_ = std::move(response);
--- a/src/libcyclamenrun/configuration/change_submitter.hpp
+++ b/src/libcyclamenrun/configuration/change_submitter.hpp
@@ -13,23 +13,24 @@
 namespace cyclamenrun
 {
 
-/** What the owner of a change_submitter does next. */
+/** The next action that a change_submitter requires of its owner. */
 enum class submit_step : std::uint8_t {
-    append, ///< append record(), then call on_append()
-    wait,   ///< until wake_at() or the configuration advances
-    done,   ///< answer with result()
+    append, ///< append record() to the log, then call on_append()
+    wait,   ///< wait until wake_at() or until the configuration advances
+    done,   ///< return result() to the operator
 };
 
-/** How long a submitter waits between attempts. */
+/** Delays between two attempts to append a change. */
 struct submit_settings {
-    milliseconds resend_after{2000}; ///< after an answer that got lost
-    milliseconds retry_after{200};   ///< after a refusal of the log
+    milliseconds resend_after{2000}; ///< after an append without an answer
+    milliseconds retry_after{200};   ///< after the log refused an append
 };
 
 /**
- * Takes one change to its outcome. It tells accepted only after the record
- * has been read back and seen to apply, and refused only when no copy of the
- * record can come into force any more; all else is unknown.
+ * Submits one change to the log and determines its outcome. The result is
+ * "accepted" only after the record has been read back and applied, and
+ * "conflict" or "invalid" only when no copy of the record can take effect any
+ * more. In all other cases the result is "unknown".
  */
 class change_submitter
 {
@@ -37,7 +38,9 @@
     change_submitter(v1::ChangeRecord change, time_point deadline,
                      submit_settings settings = {});
 
+    /** Returns the next action, given the current state of the change. */
     submit_step next(const change_progress& progress, time_point now);
+    /** Handles the log's answer to an append of record(). */
     void on_append(const tl::expected<std::uint64_t, log_error>& answer,
                    time_point now);
 
--- a/src/libcyclamenrun/configuration/change_validation.cpp
+++ b/src/libcyclamenrun/configuration/change_validation.cpp
@@ -38,7 +38,7 @@
 
 using character_test = bool (*)(char);
 
-/** Rules of one kind of text. */
+/** Allowed characters and length of a text field. */
 struct text_rule {
     character_test allowed;
     std::size_t max_length;
@@ -50,7 +50,7 @@
 constexpr text_rule id_rule{is_id_character, change_limits::change_id_length,
                             "1 to 64 of A-Z, a-z, 0-9, '.', '_' and '-'"};
 constexpr text_rule model_rule{is_printable, change_limits::model_length,
-                               "1 to 128 printable characters, no blank"};
+                               "1 to 128 printable characters without spaces"};
 
 void check_text(errors& found, const char* field, const std::string& text,
                 const text_rule& rule)
@@ -70,7 +70,10 @@
         check_text(found, field, text, rule);
 }
 
-/** A number below zero, once encoded, is a huge one: it ends here too. */
+/**
+ * Also rejects negative numbers, which are encoded as very large unsigned
+ * values.
+ */
 void check_range(errors& found, const char* field, std::uint64_t value,
                  std::uint64_t low, std::uint64_t high)
 {
@@ -100,10 +103,10 @@
 {
     if (!service.model().empty())
         found.push_back({"service.model", change_problem::not_allowed_here,
-                         "model services only"});
+                         "no value; only model services have a model"});
     if (service.objective() != v1::OBJECTIVE_UNSPECIFIED)
         found.push_back({"service.objective", change_problem::not_allowed_here,
-                         "model services only"});
+                         "no value; only model services have an objective"});
 }
 
 void check_service(errors& found, const v1::Service& service)
@@ -136,7 +139,7 @@
         check_text(found, "team.services", service, name_rule);
         if (!seen.insert(service).second)
             found.push_back({"team.services", change_problem::duplicate,
-                             "each service once"});
+                             "each service listed once"});
     }
 }
 
@@ -196,7 +199,7 @@
     const v1::Resource& resource = change.resource();
     if (kind_of(resource) != change.kind()) {
         found.push_back({"resource", change_problem::mismatch,
-                         "a resource of the kind that the change names"});
+                         "a resource of the kind given in the field kind"});
         return;
     }
     if (resource.has_service()) {
@@ -262,7 +265,7 @@
                          "a model service that exists"});
 }
 
-/** An assignment's service must stay a model service. */
+/** Checks that a service with assignments remains a model service. */
 void check_kind_kept(errors& found, const v1::Service& service,
                      const configuration_resources& resources)
 {
--- a/src/libcyclamenrun/configuration/change_validation.hpp
+++ b/src/libcyclamenrun/configuration/change_validation.hpp
@@ -29,18 +29,19 @@
 
 std::string_view name_of(change_problem problem);
 
-/** One field that keeps a change from being accepted. */
+/** A field of a change that fails a check. */
 struct field_error {
     std::string field; ///< path, e.g. team.weight
     change_problem problem = change_problem::malformed;
-    std::string allowed; ///< for people: what may stand there
+    std::string allowed; ///< human-readable description of valid values
 
     bool operator==(const field_error&) const = default;
 };
 
 /**
- * Bounds of what a change may hold. Readers judge records on the log by
- * them, so that a new value needs a new schema number of the record.
+ * Limits on the fields of a change. All readers of the log check records
+ * against these limits and have to reach the same result, so changing a limit
+ * requires a new schema number of the record.
  */
 namespace change_limits
 {
@@ -60,10 +61,13 @@
 constexpr std::size_t hash_bytes = 32;
 } // namespace change_limits
 
-/** Checks that need the change alone: the verdict never changes. */
+/**
+ * Runs the checks that depend on the change alone, so that their result is the
+ * same at any time.
+ */
 std::vector<field_error> check_change(const v1::ChangeRecord& change);
 
-/** Checks against what is in force when the change is applied. */
+/** Checks the change against the resources in force when it is applied. */
 std::vector<field_error>
 check_references(const v1::ChangeRecord& change,
                  const configuration_resources& resources);
--- a/src/libcyclamenrun/configuration/configuration_recovery.hpp
+++ b/src/libcyclamenrun/configuration/configuration_recovery.hpp
@@ -16,28 +16,35 @@
 struct tail_status;
 
 /**
- * Brings an entry up to what its peers have in force when the log can't:
- * it is out, or has lost records that this entry had not read. Agents are
- * peers too. An accepted change is then not lost with the entry that
- * accepted it, as long as one process that has it lives.
+ * Restores an entry's configuration from a peer when the log can't provide it:
+ * the log is unavailable, or records expired before this entry read them.
+ * Peers are entries and agents. An accepted change therefore survives the loss
+ * of the entry that accepted it as long as one process that holds it is alive.
  */
 class configuration_recovery
 {
 public:
-    /** The peer's configuration_store::state(); empty: none or no answer. */
+    /**
+     * Fetches the peer's configuration_store::state(). Returns an empty string
+     * if the peer has no state or does not respond.
+     */
     using ask_function = std::function<std::string(const std::string& peer)>;
 
     configuration_recovery(configuration_store& store, ask_function ask);
 
     /**
-     * Asks those of the peers that were last heard of with a higher revision,
-     * highest first; true if a newer state was taken. May block in `ask`.
+     * Queries the peers that last reported a higher revision than this
+     * entry's, highest first, until one returns a newer state. Returns true if
+     * the store was restored from it. May block while it queries a peer.
      */
     bool poll(const tail_status& tail,
               const std::vector<v1::ProcessRevision>& peers, time_point now);
 
+    /** Maximum number of peers queried per poll. */
     static constexpr std::size_t max_asked = 3;
+    /** Consecutive failed reads of the log before peers are queried. */
     static constexpr std::uint32_t failures_before = 2;
+    /** Minimum time between two polls that query peers. */
     static constexpr milliseconds interval{1'000};
 
 private:
--- a/src/libcyclamenrun/configuration/configuration_resources.hpp
+++ b/src/libcyclamenrun/configuration/configuration_resources.hpp
@@ -14,19 +14,22 @@
 {
 
 /**
- * Services, teams and assignments by kind and name, with the tombstones of
- * deleted ones. Copies share the resources, so that a copy per change is
- * cheap.
+ * Services, teams and assignments by kind and name, including the tombstones
+ * of deleted ones. Copies share the resource objects, which makes one copy per
+ * change cheap.
  */
 class configuration_resources
 {
 public:
     using resource_pointer = std::shared_ptr<const v1::ResourceState>;
 
-    /** A tombstone counts as found; null for what never was. */
+    /**
+     * Returns the resource or its tombstone; null if it never existed or its
+     * tombstone was dropped.
+     */
     resource_pointer find(v1::ResourceKind kind, const std::string& name) const;
 
-    /** Null for what is deleted or never was. */
+    /** These return null for a resource that is deleted or never existed. */
     const v1::Service* service(const std::string& name) const;
     const v1::Team* team(const std::string& name) const;
     const v1::Assignment* assignment(const std::string& name) const;
@@ -35,11 +38,17 @@
     std::vector<const v1::Team*> teams() const;
     std::vector<const v1::Assignment*> assignments() const;
 
-    /** Sorted by name; the kind unspecified stands for all kinds. */
+    /**
+     * Returns the resources of a kind, sorted by name. The kind "unspecified"
+     * selects all kinds, sorted by kind and name.
+     */
     std::vector<resource_pointer> of_kind(v1::ResourceKind kind,
                                           bool include_deleted = false) const;
 
-    /** Revision that a change of the resource must name; 0: never was. */
+    /**
+     * Returns the revision that a change of the resource must use as its base;
+     * 0 if find() returns null.
+     */
     std::uint64_t revision_of(v1::ResourceKind kind,
                               const std::string& name) const;
 
@@ -47,8 +56,9 @@
     std::size_t size() const { return resources_.size(); }
 
     /**
-     * Adds or replaces. The oldest tombstones go when there are more than
-     * max_tombstones: every reader drops the same ones.
+     * Adds or replaces a resource. Drops the oldest tombstone when there are
+     * more than max_tombstones. Its revision decides which one, so that every
+     * reader drops the same.
      */
     void put(v1::ResourceState state);
 
--- a/src/libcyclamenrun/configuration/configuration_revisions.hpp
+++ b/src/libcyclamenrun/configuration/configuration_revisions.hpp
@@ -13,12 +13,12 @@
 namespace cyclamenrun
 {
 
-/** Which kind of process holds a revision. */
+/** Kind of a process that reports its revision. */
 enum class process_role : std::uint8_t { entry, agent };
 
 std::string_view name_of(process_role role);
 
-/** A process as far as its configuration is concerned. */
+/** Identifies a process that holds a configuration. */
 struct process_identity {
     std::string process;
     process_role role = process_role::entry;
@@ -26,22 +26,25 @@
 };
 
 /**
- * The revision in force at each process that was heard of lately, so that an
- * operator can wait until a change is in force everywhere.
+ * The revision in force at each process that reported one recently. Operators
+ * use it to wait until a change is in force everywhere.
  */
 class configuration_revisions
 {
 public:
-    /** A process told its revision; an older one never replaces a newer. */
+    /**
+     * Records a revision that a process reported. An older revision never
+     * replaces a newer one.
+     */
     void note(const process_identity& who, std::uint64_t revision,
               time_point now);
 
-    /** A process is gone for good. */
+    /** Removes a process that will not report again. */
     void forget(const std::string& process);
 
     std::vector<v1::ProcessRevision> list(time_point now) const;
 
-    /** When silent for so long, a process is no longer listed. */
+    /** A process without a report for this long is not listed. */
     static constexpr milliseconds kept_for{600'000};
     static constexpr std::size_t max_processes = 4096;
 
--- a/src/libcyclamenrun/configuration/configuration_state.cpp
+++ b/src/libcyclamenrun/configuration/configuration_state.cpp
@@ -144,9 +144,9 @@
     const auto current = claims_.find(claim.upstream());
     const std::uint64_t number =
         current == claims_.end() ? 0 : current->second.fencing_number();
-    // A copy of a claim that comes onto the log after another agent took
-    // over would hand the engine back to the old agent. Its base is the
-    // claim before its own, so it can never be current again.
+    // A delayed copy of a claim that reaches the log after another agent's
+    // claim must not give the engine back to the old agent. The copy's base
+    // number is that of the claim before it and can't become current again.
     if (claim.base_fencing_number() != number)
         return apply_result::stale_claim;
     v1::ClaimState state;
@@ -191,8 +191,8 @@
 
 bool configuration_state::restore(const v1::SnapshotRecord& snapshot)
 {
-    // A writer that was frozen may bring an old snapshot late, and a peer
-    // may be behind: to take it would bring back what was changed since.
+    // A writer that was suspended may append an old snapshot late, and a peer
+    // may be behind. Restoring an older state would revert later changes.
     if (snapshot.next_offset() <= next_offset_ || snapshot.parts() > 1)
         return false;
     const auto counts = counts_;
@@ -245,7 +245,7 @@
     if (delta.from_revision() > next_offset_)
         return false;
     for (const auto& record : delta.records()) {
-        // What lies between was left out because it changes nothing.
+        // The delta omits records that do not change the state.
         if (record.offset() < next_offset_)
             continue;
         if (record.offset() >= delta.to_revision())
--- a/src/libcyclamenrun/configuration/configuration_state.hpp
+++ b/src/libcyclamenrun/configuration/configuration_state.hpp
@@ -15,64 +15,92 @@
 namespace cyclamenrun
 {
 
-/** What became of one record of the log. The first four change the state. */
+/**
+ * Outcome of applying one record of the log. The first four change the state,
+ * as changes_state() relies on.
+ */
 enum class apply_result : std::uint8_t {
     accepted,     ///< the change is in force
-    conflict,     ///< the change's base was not current
+    conflict,     ///< the change's base revision was not current
     invalid,      ///< the change failed a check
-    claimed,      ///< a claim to give orders took effect
-    duplicate,    ///< the change's id has its outcome already
-    reused_id,    ///< another change has this id
-    stale_claim,  ///< the claim's base was not current
-    snapshot,     ///< says nothing that the records before it did not
+    claimed,      ///< a claim to send an engine orders took effect
+    duplicate,    ///< another copy of a change that has an outcome
+    reused_id,    ///< a different change already used this id
+    stale_claim,  ///< the claim's base number was not current
+    snapshot,     ///< repeats what earlier records contain
     unparsable,   ///< not a record, or one without content
-    newer_schema, ///< written for a later release
-    oversized,    ///< over the size that a record may have
-    out_of_order, ///< not the next record: nothing was applied
+    newer_schema, ///< written with the schema of a later release
+    oversized,    ///< larger than change_limits::record_bytes
+    out_of_order, ///< not the next record; not applied
 };
 
 constexpr std::size_t apply_result_count = 12;
 
 std::string_view name_of(apply_result result);
 
-/** Whether a reader that skips the record would end in another state. */
+/**
+ * Returns whether a reader that skips a record with this result would reach a
+ * different state.
+ */
 bool changes_state(apply_result result);
 
 /**
- * The configuration as a function of the log's records in order of offset.
- * Every reader that has applied the same records holds the same state, so
- * that racing operators see the same winner everywhere. Its revision is the
- * offset of the record that it applies next.
+ * The configuration, computed deterministically from the log's records in
+ * offset order. Readers that have applied the same records hold the same
+ * state, so that of several concurrent changes the same one wins everywhere.
+ * The revision is the offset of the next record to apply.
  */
 class configuration_state
 {
 public:
-    /** Applies the record if `offset` is revision(). */
+    /**
+     * Applies the record if `offset` equals revision(); returns out_of_order
+     * otherwise.
+     */
     apply_result apply(std::uint64_t offset, std::string_view bytes);
 
     std::uint64_t revision() const { return next_offset_; }
     const configuration_resources& resources() const { return resources_; }
 
-    /** Empty: not applied as of revision(), or longer ago than is kept. */
+    /**
+     * Returns the outcome of a change. Empty if the change is not applied as
+     * of revision(), or if its outcome is no longer among the last
+     * max_outcomes.
+     */
     std::optional<v1::ChangeOutcome>
     find_change(const std::string& change_id) const;
 
-    /** The claim in force for an upstream. */
+    /** Returns the claim in force for an upstream. */
     std::optional<v1::ClaimState> claim(const std::string& upstream) const;
 
-    /** The whole state; the same bytes for the same records. */
+    /**
+     * Returns the whole state. Readers that have applied the same records
+     * serialize it to the same bytes.
+     */
     v1::SnapshotRecord snapshot() const;
 
-    /** Takes the place of a state that is older; false: nothing was done. */
+    /**
+     * Replaces this state with a whole snapshot if the snapshot is newer.
+     * Returns false, without any effect, otherwise.
+     */
     bool restore(const v1::SnapshotRecord& snapshot);
 
-    /** Leads from `revision` to revision(), whole if that is too far back. */
+    /**
+     * Returns the delta from `revision` to revision(). It contains a whole
+     * snapshot if the records since `revision` are no longer kept.
+     */
     v1::ConfigurationDelta delta_after(std::uint64_t revision) const;
 
-    /** False: the delta starts after revision(), or leads nowhere. */
+    /**
+     * Applies a delta. Returns false if the delta starts after revision(),
+     * does not lead beyond it, or is inconsistent.
+     */
     bool apply(const v1::ConfigurationDelta& delta);
 
-    /** Records by result since the process started, for the dump. */
+    /**
+     * Returns the number of records with this result since the process
+     * started. Shown in the dump.
+     */
     std::uint64_t count(apply_result result) const;
 
     static constexpr std::uint32_t schema = 1;
@@ -103,16 +131,18 @@
     std::unordered_map<std::string, v1::ChangeOutcome> outcomes_;
     std::deque<std::string> outcome_order_;
     std::map<std::string, v1::ClaimState> claims_;
-    std::map<std::uint64_t, std::string> claim_order_; ///< upstream by number
+    std::map<std::uint64_t, std::string>
+        claim_order_; ///< upstreams by fencing number
     std::deque<recent_record> recent_;
-    std::uint64_t recent_from_ = 0; ///< revision from which recent_ is whole
+    std::uint64_t recent_from_ =
+        0; ///< revision since which recent_ is complete
     std::array<std::uint64_t, apply_result_count> counts_{};
 };
 
-/** Tells a change from another one with the same id. */
+/** Returns a hash that distinguishes different changes with the same id. */
 std::uint64_t fingerprint_of(const v1::ChangeRecord& change);
 
-/** A change as it goes onto the log. */
+/** Serializes a change or a claim as a record of the log. */
 std::string log_record_of(const v1::ChangeRecord& change);
 std::string log_record_of(const v1::ClaimRecord& claim);
 
--- a/src/libcyclamenrun/configuration/configuration_store.hpp
+++ b/src/libcyclamenrun/configuration/configuration_store.hpp
@@ -15,7 +15,7 @@
 namespace cyclamenrun
 {
 
-/** What a change's submitter needs to know of the state, at one moment. */
+/** The parts of the state that a change_submitter needs, read atomically. */
 struct change_progress {
     std::uint64_t revision = 0;
     std::optional<v1::ChangeOutcome> outcome;
@@ -23,12 +23,14 @@
     configuration_resources resources;
 };
 
+/** Returns the progress of the change as of the state's revision. */
 change_progress progress_of(const configuration_state& state,
                             const v1::ChangeRecord& change);
 
 /**
- * The configuration of one process, for all its threads. Requests take
- * view() and keep it; nobody holds the lock while they read.
+ * The configuration of one process, shared by all its threads. A request gets
+ * the immutable view() once and keeps it, so that no lock is held while the
+ * request reads the configuration.
  */
 class configuration_store
 {
@@ -36,36 +38,54 @@
     using view_pointer = std::shared_ptr<const configuration_view>;
     using change_hook = std::function<void(std::uint64_t revision)>;
 
-    /** Called after each advance, with no lock held; add before threads. */
+    /**
+     * Adds a function that is called after each increase of the revision and
+     * when the store becomes ready, without a lock held. Must be called before
+     * other threads use the store.
+     */
     void on_change(change_hook hook);
 
-    /** What is in force; null as long as the process has no state. */
+    /** Returns the view in force; null while the store is not ready. */
     view_pointer view() const;
     bool ready() const { return view() != nullptr; }
     std::uint64_t revision() const;
 
     /**
-     * Applies the records that are next; those already applied are passed
-     * over. False: one is missing before the rest, which was left alone.
+     * Applies the records in order and skips those already applied. Returns
+     * false if a record is missing; the records after it are not applied.
      */
     bool apply(const std::vector<log_entry>& records);
 
-    /** The end of the log was reached, so that what is known is in force. */
+    /**
+     * Marks the store as ready and publishes its view. Called when the end of
+     * the log has been reached.
+     */
     void set_ready();
 
     /**
-     * Takes a newer whole state from the log. A fresh process is not ready by
-     * that alone: what came after the snapshot is in force elsewhere.
+     * Replaces the state with a newer snapshot from the log; returns false if
+     * the snapshot is not newer. Does not make a new process ready, since
+     * changes after the snapshot may be in force at other processes.
      */
     bool restore(const v1::SnapshotRecord& snapshot);
 
-    /** Takes what a peer has in force, as state() wrote it, if newer. */
+    /**
+     * Replaces the state with that of a peer, as returned by the peer's
+     * state(), and makes the store ready. Returns false if the peer's state is
+     * not newer or can't be parsed.
+     */
     bool restore_from_peer(std::string_view bytes);
 
-    /** Takes a delta of an entry, on an agent. */
+    /**
+     * Applies a delta that an agent received from an entry and makes the store
+     * ready. Returns false if the delta does not apply.
+     */
     bool apply(const v1::ConfigurationDelta& delta);
 
-    /** The whole state, for a peer; empty as long as not ready. */
+    /**
+     * Returns the serialized state for a peer; an empty string while the store
+     * is not ready.
+     */
     std::string state() const;
     v1::SnapshotRecord snapshot() const;
     v1::ConfigurationDelta delta_after(std::uint64_t revision) const;
@@ -75,10 +95,14 @@
     change_progress progress(const v1::ChangeRecord& change) const;
     std::uint64_t count(apply_result result) const;
 
-    /** Waits until revision() is above `revision`; false at the deadline. */
+    /**
+     * Waits until revision() exceeds `revision`. Returns false if the deadline
+     * passes first.
+     */
     bool wait_past(std::uint64_t revision, time_point deadline) const;
 
 private:
+    /** Updates the view, releases the lock and calls the hooks. */
     void publish(std::unique_lock<std::mutex>& lock);
 
     mutable std::mutex mutex_;
--- a/src/libcyclamenrun/configuration/configuration_view.hpp
+++ b/src/libcyclamenrun/configuration/configuration_view.hpp
@@ -7,8 +7,8 @@
 {
 
 /**
- * What is in force at one revision; never changes, so that a request sees one
- * configuration from its start to its end.
+ * Immutable configuration at one revision. A request uses one view throughout,
+ * so that it never sees two different configurations.
  */
 struct configuration_view {
     std::uint64_t revision = 0;
--- a/src/libcyclamenrun/configuration/log_tail_cursor.cpp
+++ b/src/libcyclamenrun/configuration/log_tail_cursor.cpp
@@ -48,13 +48,13 @@
 {
     first_retained_ = std::max(first_retained_, first_retained);
     if (first_retained_ <= store_.revision()) {
-        // Also the way out of a gap by a peer's state.
+        // Also ends a gap after the store was restored from a peer's state.
         state_ = tail_state::following;
         return;
     }
-    // Records ran out of retention while this reader could not read, so
-    // that changes told accepted may be among them. Going on behind the gap
-    // would drop them here and nowhere else.
+    // Records expired before this reader read them, and changes reported as
+    // accepted may be among them. Continuing after the gap would lose those
+    // changes in this process only.
     if (state_ == tail_state::following) {
         state_ = tail_state::behind_gap;
         scan_from_ = first_retained_;
--- a/src/libcyclamenrun/configuration/log_tail_cursor.hpp
+++ b/src/libcyclamenrun/configuration/log_tail_cursor.hpp
@@ -13,24 +13,27 @@
 
 class configuration_store;
 
-/** How a reader stands to the log. */
+/** Whether a reader of the log has missed records. */
 enum class tail_state : std::uint8_t {
-    following, ///< each next record is still there to be read
-    behind_gap ///< records are gone unread: a snapshot is looked for
+    following, ///< the next record to read is still retained
+    behind_gap ///< unread records expired; a snapshot is needed
 };
 
 std::string_view name_of(tail_state state);
 
 /**
- * Decides what to read next and takes what came. A record that is gone
- * before it was read is never passed over: the configuration stays as it is
- * until a snapshot is found that contains the record and after which nothing
+ * Tracks a reader's position in the log and applies the pages it reads. Never
+ * skips a record that expired unread: the configuration remains unchanged
+ * until a snapshot is found that covers the record and after which no record
  * is missing.
  */
 class log_tail_cursor
 {
 public:
-    /** A whole snapshot was read, whose last part is at `offset`. */
+    /**
+     * Called when the last part of a snapshot, at `offset`, has been read. The
+     * snapshot covers all records before `next_offset`.
+     */
     using snapshot_hook =
         std::function<void(std::uint64_t next_offset, std::uint64_t offset)>;
 
@@ -38,16 +41,18 @@
 
     void on_snapshot(snapshot_hook hook) { snapshot_hook_ = std::move(hook); }
 
-    /** The offset to read from. */
+    /** Returns the offset to read from. */
     std::uint64_t next() const;
     void take(const log_page& page);
     void take(const log_error& error);
 
     tail_state state() const { return state_; }
     std::uint64_t first_retained() const { return first_retained_; }
-    /** The end of the log as last seen. */
+    /** Returns the end of the log as of the last page. */
     std::uint64_t end() const { return end_; }
+    /** Returns how often unread records expired. */
     std::uint64_t gaps() const { return gaps_; }
+    /** Returns the number of pages in which a record was missing. */
     std::uint64_t broken_pages() const { return broken_pages_; }
 
 private:
--- a/src/libcyclamenrun/configuration/log_tailer.cpp
+++ b/src/libcyclamenrun/configuration/log_tailer.cpp
@@ -10,7 +10,10 @@
 namespace
 {
 
-/** Doubles with each failure in a row, then spreads evenly over the half. */
+/**
+ * Returns the delay after a number of consecutive failures: exponential, with
+ * uniform jitter over its upper half.
+ */
 milliseconds backoff(const tail_settings& settings, std::uint32_t failures,
                      double random)
 {
@@ -67,8 +70,9 @@
     std::unique_lock lock(mutex_);
     while (!stopping_) {
         lock.unlock();
-        // A fresh process must not wait for news before it knows that it
-        // has reached the end: on a quiet log it would stay unready so long.
+        // A new process does not wait for records until it has seen the end
+        // of the log. If no records arrived it would stay unready for the
+        // whole wait.
         const milliseconds pause =
             pass(saw_end_ ? settings_.read_wait : milliseconds(0));
         lock.lock();
@@ -88,7 +92,7 @@
     on_page(*page);
     if (cursor_.state() == tail_state::behind_gap)
         tell_of_trouble();
-    // A log that gives nothing without having waited isn't asked in a loop.
+    // Avoids a busy loop if the log returns an empty page without waiting.
     const bool came_early = clock_() < asked_at + wait / 2;
     return page->records.empty() && came_early ? settings_.first_backoff
                                                : milliseconds(0);
--- a/src/libcyclamenrun/configuration/log_tailer.hpp
+++ b/src/libcyclamenrun/configuration/log_tailer.hpp
@@ -17,15 +17,15 @@
 
 class configuration_store;
 
-/** How the log is tailed. */
+/** Page size and timing of reads of the log. */
 struct tail_settings {
     std::uint32_t page_records = 256;
-    milliseconds read_wait{10'000}; ///< for the first new record
+    milliseconds read_wait{10'000}; ///< for the first new record to arrive
     milliseconds first_backoff{200};
     milliseconds max_backoff{5'000};
 };
 
-/** How the tail of the log stands, for the dump. */
+/** Position, state and failures of a log_tailer, shown in the dump. */
 struct tail_status {
     tail_state state = tail_state::following;
     std::uint64_t first_retained = 0;
@@ -37,14 +37,14 @@
 };
 
 /**
- * Keeps a configuration_store up to the end of the log, from a thread of its
- * own. When the log is out the store keeps what it has; a fresh process then
- * takes a peer's state by configuration_store::restore_from_peer().
+ * Reads the log in its own thread and keeps a configuration_store up to date.
+ * While the log is unavailable the store keeps its state; a new process then
+ * gets a peer's state through configuration_store::restore_from_peer().
  */
 class log_tailer
 {
 public:
-    using random_function = std::function<double()>; ///< even in [0, 1)
+    using random_function = std::function<double()>; ///< uniform in [0, 1)
 
     log_tailer(platform_log& log, configuration_store& store,
                tail_settings settings, clock_function clock,
@@ -53,21 +53,30 @@
     log_tailer(const log_tailer&) = delete;
     log_tailer& operator=(const log_tailer&) = delete;
 
-    /** An entry's writer of snapshots, polled after each read. */
+    /**
+     * Sets the entry's snapshot writer, which is polled after each successful
+     * read and informed of each snapshot on the log.
+     */
     void write_snapshots_by(std::shared_ptr<snapshot_writer> writer);
 
     /**
-     * Called on the tail's thread after a read that failed or that found the
-     * reader behind a gap; it may block.
+     * Called on the tailer's thread after a failed read, and after a read that
+     * leaves the reader behind a gap. May block.
      */
     using trouble_hook = std::function<void(const tail_status&)>;
     void on_trouble(trouble_hook hook) { trouble_hook_ = std::move(hook); }
 
     void start();
-    /** Ends after the read in flight, at most tail_settings::read_wait. */
+    /**
+     * Stops the thread and waits for the read in flight, which takes at most
+     * tail_settings::read_wait.
+     */
     void stop();
 
-    /** One read, as the thread makes it; returns the pause before the next. */
+    /**
+     * Performs one read as the thread does, waiting up to `wait` for a record.
+     * Returns the delay before the next read.
+     */
     milliseconds pass(milliseconds wait);
 
     tail_status status() const;
--- a/src/libcyclamenrun/configuration/operator_commands.cpp
+++ b/src/libcyclamenrun/configuration/operator_commands.cpp
@@ -19,14 +19,15 @@
                                 time_point deadline)
 {
     if (!store_.ready())
-        return tl::unexpected(not_run(refusal_reason::not_ready,
-                                      "no configuration yet",
-                                      milliseconds(1000)));
+        return tl::unexpected(
+            not_run(refusal_reason::not_ready,
+                    "this entry has not loaded a configuration yet",
+                    milliseconds(1000)));
     if (running_.fetch_add(1) >= max_at_once) {
         running_.fetch_sub(1);
-        return tl::unexpected(not_run(refusal_reason::queue_full,
-                                      "too many changes at once",
-                                      milliseconds(1000)));
+        return tl::unexpected(not_run(
+            refusal_reason::queue_full,
+            "too many changes in progress at this entry", milliseconds(1000)));
     }
     auto result = submit(request, deadline);
     running_.fetch_sub(1);
--- a/src/libcyclamenrun/configuration/operator_commands.hpp
+++ b/src/libcyclamenrun/configuration/operator_commands.hpp
@@ -14,7 +14,7 @@
 class configuration_store;
 class platform_log;
 
-/** Operators' commands on the configuration, without the HTTP around. */
+/** Operators' commands on the configuration, independent of HTTP. */
 class operator_commands
 {
 public:
@@ -22,14 +22,14 @@
                       clock_function clock, submit_settings settings = {});
 
     /**
-     * Blocks until the change's outcome is known, or until `deadline`. A
-     * refusal is of this call alone: what became of an earlier one with the
-     * same change id is for FindChange to say.
+     * Submits a change and blocks until its outcome is known, or until
+     * `deadline`. A refusal applies to this call alone; FindChange returns the
+     * outcome of an earlier call with the same change id.
      */
     outcome<v1::ApplyChangeResponse>
     apply_change(const v1::ApplyChangeRequest& request, time_point deadline);
 
-    /** Changes that may be waited for at once. */
+    /** Maximum number of concurrent apply_change() calls. */
     static constexpr int max_at_once = 64;
 
 private:
--- a/src/libcyclamenrun/configuration/operator_queries.cpp
+++ b/src/libcyclamenrun/configuration/operator_queries.cpp
@@ -10,7 +10,8 @@
 
 refusal no_configuration()
 {
-    return not_run(refusal_reason::not_ready, "no configuration yet",
+    return not_run(refusal_reason::not_ready,
+                   "this entry has not loaded a configuration yet",
                    milliseconds(1000));
 }
 
@@ -44,8 +45,8 @@
     if (!store_.ready())
         return tl::unexpected(no_configuration());
     v1::FindChangeResponse response;
-    // The revision first: an outcome that comes between the two then only
-    // makes the answer more recent than it says.
+    // Reads the revision before the outcome. If a record is applied in
+    // between, the outcome is newer than the revision states, never older.
     response.set_revision(store_.revision());
     const auto known = store_.find_change(request.change_id());
     response.set_found(known.has_value());
--- a/src/libcyclamenrun/configuration/operator_queries.hpp
+++ b/src/libcyclamenrun/configuration/operator_queries.hpp
@@ -11,7 +11,7 @@
 
 class configuration_store;
 
-/** Operators' queries on the configuration, without the HTTP around. */
+/** Operators' queries on the configuration, independent of HTTP. */
 class operator_queries
 {
 public:
--- a/src/libcyclamenrun/configuration/snapshot_parts.cpp
+++ b/src/libcyclamenrun/configuration/snapshot_parts.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Fills one part after another. */
+/** Distributes the items of a snapshot over parts of limited size. */
 class part_writer
 {
 public:
@@ -22,7 +22,10 @@
         start_part();
     }
 
-    /** The part that has room for so many more bytes. */
+    /**
+     * Returns the part to which an item of this size is to be added; starts a
+     * new part if the current one has no room.
+     */
     v1::SnapshotRecord& room_for(std::size_t bytes)
     {
         if (used_ > 0 && used_ + bytes > part_bytes_)
@@ -62,7 +65,8 @@
     std::vector<v1::SnapshotRecord> parts_;
 };
 
-constexpr std::size_t item_overhead = 8; ///< tag and length of an item
+constexpr std::size_t item_overhead =
+    8; ///< bytes for the tag and length of an item
 
 bool is_well_formed(const v1::SnapshotRecord& part)
 {
--- a/src/libcyclamenrun/configuration/snapshot_parts.hpp
+++ b/src/libcyclamenrun/configuration/snapshot_parts.hpp
@@ -13,19 +13,23 @@
 namespace cyclamenrun
 {
 
-/** Log records that hold the snapshot, each of about `part_bytes` at most. */
+/**
+ * Splits the snapshot into log records of about `part_bytes` at most. A single
+ * larger item gets a record of its own.
+ */
 std::vector<std::string> snapshot_records(const v1::SnapshotRecord& snapshot,
                                           std::uint64_t snapshot_id,
                                           std::size_t part_bytes);
 
 /**
- * Puts snapshots together from their parts, which may be interleaved with
- * those of another writer. Of unfinished ones, the oldest is dropped.
+ * Assembles snapshots from their parts. Parts of several writers may be
+ * interleaved. Drops the oldest incomplete snapshot when there are more than
+ * max_unfinished.
  */
 class snapshot_assembler
 {
 public:
-    /** The whole snapshot, when this was its last missing part. */
+    /** Adds a part; returns the snapshot if the part completes it. */
     std::optional<v1::SnapshotRecord> add(const v1::SnapshotRecord& part);
 
     static constexpr std::size_t max_unfinished = 4;
--- a/src/libcyclamenrun/configuration/snapshot_schedule.cpp
+++ b/src/libcyclamenrun/configuration/snapshot_schedule.cpp
@@ -19,9 +19,9 @@
 {
     if (seen_ && next_offset <= snapshot_next_offset_)
         return;
-    // One that was on the log before this process came may be close to its
-    // end of retention. Where entries are replaced more often than a
-    // snapshot is due, nobody would ever see it as old.
+    // A snapshot written before this process started may be close to the end
+    // of its retention. If entries are replaced more often than snapshots are
+    // due, no entry would otherwise run long enough to see it reach max_age.
     const bool fresh = offset >= first_end_;
     refresh_at_ = now + (fresh ? settings_.max_age : settings_.first_after);
     seen_ = true;
@@ -57,8 +57,8 @@
     if (!seen_)
         return first_retained > 0 || revision >= settings_.max_records ||
                now >= refresh_at_;
-    // A fresh reader needs the snapshot's record and all after the offset
-    // that it stands for.
+    // A new reader needs the snapshot and all records from its next_offset
+    // on.
     if (snapshot_next_offset_ < first_retained)
         return true;
     return now >= refresh_at_ ||
--- a/src/libcyclamenrun/configuration/snapshot_schedule.hpp
+++ b/src/libcyclamenrun/configuration/snapshot_schedule.hpp
@@ -10,19 +10,19 @@
 namespace cyclamenrun
 {
 
-/** When a snapshot is written again. */
+/** Conditions under which a new snapshot is due. */
 struct snapshot_settings {
-    std::uint64_t max_records = 1000;    ///< behind the last snapshot
-    milliseconds max_age{6UL * 3600000}; ///< well under the retention
-    milliseconds first_after{600'000};   ///< for one of unknown age
-    milliseconds stagger{30'000};        ///< between writer and stand-by
+    std::uint64_t max_records = 1000;    ///< since the last snapshot
+    milliseconds max_age{6UL * 3600000}; ///< well below the log's retention
+    milliseconds first_after{600'000};   ///< for a snapshot of unknown age
+    milliseconds stagger{30'000};        ///< delay per rank of an entry
 };
 
 /**
- * Tells an entry when it is to write the next snapshot. The writer comes of
- * a ranking by rendezvous hash over the live entries; the next in rank steps
- * in when the writer does not come forward. Nothing depends on there being
- * just one: a snapshot says only what the records before it say.
+ * Decides when an entry writes the next snapshot. Rendezvous hashing ranks the
+ * live entries; the entry of rank 0 writes first, and each following rank
+ * writes one stagger later if no snapshot has appeared. Several writers do no
+ * harm, since a snapshot only repeats what the records before it contain.
  */
 class snapshot_schedule
 {
@@ -31,26 +31,35 @@
                       time_point now);
 
     /**
-     * The end of the log when this process first saw it: how long ago the
-     * snapshots before it were written isn't known.
+     * Sets the end of the log as this process first saw it. The age of
+     * snapshots before this offset is unknown.
      */
     void on_first_end(std::uint64_t end) { first_end_ = end; }
 
-    /** A whole snapshot was read, whose last part is at `offset`. */
+    /**
+     * Records a complete snapshot that was read from the log. Its last part is
+     * at `offset`, and it covers all records before `next_offset`.
+     */
     void on_snapshot(std::uint64_t next_offset, std::uint64_t offset,
                      time_point now);
 
-    /** Live entries as the platform lists them; own id counts as live. */
+    /**
+     * Updates the live entries from the platform's list. This entry counts as
+     * live even if the list omits it.
+     */
     void on_entries(std::vector<std::string> entries);
 
-    /** Whether to write now, as of `revision`. */
+    /** Returns whether to write a snapshot of `revision` now. */
     bool is_due(std::uint64_t revision, std::uint64_t first_retained,
                 time_point now);
 
-    /** A write was tried: leaves it time to be read back. */
+    /**
+     * Records an attempt to write. The next one is due one stagger later at
+     * the earliest, so that the snapshot can be read back first.
+     */
     void on_written(time_point now);
 
-    /** 0 writes first; counts by the entries before this one. */
+    /** Returns how many live entries write before this one. */
     std::size_t rank() const;
 
 private:
--- a/src/libcyclamenrun/configuration/snapshot_writer.cpp
+++ b/src/libcyclamenrun/configuration/snapshot_writer.cpp
@@ -38,7 +38,7 @@
 
 bool snapshot_writer::poll(const log_tail_cursor& cursor, time_point now)
 {
-    // Behind a gap the state is old: a snapshot of it helps nobody.
+    // Behind a gap the state lacks records, so its snapshot is of no use.
     if (cursor.state() != tail_state::following || !store_.ready())
         return false;
     {
@@ -55,8 +55,8 @@
     const auto records =
         snapshot_records(store_.snapshot(), draw_id_(), part_bytes);
     for (const auto& record : records) {
-        // A part that got lost leaves a snapshot that no reader takes; the
-        // next one is written when this one isn't seen.
+        // Readers ignore a snapshot with a missing part. Since it is not read
+        // back, the schedule has another snapshot written later.
         if (!log_.append(record))
             return false;
     }
--- a/src/libcyclamenrun/configuration/snapshot_writer.hpp
+++ b/src/libcyclamenrun/configuration/snapshot_writer.hpp
@@ -16,7 +16,7 @@
 class log_tail_cursor;
 class platform_log;
 
-/** Writes the configuration's snapshots of one entry onto the log. */
+/** Writes an entry's snapshots of the configuration to the log. */
 class snapshot_writer
 {
 public:
@@ -26,18 +26,21 @@
                     std::string entry, snapshot_settings settings,
                     id_function draw_id, time_point now);
 
-    /** Live entries, from the platform's list; from any thread. */
+    /** Updates the live entries from the platform's list. Thread-safe. */
     void on_entries(std::vector<std::string> entries);
 
-    /** Told by the tail of the log. */
+    /** Called by the log_tailer; see snapshot_schedule. */
     void on_first_end(std::uint64_t end);
     void on_snapshot(std::uint64_t next_offset, std::uint64_t offset,
                      time_point now);
 
-    /** Writes a snapshot if one is due; true if it was written whole. */
+    /**
+     * Writes a snapshot if one is due. Returns true if all its parts were
+     * appended.
+     */
     bool poll(const log_tail_cursor& cursor, time_point now);
 
-    /** Bytes of one record, under the limit of the log. */
+    /** Size of one record, below the log's limit on a record. */
     static constexpr std::size_t part_bytes = 48UL * 1024;
 
 private:
