--- a/src/libcyclamenrun/configuration/change_submitter.cpp
+++ b/src/libcyclamenrun/configuration/change_submitter.cpp
@@ -15,7 +15,7 @@
     auto* added = invalid.add_errors();
     added->set_field(error.field);
     added->set_problem(std::string(name_of(error.problem)) + ": " +
-                       error.allowed);
+                       error.valid_values);
 }
 
 v1::ApplyChangeResponse invalid_for(const std::vector<field_error>& errors)
@@ -31,8 +31,9 @@
  * Returns why the change was found invalid. References are checked against the
  * current resources, which may have changed since the record was applied.
  */
-std::vector<field_error> errors_of(const v1::ChangeRecord& change,
-                                   const configuration_resources& resources)
+std::vector<field_error>
+validation_errors(const v1::ChangeRecord& change,
+                  const configuration_resources& resources)
 {
     auto errors = check_change(change);
     if (errors.empty())
@@ -67,13 +68,13 @@
 submit_step change_submitter::next(const change_progress& progress,
                                    time_point now)
 {
-    if (done_ || settle(progress))
+    if (done_ || finish_if_decided(progress))
         return submit_step::done;
     if (now >= deadline_) {
         finish_at_deadline();
         return submit_step::done;
     }
-    if (!offset_ && now >= append_at_)
+    if (!offset_ && now >= next_append_at_)
         return submit_step::append;
     return submit_step::wait;
 }
@@ -89,22 +90,22 @@
     // harmless because readers detect duplicates by the change id; the delay
     // leaves time to read the first copy back.
     if (may_have_been_appended(answer.error().failure)) {
-        append_at_ = now + settings_.resend_after;
+        next_append_at_ = now + settings_.resend_delay;
         return;
     }
-    append_at_ =
-        now + std::max(settings_.retry_after, answer.error().retry_after);
+    next_append_at_ =
+        now + std::max(settings_.retry_delay, answer.error().retry_after);
 }
 
 time_point change_submitter::wake_at() const
 {
-    return offset_ ? deadline_ : std::min(append_at_, deadline_);
+    return offset_ ? deadline_ : std::min(next_append_at_, deadline_);
 }
 
-bool change_submitter::settle(const change_progress& progress)
+bool change_submitter::finish_if_decided(const change_progress& progress)
 {
     if (progress.outcome) {
-        finish_by(*progress.outcome, progress);
+        finish_with_outcome(*progress.outcome, progress);
         return true;
     }
     // Revisions of a resource only increase, so a change whose base revision
@@ -112,14 +113,14 @@
     // reach the log later.
     if (progress.current &&
         progress.current->revision() > change_.base_revision()) {
-        finish_conflict(progress);
+        finish_with_conflict(progress);
         return true;
     }
     return false;
 }
 
-void change_submitter::finish_by(const v1::ChangeOutcome& known,
-                                 const change_progress& progress)
+void change_submitter::finish_with_outcome(const v1::ChangeOutcome& known,
+                                           const change_progress& progress)
 {
     done_ = true;
     if (known.fingerprint() != fingerprint_of(change_)) {
@@ -128,11 +129,11 @@
         return;
     }
     if (known.result() == v1::CHANGE_RESULT_CONFLICT) {
-        finish_conflict(progress);
+        finish_with_conflict(progress);
         return;
     }
     if (known.result() == v1::CHANGE_RESULT_INVALID) {
-        result_ = invalid_for(errors_of(change_, progress.resources));
+        result_ = invalid_for(validation_errors(change_, progress.resources));
         return;
     }
     v1::ApplyChangeResponse response;
@@ -140,7 +141,7 @@
     result_ = std::move(response);
 }
 
-void change_submitter::finish_conflict(const change_progress& progress)
+void change_submitter::finish_with_conflict(const change_progress& progress)
 {
     done_ = true;
     v1::ApplyChangeResponse response;
--- a/src/libcyclamenrun/configuration/change_submitter.hpp
+++ b/src/libcyclamenrun/configuration/change_submitter.hpp
@@ -22,8 +22,8 @@
 
 /** Delays between two attempts to append a change. */
 struct submit_settings {
-    milliseconds resend_after{2000}; ///< after an append without an answer
-    milliseconds retry_after{200};   ///< after the log refused an append
+    milliseconds resend_delay{2000}; ///< after an append without an answer
+    milliseconds retry_delay{200};   ///< after the log refused an append
 };
 
 /**
@@ -51,17 +51,17 @@
     const v1::ApplyChangeResponse& result() const { return result_; }
 
 private:
-    bool settle(const change_progress& progress);
-    void finish_by(const v1::ChangeOutcome& known,
-                   const change_progress& progress);
-    void finish_conflict(const change_progress& progress);
+    bool finish_if_decided(const change_progress& progress);
+    void finish_with_outcome(const v1::ChangeOutcome& known,
+                             const change_progress& progress);
+    void finish_with_conflict(const change_progress& progress);
     void finish_at_deadline();
 
     v1::ChangeRecord change_;
     std::string record_;
     time_point deadline_;
     submit_settings settings_;
-    time_point append_at_{};
+    time_point next_append_at_{};
     std::optional<std::uint64_t> offset_;
     bool done_ = false;
     v1::ApplyChangeResponse result_;
--- a/src/libcyclamenrun/configuration/change_validation.cpp
+++ b/src/libcyclamenrun/configuration/change_validation.cpp
@@ -45,11 +45,12 @@
     const char* description;
 };
 
-constexpr text_rule name_rule{is_name_character, change_limits::name_length,
+constexpr text_rule name_rule{is_name_character, change_limits::max_name_length,
                               "1 to 63 of a-z, 0-9 and '-'"};
-constexpr text_rule id_rule{is_id_character, change_limits::change_id_length,
+constexpr text_rule id_rule{is_id_character,
+                            change_limits::max_change_id_length,
                             "1 to 64 of A-Z, a-z, 0-9, '.', '_' and '-'"};
-constexpr text_rule model_rule{is_printable, change_limits::model_length,
+constexpr text_rule model_rule{is_printable, change_limits::max_model_length,
                                "1 to 128 printable characters without spaces"};
 
 void check_text(errors& found, const char* field, const std::string& text,
@@ -119,17 +120,18 @@
         found.push_back(
             {"service.kind", change_problem::missing, "model or application"});
     check_range(found, "service.max_output_tokens", service.max_output_tokens(),
-                0, change_limits::output_tokens);
+                0, change_limits::max_output_tokens);
     check_range(found, "service.max_prompt_tokens", service.max_prompt_tokens(),
-                0, change_limits::prompt_tokens);
+                0, change_limits::max_prompt_tokens);
     check_range(found, "service.default_deadline_ms",
-                service.default_deadline_ms(), 0, change_limits::deadline_ms);
+                service.default_deadline_ms(), 0,
+                change_limits::max_deadline_ms);
 }
 
 void check_team_services(errors& found, const v1::Team& team)
 {
     if (static_cast<std::size_t>(team.services_size()) >
-        change_limits::team_services) {
+        change_limits::max_team_services) {
         found.push_back(
             {"team.services", change_problem::too_many, "at most 256"});
         return;
@@ -146,14 +148,15 @@
 void check_team(errors& found, const v1::Team& team)
 {
     check_length(found, "team.key_salt", team.key_salt(),
-                 change_limits::salt_bytes);
+                 change_limits::key_salt_bytes);
     check_length(found, "team.key_hash", team.key_hash(),
-                 change_limits::hash_bytes);
-    check_range(found, "team.weight", team.weight(), 1, change_limits::weight);
+                 change_limits::key_hash_bytes);
+    check_range(found, "team.weight", team.weight(), 1,
+                change_limits::max_weight);
     check_range(found, "team.max_concurrent", team.max_concurrent(), 0,
-                change_limits::concurrent);
+                change_limits::max_concurrent);
     check_range(found, "team.tokens_per_second", team.tokens_per_second(), 0,
-                change_limits::tokens_per_second);
+                change_limits::max_tokens_per_second);
     check_team_services(found, team);
 }
 
@@ -266,8 +269,8 @@
 }
 
 /** Checks that a service with assignments remains a model service. */
-void check_kind_kept(errors& found, const v1::Service& service,
-                     const configuration_resources& resources)
+void check_remains_model_service(errors& found, const v1::Service& service,
+                                 const configuration_resources& resources)
 {
     if (service.kind() == v1::SERVICE_KIND_MODEL)
         return;
@@ -278,13 +281,14 @@
     }
 }
 
-void check_count(errors& found, const v1::ChangeRecord& change,
-                 const configuration_resources& resources)
+void check_resource_count(errors& found, const v1::ChangeRecord& change,
+                          const configuration_resources& resources)
 {
     const auto current = resources.find(change.kind(), change.name());
     if (current && current->has_resource())
         return;
-    if (resources.live_count(change.kind()) >= change_limits::resources_of_kind)
+    if (resources.live_count(change.kind()) >=
+        change_limits::max_resources_per_kind)
         found.push_back({"kind", change_problem::too_many, "at most 4096"});
 }
 
@@ -300,7 +304,7 @@
     errors found;
     check_text(found, "change_id", change.change_id(), id_rule);
     check_text(found, "name", change.name(), name_rule);
-    if (change.ByteSizeLong() > change_limits::record_bytes / 2)
+    if (change.ByteSizeLong() > change_limits::max_record_bytes / 2)
         found.push_back({"resource", change_problem::too_long, "32 KiB"});
     if (!is_known_kind(change.kind()))
         found.push_back(
@@ -323,10 +327,10 @@
             check_unreferenced(found, change.name(), resources);
         return found;
     }
-    check_count(found, change, resources);
+    check_resource_count(found, change, resources);
     const v1::Resource& resource = change.resource();
     if (resource.has_service())
-        check_kind_kept(found, resource.service(), resources);
+        check_remains_model_service(found, resource.service(), resources);
     if (resource.has_team())
         check_team_references(found, resource.team(), resources);
     if (resource.has_assignment())
--- a/src/libcyclamenrun/configuration/change_validation.hpp
+++ b/src/libcyclamenrun/configuration/change_validation.hpp
@@ -33,7 +33,7 @@
 struct field_error {
     std::string field; ///< path, e.g. team.weight
     change_problem problem = change_problem::malformed;
-    std::string allowed; ///< human-readable description of valid values
+    std::string valid_values; ///< human-readable description of valid values
 
     bool operator==(const field_error&) const = default;
 };
@@ -45,20 +45,20 @@
  */
 namespace change_limits
 {
-constexpr std::size_t change_id_length = 64;
-constexpr std::size_t name_length = 63;
-constexpr std::size_t model_length = 128;
-constexpr std::size_t team_services = 256;
-constexpr std::size_t resources_of_kind = 4096;
-constexpr std::size_t record_bytes = 64UL * 1024;
-constexpr std::uint32_t output_tokens = 1U << 20U;
-constexpr std::uint32_t prompt_tokens = 1U << 22U;
-constexpr std::uint64_t deadline_ms = 24ULL * 60 * 60 * 1000;
-constexpr std::uint32_t weight = 1000;
-constexpr std::uint32_t concurrent = 1'000'000;
-constexpr std::uint64_t tokens_per_second = 1'000'000'000;
-constexpr std::size_t salt_bytes = 16;
-constexpr std::size_t hash_bytes = 32;
+constexpr std::size_t max_change_id_length = 64;
+constexpr std::size_t max_name_length = 63;
+constexpr std::size_t max_model_length = 128;
+constexpr std::size_t max_team_services = 256;
+constexpr std::size_t max_resources_per_kind = 4096;
+constexpr std::size_t max_record_bytes = 64UL * 1024;
+constexpr std::uint32_t max_output_tokens = 1U << 20U;
+constexpr std::uint32_t max_prompt_tokens = 1U << 22U;
+constexpr std::uint64_t max_deadline_ms = 24ULL * 60 * 60 * 1000;
+constexpr std::uint32_t max_weight = 1000;
+constexpr std::uint32_t max_concurrent = 1'000'000;
+constexpr std::uint64_t max_tokens_per_second = 1'000'000'000;
+constexpr std::size_t key_salt_bytes = 16;
+constexpr std::size_t key_hash_bytes = 32;
 } // namespace change_limits
 
 /**
--- a/src/libcyclamenrun/configuration/configuration_recovery.cpp
+++ b/src/libcyclamenrun/configuration/configuration_recovery.cpp
@@ -9,8 +9,8 @@
 {
 
 configuration_recovery::configuration_recovery(configuration_store& store,
-                                               ask_function ask)
-    : store_(store), ask_(std::move(ask))
+                                               query_function query_peer)
+    : store_(store), query_peer_(std::move(query_peer))
 {
 }
 
@@ -18,12 +18,12 @@
                                   const std::vector<v1::ProcessRevision>& peers,
                                   time_point now)
 {
-    if (now < next_at_ || !is_needed(tail))
+    if (now < next_query_at_ || !is_needed(tail))
         return false;
-    next_at_ = now + interval;
-    const std::uint64_t own = store_.ready() ? store_.revision() : 0;
-    for (const auto& peer : ahead_of(own, peers)) {
-        const std::string state = ask_(peer.process());
+    next_query_at_ = now + query_interval;
+    const std::uint64_t own_revision = store_.ready() ? store_.revision() : 0;
+    for (const auto& peer : peers_ahead_of(own_revision, peers)) {
+        const std::string state = query_peer_(peer.process());
         if (!state.empty() && store_.restore_from_peer(state))
             return true;
     }
@@ -33,10 +33,10 @@
 bool configuration_recovery::is_needed(const tail_status& tail) const
 {
     return tail.state == tail_state::behind_gap ||
-           tail.failures_in_a_row >= failures_before;
+           tail.failures_in_a_row >= min_failures;
 }
 
-std::vector<v1::ProcessRevision> configuration_recovery::ahead_of(
+std::vector<v1::ProcessRevision> configuration_recovery::peers_ahead_of(
     std::uint64_t revision, const std::vector<v1::ProcessRevision>& peers) const
 {
     std::vector<v1::ProcessRevision> ahead;
@@ -49,8 +49,8 @@
         [](const v1::ProcessRevision& left, const v1::ProcessRevision& right) {
             return left.revision() > right.revision();
         });
-    if (ahead.size() > max_asked)
-        ahead.resize(max_asked);
+    if (ahead.size() > max_queried_peers)
+        ahead.resize(max_queried_peers);
     return ahead;
 }
 
--- a/src/libcyclamenrun/configuration/configuration_recovery.hpp
+++ b/src/libcyclamenrun/configuration/configuration_recovery.hpp
@@ -28,9 +28,10 @@
      * Fetches the peer's configuration_store::state(). Returns an empty string
      * if the peer has no state or does not respond.
      */
-    using ask_function = std::function<std::string(const std::string& peer)>;
+    using query_function = std::function<std::string(const std::string& peer)>;
 
-    configuration_recovery(configuration_store& store, ask_function ask);
+    configuration_recovery(configuration_store& store,
+                           query_function query_peer);
 
     /**
      * Queries the peers that last reported a higher revision than this
@@ -41,21 +42,21 @@
               const std::vector<v1::ProcessRevision>& peers, time_point now);
 
     /** Maximum number of peers queried per poll. */
-    static constexpr std::size_t max_asked = 3;
+    static constexpr std::size_t max_queried_peers = 3;
     /** Consecutive failed reads of the log before peers are queried. */
-    static constexpr std::uint32_t failures_before = 2;
+    static constexpr std::uint32_t min_failures = 2;
     /** Minimum time between two polls that query peers. */
-    static constexpr milliseconds interval{1'000};
+    static constexpr milliseconds query_interval{1'000};
 
 private:
     bool is_needed(const tail_status& tail) const;
     std::vector<v1::ProcessRevision>
-    ahead_of(std::uint64_t revision,
-             const std::vector<v1::ProcessRevision>& peers) const;
+    peers_ahead_of(std::uint64_t revision,
+                   const std::vector<v1::ProcessRevision>& peers) const;
 
     configuration_store& store_;
-    ask_function ask_;
-    time_point next_at_ = time_point::min();
+    query_function query_peer_;
+    time_point next_query_at_ = time_point::min();
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/configuration/configuration_revisions.hpp
+++ b/src/libcyclamenrun/configuration/configuration_revisions.hpp
@@ -36,7 +36,7 @@
      * Records a revision that a process reported. An older revision never
      * replaces a newer one.
      */
-    void note(const process_identity& who, std::uint64_t revision,
+    void note(const process_identity& identity, std::uint64_t revision,
               time_point now);
 
     /** Removes a process that will not report again. */
@@ -45,16 +45,17 @@
     std::vector<v1::ProcessRevision> list(time_point now) const;
 
     /** A process without a report for this long is not listed. */
-    static constexpr milliseconds kept_for{600'000};
+    static constexpr milliseconds max_report_age{600'000};
     static constexpr std::size_t max_processes = 4096;
 
 private:
     struct row {
-        process_identity who;
+        process_identity identity;
         std::uint64_t revision = 0;
-        time_point heard_at{};
+        time_point reported_at{};
     };
 
+    /** Removes expired rows, or the oldest one if none has expired. */
     void make_room(time_point now);
 
     mutable std::mutex mutex_;
--- a/src/libcyclamenrun/configuration/configuration_state.cpp
+++ b/src/libcyclamenrun/configuration/configuration_state.cpp
@@ -23,15 +23,15 @@
                                             : v1::CHANGE_RESULT_INVALID;
 }
 
-bool is_usable_id(const std::string& id)
+bool is_valid_id(const std::string& id)
 {
-    return !id.empty() && id.size() <= change_limits::change_id_length;
+    return !id.empty() && id.size() <= change_limits::max_change_id_length;
 }
 
-bool is_usable(const v1::ClaimRecord& claim)
+bool is_valid(const v1::ClaimRecord& claim)
 {
     return claim.incarnation() != 0 && !claim.upstream().empty() &&
-           claim.upstream().size() <= change_limits::model_length;
+           claim.upstream().size() <= change_limits::max_model_length;
 }
 
 } // namespace
@@ -55,7 +55,7 @@
         ++next_offset_;
     }
     if (changes_state(result))
-        keep_recent(offset, bytes);
+        store_recent_record(offset, bytes);
     ++counts_.at(static_cast<std::size_t>(result));
     return result;
 }
@@ -63,7 +63,7 @@
 apply_result configuration_state::apply_record(std::uint64_t offset,
                                                std::string_view bytes)
 {
-    if (bytes.size() > change_limits::record_bytes)
+    if (bytes.size() > change_limits::max_record_bytes)
         return apply_result::oversized;
     v1::LogRecord record;
     if (!record.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
@@ -95,10 +95,10 @@
                    ? apply_result::duplicate
                    : apply_result::reused_id;
 
-    const apply_result result = judge(change);
+    const apply_result result = evaluate(change);
     if (result == apply_result::accepted)
-        put_in_force(offset, change);
-    if (is_usable_id(change.change_id())) {
+        put_resource(offset, change);
+    if (is_valid_id(change.change_id())) {
         v1::ChangeOutcome outcome;
         outcome.set_change_id(change.change_id());
         outcome.set_accepted(result == apply_result::accepted);
@@ -107,12 +107,12 @@
         outcome.set_result(wire_result(result));
         outcome.set_fingerprint(fingerprint);
         outcome.set_offset(offset);
-        keep_outcome(std::move(outcome));
+        store_outcome(std::move(outcome));
     }
     return result;
 }
 
-apply_result configuration_state::judge(const v1::ChangeRecord& change) const
+apply_result configuration_state::evaluate(const v1::ChangeRecord& change) const
 {
     if (!check_change(change).empty())
         return apply_result::invalid;
@@ -124,7 +124,7 @@
     return apply_result::accepted;
 }
 
-void configuration_state::put_in_force(std::uint64_t offset,
+void configuration_state::put_resource(std::uint64_t offset,
                                        const v1::ChangeRecord& change)
 {
     v1::ResourceState state;
@@ -139,7 +139,7 @@
 apply_result configuration_state::apply_claim(std::uint64_t offset,
                                               const v1::ClaimRecord& claim)
 {
-    if (!is_usable(claim))
+    if (!is_valid(claim))
         return apply_result::unparsable;
     const auto current = claims_.find(claim.upstream());
     const std::uint64_t number =
@@ -153,7 +153,7 @@
     state.set_upstream(claim.upstream());
     state.set_incarnation(claim.incarnation());
     state.set_fencing_number(offset + 1);
-    keep_claim(std::move(state));
+    store_claim(std::move(state));
     return apply_result::claimed;
 }
 
@@ -199,13 +199,13 @@
     *this = configuration_state();
     counts_ = counts;
     next_offset_ = snapshot.next_offset();
-    recent_from_ = next_offset_;
+    recent_records_from_ = next_offset_;
     for (const auto& state : snapshot.resources())
         resources_.put(state);
     for (const auto& outcome : snapshot.outcomes())
-        keep_outcome(outcome);
+        store_outcome(outcome);
     for (const auto& claim : snapshot.claims())
-        keep_claim(claim);
+        store_claim(claim);
     return true;
 }
 
@@ -217,11 +217,11 @@
     delta.set_to_revision(next_offset_);
     if (revision >= next_offset_)
         return delta;
-    if (revision < recent_from_) {
+    if (revision < recent_records_from_) {
         *delta.mutable_snapshot() = snapshot();
         return delta;
     }
-    for (const auto& record : recent_) {
+    for (const auto& record : recent_records_) {
         if (record.offset < revision)
             continue;
         auto* added = delta.add_records();
@@ -237,10 +237,10 @@
         return false;
     if (delta.has_snapshot())
         return restore(delta.snapshot());
-    return take_records(delta);
+    return apply_records(delta);
 }
 
-bool configuration_state::take_records(const v1::ConfigurationDelta& delta)
+bool configuration_state::apply_records(const v1::ConfigurationDelta& delta)
 {
     if (delta.from_revision() > next_offset_)
         return false;
@@ -262,7 +262,7 @@
     return counts_.at(static_cast<std::size_t>(result));
 }
 
-void configuration_state::keep_outcome(v1::ChangeOutcome outcome)
+void configuration_state::store_outcome(v1::ChangeOutcome outcome)
 {
     const std::string id = outcome.change_id();
     if (!outcomes_.emplace(id, std::move(outcome)).second)
@@ -274,26 +274,26 @@
     outcome_order_.pop_front();
 }
 
-void configuration_state::keep_claim(v1::ClaimState claim)
+void configuration_state::store_claim(v1::ClaimState claim)
 {
     v1::ClaimState& slot = claims_[claim.upstream()];
-    claim_order_.erase(slot.fencing_number());
-    claim_order_[claim.fencing_number()] = claim.upstream();
+    upstreams_by_fencing_number_.erase(slot.fencing_number());
+    upstreams_by_fencing_number_[claim.fencing_number()] = claim.upstream();
     slot = std::move(claim);
     if (claims_.size() <= max_claims)
         return;
-    claims_.erase(claim_order_.begin()->second);
-    claim_order_.erase(claim_order_.begin());
+    claims_.erase(upstreams_by_fencing_number_.begin()->second);
+    upstreams_by_fencing_number_.erase(upstreams_by_fencing_number_.begin());
 }
 
-void configuration_state::keep_recent(std::uint64_t offset,
-                                      std::string_view bytes)
+void configuration_state::store_recent_record(std::uint64_t offset,
+                                              std::string_view bytes)
 {
-    recent_.push_back({offset, std::string(bytes)});
-    if (recent_.size() <= max_recent_records)
+    recent_records_.push_back({offset, std::string(bytes)});
+    if (recent_records_.size() <= max_recent_records)
         return;
-    recent_from_ = recent_.front().offset + 1;
-    recent_.pop_front();
+    recent_records_from_ = recent_records_.front().offset + 1;
+    recent_records_.pop_front();
 }
 
 std::uint64_t fingerprint_of(const v1::ChangeRecord& change)
--- a/src/libcyclamenrun/configuration/configuration_state.hpp
+++ b/src/libcyclamenrun/configuration/configuration_state.hpp
@@ -30,7 +30,7 @@
     snapshot,     ///< repeats what earlier records contain
     unparsable,   ///< not a record, or one without content
     newer_schema, ///< written with the schema of a later release
-    oversized,    ///< larger than change_limits::record_bytes
+    oversized,    ///< larger than change_limits::max_record_bytes
     out_of_order, ///< not the next record; not applied
 };
 
@@ -117,25 +117,24 @@
     apply_result apply_record(std::uint64_t offset, std::string_view bytes);
     apply_result apply_change(std::uint64_t offset,
                               const v1::ChangeRecord& change);
-    apply_result judge(const v1::ChangeRecord& change) const;
+    apply_result evaluate(const v1::ChangeRecord& change) const;
     apply_result apply_claim(std::uint64_t offset,
                              const v1::ClaimRecord& claim);
-    void put_in_force(std::uint64_t offset, const v1::ChangeRecord& change);
-    void keep_outcome(v1::ChangeOutcome outcome);
-    void keep_claim(v1::ClaimState claim);
-    void keep_recent(std::uint64_t offset, std::string_view bytes);
-    bool take_records(const v1::ConfigurationDelta& delta);
+    void put_resource(std::uint64_t offset, const v1::ChangeRecord& change);
+    void store_outcome(v1::ChangeOutcome outcome);
+    void store_claim(v1::ClaimState claim);
+    void store_recent_record(std::uint64_t offset, std::string_view bytes);
+    bool apply_records(const v1::ConfigurationDelta& delta);
 
     std::uint64_t next_offset_ = 0;
     configuration_resources resources_;
     std::unordered_map<std::string, v1::ChangeOutcome> outcomes_;
     std::deque<std::string> outcome_order_;
     std::map<std::string, v1::ClaimState> claims_;
-    std::map<std::uint64_t, std::string>
-        claim_order_; ///< upstreams by fencing number
-    std::deque<recent_record> recent_;
-    std::uint64_t recent_from_ =
-        0; ///< revision since which recent_ is complete
+    std::map<std::uint64_t, std::string> upstreams_by_fencing_number_;
+    std::deque<recent_record> recent_records_;
+    /** Revision since which recent_records_ is complete. */
+    std::uint64_t recent_records_from_ = 0;
     std::array<std::uint64_t, apply_result_count> counts_{};
 };
 
--- a/src/libcyclamenrun/configuration/configuration_store.cpp
+++ b/src/libcyclamenrun/configuration/configuration_store.cpp
@@ -33,19 +33,19 @@
 {
     std::unique_lock lock(mutex_);
     const std::uint64_t before = state_.revision();
-    bool whole = true;
+    bool complete = true;
     for (const auto& record : records) {
         if (record.offset < state_.revision())
             continue;
         if (record.offset > state_.revision()) {
-            whole = false;
+            complete = false;
             break;
         }
         state_.apply(record.offset, record.data);
     }
     if (state_.revision() != before)
         publish(lock);
-    return whole;
+    return complete;
 }
 
 void configuration_store::set_ready()
--- a/src/libcyclamenrun/configuration/log_tail_cursor.cpp
+++ b/src/libcyclamenrun/configuration/log_tail_cursor.cpp
@@ -25,26 +25,26 @@
 
 std::uint64_t log_tail_cursor::next() const
 {
-    return state_ == tail_state::following ? store_.revision() : scan_from_;
+    return state_ == tail_state::following ? store_.revision() : scan_offset_;
 }
 
 void log_tail_cursor::take(const log_page& page)
 {
     end_ = page.next;
-    note_first_retained(page.first_retained);
+    update_first_retained(page.first_retained);
     if (state_ == tail_state::behind_gap)
-        scan(page);
+        scan_for_snapshot(page);
     else
-        follow(page);
+        apply_page(page);
 }
 
 void log_tail_cursor::take(const log_error& error)
 {
     if (error.failure == log_failure::retained_away)
-        note_first_retained(error.first_retained);
+        update_first_retained(error.first_retained);
 }
 
-void log_tail_cursor::note_first_retained(std::uint64_t first_retained)
+void log_tail_cursor::update_first_retained(std::uint64_t first_retained)
 {
     first_retained_ = std::max(first_retained_, first_retained);
     if (first_retained_ <= store_.revision()) {
@@ -57,52 +57,53 @@
     // changes in this process only.
     if (state_ == tail_state::following) {
         state_ = tail_state::behind_gap;
-        scan_from_ = first_retained_;
+        scan_offset_ = first_retained_;
         ++gaps_;
     }
-    scan_from_ = std::max(scan_from_, first_retained_);
+    scan_offset_ = std::max(scan_offset_, first_retained_);
 }
 
-void log_tail_cursor::scan(const log_page& page)
+void log_tail_cursor::scan_for_snapshot(const log_page& page)
 {
     for (const auto& record : page.records) {
-        if (record.offset < scan_from_)
+        if (record.offset < scan_offset_)
             continue;
-        look_for_snapshot(record);
-        scan_from_ = record.offset + 1;
+        add_snapshot_part(record);
+        scan_offset_ = record.offset + 1;
         if (state_ == tail_state::following)
             return;
     }
 }
 
-void log_tail_cursor::follow(const log_page& page)
+void log_tail_cursor::apply_page(const log_page& page)
 {
     const std::uint64_t before = store_.revision();
     if (!store_.apply(page.records))
         ++broken_pages_;
     for (const auto& record : page.records) {
         if (record.offset >= before && record.offset < store_.revision())
-            look_for_snapshot(record);
+            add_snapshot_part(record);
     }
     if (store_.revision() >= page.next)
         store_.set_ready();
 }
 
-void log_tail_cursor::look_for_snapshot(const log_entry& record)
+void log_tail_cursor::add_snapshot_part(const log_entry& record)
 {
     v1::LogRecord parsed;
     if (!parsed.ParseFromString(record.data) || !parsed.has_snapshot() ||
         parsed.schema() != configuration_state::schema)
         return;
-    const auto whole = assembler_.add(parsed.snapshot());
-    if (!whole)
+    const auto complete_snapshot = assembler_.add(parsed.snapshot());
+    if (!complete_snapshot)
         return;
     if (snapshot_hook_)
-        snapshot_hook_(whole->next_offset(), record.offset);
-    const bool closes_gap = whole->next_offset() >= first_retained_ &&
-                            whole->next_offset() <= record.offset;
+        snapshot_hook_(complete_snapshot->next_offset(), record.offset);
+    const bool closes_gap =
+        complete_snapshot->next_offset() >= first_retained_ &&
+        complete_snapshot->next_offset() <= record.offset;
     if (state_ == tail_state::behind_gap && closes_gap &&
-        store_.restore(*whole))
+        store_.restore(*complete_snapshot))
         state_ = tail_state::following;
 }
 
--- a/src/libcyclamenrun/configuration/log_tail_cursor.hpp
+++ b/src/libcyclamenrun/configuration/log_tail_cursor.hpp
@@ -56,16 +56,16 @@
     std::uint64_t broken_pages() const { return broken_pages_; }
 
 private:
-    void note_first_retained(std::uint64_t first_retained);
-    void scan(const log_page& page);
-    void follow(const log_page& page);
-    void look_for_snapshot(const log_entry& record);
+    void update_first_retained(std::uint64_t first_retained);
+    void scan_for_snapshot(const log_page& page);
+    void apply_page(const log_page& page);
+    void add_snapshot_part(const log_entry& record);
 
     configuration_store& store_;
     snapshot_hook snapshot_hook_;
     snapshot_assembler assembler_;
     tail_state state_ = tail_state::following;
-    std::uint64_t scan_from_ = 0;
+    std::uint64_t scan_offset_ = 0;
     std::uint64_t first_retained_ = 0;
     std::uint64_t end_ = 0;
     std::uint64_t gaps_ = 0;
--- a/src/libcyclamenrun/configuration/log_tailer.cpp
+++ b/src/libcyclamenrun/configuration/log_tailer.cpp
@@ -60,7 +60,7 @@
         const std::lock_guard lock(mutex_);
         stopping_ = true;
     }
-    stopped_.notify_all();
+    stop_signal_.notify_all();
     if (thread_.joinable())
         thread_.join();
 }
@@ -74,39 +74,39 @@
         // of the log. If no records arrived it would stay unready for the
         // whole wait.
         const milliseconds pause =
-            pass(saw_end_ ? settings_.read_wait : milliseconds(0));
+            pass(end_seen_ ? settings_.read_wait : milliseconds(0));
         lock.lock();
-        stopped_.wait_for(lock, pause, [this] { return stopping_; });
+        stop_signal_.wait_for(lock, pause, [this] { return stopping_; });
     }
 }
 
 milliseconds log_tailer::pass(milliseconds wait)
 {
-    const time_point asked_at = clock_();
+    const time_point read_started_at = clock_();
     const auto page = log_.read(cursor_.next(), settings_.page_records, wait);
     if (!page) {
         const milliseconds pause = on_error(page.error());
-        tell_of_trouble();
+        report_read_problem();
         return pause;
     }
     on_page(*page);
     if (cursor_.state() == tail_state::behind_gap)
-        tell_of_trouble();
+        report_read_problem();
     // Avoids a busy loop if the log returns an empty page without waiting.
-    const bool came_early = clock_() < asked_at + wait / 2;
-    return page->records.empty() && came_early ? settings_.first_backoff
-                                               : milliseconds(0);
+    const bool returned_early = clock_() < read_started_at + wait / 2;
+    return page->records.empty() && returned_early ? settings_.first_backoff
+                                                   : milliseconds(0);
 }
 
-void log_tailer::tell_of_trouble() const
+void log_tailer::report_read_problem() const
 {
-    if (trouble_hook_)
-        trouble_hook_(status());
+    if (read_problem_hook_)
+        read_problem_hook_(status());
 }
 
 void log_tailer::on_page(const log_page& page)
 {
-    note_first_end(page.next);
+    record_first_end(page.next);
     cursor_.take(page);
     if (writer_)
         writer_->poll(cursor_, clock_());
@@ -134,13 +134,13 @@
                     backoff(settings_, status_.failures_in_a_row, random_()));
 }
 
-void log_tailer::note_first_end(std::uint64_t end)
+void log_tailer::record_first_end(std::uint64_t end)
 {
-    if (saw_end_)
+    if (end_seen_)
         return;
-    saw_end_ = true;
+    end_seen_ = true;
     if (writer_)
-        writer_->on_first_end(end);
+        writer_->set_initial_log_end(end);
 }
 
 tail_status log_tailer::status() const
--- a/src/libcyclamenrun/configuration/log_tailer.hpp
+++ b/src/libcyclamenrun/configuration/log_tailer.hpp
@@ -63,8 +63,11 @@
      * Called on the tailer's thread after a failed read, and after a read that
      * leaves the reader behind a gap. May block.
      */
-    using trouble_hook = std::function<void(const tail_status&)>;
-    void on_trouble(trouble_hook hook) { trouble_hook_ = std::move(hook); }
+    using read_problem_hook = std::function<void(const tail_status&)>;
+    void on_trouble(read_problem_hook hook)
+    {
+        read_problem_hook_ = std::move(hook);
+    }
 
     void start();
     /**
@@ -83,22 +86,22 @@
 
 private:
     void run();
-    void tell_of_trouble() const;
+    void report_read_problem() const;
     void on_page(const log_page& page);
     milliseconds on_error(const log_error& error);
-    void note_first_end(std::uint64_t end);
+    void record_first_end(std::uint64_t end);
 
     platform_log& log_;
     tail_settings settings_;
     clock_function clock_;
     random_function random_;
     std::shared_ptr<snapshot_writer> writer_;
-    trouble_hook trouble_hook_;
+    read_problem_hook read_problem_hook_;
     log_tail_cursor cursor_;
-    bool saw_end_ = false;
+    bool end_seen_ = false;
 
     mutable std::mutex mutex_;
-    std::condition_variable stopped_;
+    std::condition_variable stop_signal_;
     bool stopping_ = false;
     tail_status status_;
     std::thread thread_;
--- a/src/libcyclamenrun/configuration/operator_commands.cpp
+++ b/src/libcyclamenrun/configuration/operator_commands.cpp
@@ -23,14 +23,14 @@
             not_run(refusal_reason::not_ready,
                     "this entry has not loaded a configuration yet",
                     milliseconds(1000)));
-    if (running_.fetch_add(1) >= max_at_once) {
-        running_.fetch_sub(1);
+    if (changes_in_progress_.fetch_add(1) >= max_concurrent_changes) {
+        changes_in_progress_.fetch_sub(1);
         return tl::unexpected(not_run(
             refusal_reason::queue_full,
             "too many changes in progress at this entry", milliseconds(1000)));
     }
     auto result = submit(request, deadline);
-    running_.fetch_sub(1);
+    changes_in_progress_.fetch_sub(1);
     return result;
 }
 
--- a/src/libcyclamenrun/configuration/operator_commands.hpp
+++ b/src/libcyclamenrun/configuration/operator_commands.hpp
@@ -30,7 +30,7 @@
     apply_change(const v1::ApplyChangeRequest& request, time_point deadline);
 
     /** Maximum number of concurrent apply_change() calls. */
-    static constexpr int max_at_once = 64;
+    static constexpr int max_concurrent_changes = 64;
 
 private:
     outcome<v1::ApplyChangeResponse>
@@ -40,7 +40,7 @@
     configuration_store& store_;
     clock_function clock_;
     submit_settings settings_;
-    std::atomic<int> running_{0};
+    std::atomic<int> changes_in_progress_{0};
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/configuration/snapshot_parts.cpp
+++ b/src/libcyclamenrun/configuration/snapshot_parts.cpp
@@ -26,7 +26,7 @@
      * Returns the part to which an item of this size is to be added; starts a
      * new part if the current one has no room.
      */
-    v1::SnapshotRecord& room_for(std::size_t bytes)
+    v1::SnapshotRecord& part_with_room_for(std::size_t bytes)
     {
         if (used_ > 0 && used_ + bytes > part_bytes_)
             start_part();
@@ -65,7 +65,7 @@
     std::vector<v1::SnapshotRecord> parts_;
 };
 
-constexpr std::size_t item_overhead =
+constexpr std::size_t item_overhead_bytes =
     8; ///< bytes for the tag and length of an item
 
 bool is_well_formed(const v1::SnapshotRecord& part)
@@ -74,8 +74,8 @@
            part.part() < part.parts();
 }
 
-bool belong_together(const v1::SnapshotRecord& left,
-                     const v1::SnapshotRecord& right)
+bool is_same_snapshot(const v1::SnapshotRecord& left,
+                      const v1::SnapshotRecord& right)
 {
     return left.parts() == right.parts() &&
            left.next_offset() == right.next_offset();
@@ -102,14 +102,14 @@
 {
     part_writer writer(snapshot, snapshot_id, part_bytes);
     for (const auto& state : snapshot.resources())
-        *writer.room_for(state.ByteSizeLong() + item_overhead).add_resources() =
-            state;
+        *writer.part_with_room_for(state.ByteSizeLong() + item_overhead_bytes)
+             .add_resources() = state;
     for (const auto& outcome : snapshot.outcomes())
-        *writer.room_for(outcome.ByteSizeLong() + item_overhead)
+        *writer.part_with_room_for(outcome.ByteSizeLong() + item_overhead_bytes)
              .add_outcomes() = outcome;
     for (const auto& claim : snapshot.claims())
-        *writer.room_for(claim.ByteSizeLong() + item_overhead).add_claims() =
-            claim;
+        *writer.part_with_room_for(claim.ByteSizeLong() + item_overhead_bytes)
+             .add_claims() = claim;
     return writer.records();
 }
 
@@ -119,33 +119,34 @@
     if (!is_well_formed(part))
         return {};
     parts& known = parts_of(part.snapshot_id());
-    if (!known.empty() && !belong_together(known.begin()->second, part))
+    if (!known.empty() && !is_same_snapshot(known.begin()->second, part))
         return {};
     known[part.part()] = part;
     if (known.size() < part.parts())
         return {};
     v1::SnapshotRecord whole = merge(known);
-    forget(part.snapshot_id());
+    remove_parts(part.snapshot_id());
     return whole;
 }
 
 snapshot_assembler::parts&
 snapshot_assembler::parts_of(std::uint64_t snapshot_id)
 {
-    const auto found = unfinished_.find(snapshot_id);
-    if (found != unfinished_.end())
+    const auto found = incomplete_.find(snapshot_id);
+    if (found != incomplete_.end())
         return found->second;
-    if (order_.size() >= max_unfinished)
-        forget(order_.front());
-    order_.push_back(snapshot_id);
-    return unfinished_[snapshot_id];
+    if (insertion_order_.size() >= max_incomplete)
+        remove_parts(insertion_order_.front());
+    insertion_order_.push_back(snapshot_id);
+    return incomplete_[snapshot_id];
 }
 
-void snapshot_assembler::forget(std::uint64_t snapshot_id)
+void snapshot_assembler::remove_parts(std::uint64_t snapshot_id)
 {
-    unfinished_.erase(snapshot_id);
-    order_.erase(std::remove(order_.begin(), order_.end(), snapshot_id),
-                 order_.end());
+    incomplete_.erase(snapshot_id);
+    insertion_order_.erase(std::remove(insertion_order_.begin(),
+                                       insertion_order_.end(), snapshot_id),
+                           insertion_order_.end());
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/configuration/snapshot_parts.hpp
+++ b/src/libcyclamenrun/configuration/snapshot_parts.hpp
@@ -24,7 +24,7 @@
 /**
  * Assembles snapshots from their parts. Parts of several writers may be
  * interleaved. Drops the oldest incomplete snapshot when there are more than
- * max_unfinished.
+ * max_incomplete.
  */
 class snapshot_assembler
 {
@@ -32,17 +32,17 @@
     /** Adds a part; returns the snapshot if the part completes it. */
     std::optional<v1::SnapshotRecord> add(const v1::SnapshotRecord& part);
 
-    static constexpr std::size_t max_unfinished = 4;
+    static constexpr std::size_t max_incomplete = 4;
     static constexpr std::uint32_t max_parts = 256;
 
 private:
     using parts = std::map<std::uint32_t, v1::SnapshotRecord>;
 
     parts& parts_of(std::uint64_t snapshot_id);
-    void forget(std::uint64_t snapshot_id);
+    void remove_parts(std::uint64_t snapshot_id);
 
-    std::map<std::uint64_t, parts> unfinished_;
-    std::deque<std::uint64_t> order_;
+    std::map<std::uint64_t, parts> incomplete_;
+    std::deque<std::uint64_t> insertion_order_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/configuration/snapshot_schedule.hpp
+++ b/src/libcyclamenrun/configuration/snapshot_schedule.hpp
@@ -12,10 +12,10 @@
 
 /** Conditions under which a new snapshot is due. */
 struct snapshot_settings {
-    std::uint64_t max_records = 1000;    ///< since the last snapshot
-    milliseconds max_age{6UL * 3600000}; ///< well below the log's retention
-    milliseconds first_after{600'000};   ///< for a snapshot of unknown age
-    milliseconds stagger{30'000};        ///< delay per rank of an entry
+    std::uint64_t max_records = 1000;        ///< since the last snapshot
+    milliseconds max_age{6UL * 3600000};     ///< well below the log's retention
+    milliseconds unknown_age_delay{600'000}; ///< for a snapshot of unknown age
+    milliseconds stagger{30'000};            ///< delay per rank of an entry
 };
 
 /**
@@ -34,7 +34,7 @@
      * Sets the end of the log as this process first saw it. The age of
      * snapshots before this offset is unknown.
      */
-    void on_first_end(std::uint64_t end) { first_end_ = end; }
+    void set_initial_log_end(std::uint64_t end) { initial_log_end_ = end; }
 
     /**
      * Records a complete snapshot that was read from the log. Its last part is
@@ -57,25 +57,25 @@
      * Records an attempt to write. The next one is due one stagger later at
      * the earliest, so that the snapshot can be read back first.
      */
-    void on_written(time_point now);
+    void on_write_attempt(time_point now);
 
     /** Returns how many live entries write before this one. */
     std::size_t rank() const;
 
 private:
-    bool is_wanted(std::uint64_t revision, std::uint64_t first_retained,
+    bool is_needed(std::uint64_t revision, std::uint64_t first_retained,
                    time_point now) const;
 
     std::string entry_;
     snapshot_settings settings_;
     std::vector<std::string> entries_;
-    bool seen_ = false;
-    std::uint64_t first_end_ = 0;
+    bool snapshot_seen_ = false;
+    std::uint64_t initial_log_end_ = 0;
     std::uint64_t snapshot_offset_ = 0;
     std::uint64_t snapshot_next_offset_ = 0;
     time_point refresh_at_;
-    time_point wanted_since_ = time_point::max();
-    time_point not_before_ = time_point::min();
+    time_point needed_since_ = time_point::max();
+    time_point earliest_write_at_ = time_point::min();
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/configuration/snapshot_writer.cpp
+++ b/src/libcyclamenrun/configuration/snapshot_writer.cpp
@@ -11,8 +11,8 @@
 snapshot_writer::snapshot_writer(platform_log& log,
                                  const configuration_store& store,
                                  std::string entry, snapshot_settings settings,
-                                 id_function draw_id, time_point now)
-    : log_(log), store_(store), draw_id_(std::move(draw_id)),
+                                 id_function generate_id, time_point now)
+    : log_(log), store_(store), generate_id_(std::move(generate_id)),
       schedule_(std::move(entry), settings, now)
 {
 }
@@ -23,10 +23,10 @@
     schedule_.on_entries(std::move(entries));
 }
 
-void snapshot_writer::on_first_end(std::uint64_t end)
+void snapshot_writer::set_initial_log_end(std::uint64_t end)
 {
     const std::lock_guard lock(mutex_);
-    schedule_.on_first_end(end);
+    schedule_.set_initial_log_end(end);
 }
 
 void snapshot_writer::on_snapshot(std::uint64_t next_offset,
@@ -45,7 +45,7 @@
         const std::lock_guard lock(mutex_);
         if (!schedule_.is_due(store_.revision(), cursor.first_retained(), now))
             return false;
-        schedule_.on_written(now);
+        schedule_.on_write_attempt(now);
     }
     return write();
 }
@@ -53,7 +53,7 @@
 bool snapshot_writer::write()
 {
     const auto records =
-        snapshot_records(store_.snapshot(), draw_id_(), part_bytes);
+        snapshot_records(store_.snapshot(), generate_id_(), part_bytes);
     for (const auto& record : records) {
         // Readers ignore a snapshot with a missing part. Since it is not read
         // back, the schedule has another snapshot written later.
--- a/src/libcyclamenrun/configuration/snapshot_writer.hpp
+++ b/src/libcyclamenrun/configuration/snapshot_writer.hpp
@@ -24,13 +24,13 @@
 
     snapshot_writer(platform_log& log, const configuration_store& store,
                     std::string entry, snapshot_settings settings,
-                    id_function draw_id, time_point now);
+                    id_function generate_id, time_point now);
 
     /** Updates the live entries from the platform's list. Thread-safe. */
     void on_entries(std::vector<std::string> entries);
 
     /** Called by the log_tailer; see snapshot_schedule. */
-    void on_first_end(std::uint64_t end);
+    void set_initial_log_end(std::uint64_t end);
     void on_snapshot(std::uint64_t next_offset, std::uint64_t offset,
                      time_point now);
 
@@ -48,7 +48,7 @@
 
     platform_log& log_;
     const configuration_store& store_;
-    id_function draw_id_;
+    id_function generate_id_;
     std::mutex mutex_;
     snapshot_schedule schedule_;
 };
--- a/tests/configuration/test_configuration_state.cpp
+++ b/tests/configuration/test_configuration_state.cpp
@@ -71,7 +71,7 @@
         {"\xff\xff not a record", apply_result::unparsable},
         {"", apply_result::unparsable},
         {newer.SerializeAsString(), apply_result::newer_schema},
-        {std::string(change_limits::record_bytes + 1, 'x'),
+        {std::string(change_limits::max_record_bytes + 1, 'x'),
          apply_result::oversized},
         {log_record_of(negative), apply_result::invalid},
         {log_record_of(dangling), apply_result::invalid},
