--- a/tests/configuration/configuration_history.hpp
+++ b/tests/configuration/configuration_history.hpp
@@ -13,29 +13,33 @@
 namespace cyclamenrun
 {
 
-/** What a history must not show. */
+/** Violations of the configuration's guarantees. */
 enum class violation : std::uint8_t {
-    revision_went_back, ///< at one reader
-    states_differ,      ///< two readers at the same revision
-    accepted_lost,      ///< told accepted, and a later reader lacks it
-    refused_in_force,   ///< told refused, and some reader has it
-    told_twice,         ///< one change told accepted and refused
+    revision_went_back, ///< the revision of one reader decreased
+    states_differ,      ///< two readers at one revision hold different states
+    accepted_lost,    ///< reported as accepted, but missing at a later revision
+    refused_in_force, ///< reported as refused, but in force at a reader
+    contradictory_answers, ///< one change reported both accepted and refused
 };
 
-/** What readers saw and operators were told, in order of time. */
+/**
+ * Records, in order of time, the states that readers held and the answers that
+ * operators received, and checks them against the guarantees.
+ */
 class configuration_history
 {
 public:
-    /** What a reader has in force now. */
-    void see(const std::string& reader, const configuration_store& store);
-    void see(const std::string& reader, std::uint64_t revision,
-             const std::string& state, std::set<std::string> accepted);
+    /** Records the state in force at a reader. */
+    void record_state(const std::string& reader,
+                      const configuration_store& store);
+    void record_state(const std::string& reader, std::uint64_t revision,
+                      const std::string& state, std::set<std::string> accepted);
 
-    /** The answer to an operator. */
-    void tell(const std::string& change_id,
-              const outcome<v1::ApplyChangeResponse>& answer);
-    void tell_accepted(const std::string& change_id, std::uint64_t revision);
-    void tell_refused(const std::string& change_id);
+    /** Records an answer that an operator received. */
+    void record_answer(const std::string& change_id,
+                       const outcome<v1::ApplyChangeResponse>& answer);
+    void record_accepted(const std::string& change_id, std::uint64_t revision);
+    void record_refused(const std::string& change_id);
 
     std::set<violation> violations() const;
 
@@ -47,12 +51,12 @@
         std::set<std::string> accepted;
     };
 
-    void check_order(std::set<violation>& found) const;
-    void check_sameness(std::set<violation>& found) const;
-    void check_promises(std::set<violation>& found) const;
+    void check_revision_order(std::set<violation>& found) const;
+    void check_equal_states(std::set<violation>& found) const;
+    void check_answers(std::set<violation>& found) const;
 
-    std::vector<observation> seen_;
-    std::map<std::string, std::uint64_t> accepted_; // change: its revision
+    std::vector<observation> observations_;
+    std::map<std::string, std::uint64_t> accepted_; ///< revision by change id
     std::set<std::string> refused_;
 };
 
--- a/tests/configuration/fake_log.hpp
+++ b/tests/configuration/fake_log.hpp
@@ -10,16 +10,16 @@
 namespace cyclamenrun
 {
 
-/** What happens to one append. */
-enum class append_fate : std::uint8_t {
+/** Result of one append. */
+enum class append_result : std::uint8_t {
     kept,
-    answer_lost,  ///< kept, but the caller hears nothing
-    request_lost, ///< neither kept nor answered
-    delayed,      ///< kept once release() is called; no answer
+    answer_lost,  ///< kept, but the caller's request times out
+    request_lost, ///< not kept, and the caller's request times out
+    delayed,      ///< kept by deliver_delayed(); the request times out
     duplicated,   ///< kept twice
 };
 
-/** The platform's log in memory, with its faults. */
+/** In-memory log of the platform with fault injection. */
 class fake_log : public platform_log
 {
 public:
@@ -28,19 +28,20 @@
     {
         const std::lock_guard lock(mutex_);
         ++appends_;
-        if (out_)
+        if (unavailable_)
             return tl::unexpected(log_error{log_failure::unavailable, {}, 0});
-        const append_fate fate = next_fate();
-        if (fate == append_fate::delayed)
+        const append_result result = next_result();
+        if (result == append_result::delayed)
             delayed_.emplace_back(data);
-        if (fate == append_fate::delayed || fate == append_fate::request_lost)
+        if (result == append_result::delayed ||
+            result == append_result::request_lost)
             return tl::unexpected(log_error{log_failure::timed_out, {}, 0});
         records_.emplace_back(data);
         const std::uint64_t offset = records_.size() - 1;
-        if (fate == append_fate::duplicated)
+        if (result == append_result::duplicated)
             records_.emplace_back(data);
         appended_.notify_all();
-        if (fate == append_fate::answer_lost)
+        if (result == append_result::answer_lost)
             return tl::unexpected(log_error{log_failure::timed_out, {}, 0});
         return offset;
     }
@@ -50,16 +51,16 @@
     {
         std::unique_lock lock(mutex_);
         ++reads_;
-        if (out_)
+        if (unavailable_)
             return tl::unexpected(log_error{log_failure::unavailable, {}, 0});
         if (from < first_retained_)
             return tl::unexpected(
                 log_error{log_failure::retained_away, {}, first_retained_});
-        const auto has_news = [&] {
+        const auto has_records = [&] {
             return interrupted_ || from < records_.size();
         };
         if (wait > milliseconds(0))
-            appended_.wait_for(lock, wait, has_news);
+            appended_.wait_for(lock, wait, has_records);
         log_page page{first_retained_, records_.size(), {}};
         for (std::uint64_t offset = from;
              offset < records_.size() && page.records.size() < max; ++offset)
@@ -67,15 +68,18 @@
         return page;
     }
 
-    /** Fates of the appends to come; after them all are kept. */
-    void expect(append_fate fate)
+    /**
+     * Queues the result of a later append. Appends without a queued result are
+     * kept.
+     */
+    void queue_result(append_result result)
     {
         const std::lock_guard lock(mutex_);
-        fates_.push_back(fate);
+        results_.push_back(result);
     }
 
-    /** Appends that were under way all the time arrive. */
-    void release()
+    /** Adds the delayed appends to the log. */
+    void deliver_delayed()
     {
         const std::lock_guard lock(mutex_);
         for (auto& data : delayed_)
@@ -84,20 +88,20 @@
         appended_.notify_all();
     }
 
-    void set_out(bool out)
+    void set_unavailable(bool unavailable)
     {
         const std::lock_guard lock(mutex_);
-        out_ = out;
+        unavailable_ = unavailable;
     }
 
-    /** The retention of all records before the offset ends. */
-    void retain_from(std::uint64_t offset)
+    /** Expires all records before the offset. */
+    void expire_before(std::uint64_t offset)
     {
         const std::lock_guard lock(mutex_);
         first_retained_ = std::max(first_retained_, offset);
     }
 
-    /** Lets waiting reads return, so that a tail can stop at once. */
+    /** Makes waiting reads return, so that a log_tailer stops at once. */
     void interrupt()
     {
         const std::lock_guard lock(mutex_);
@@ -132,22 +136,22 @@
     }
 
 private:
-    append_fate next_fate()
+    append_result next_result()
     {
-        if (fates_.empty())
-            return append_fate::kept;
-        const append_fate fate = fates_.front();
-        fates_.pop_front();
-        return fate;
+        if (results_.empty())
+            return append_result::kept;
+        const append_result result = results_.front();
+        results_.pop_front();
+        return result;
     }
 
     mutable std::mutex mutex_;
     std::condition_variable appended_;
     std::deque<std::string> records_;
     std::deque<std::string> delayed_;
-    std::deque<append_fate> fates_;
+    std::deque<append_result> results_;
     std::uint64_t first_retained_ = 0;
-    bool out_ = false;
+    bool unavailable_ = false;
     bool interrupted_ = false;
     std::uint64_t appends_ = 0;
     std::uint64_t reads_ = 0;
--- a/tests/configuration/sample_changes.hpp
+++ b/tests/configuration/sample_changes.hpp
@@ -8,7 +8,7 @@
 namespace cyclamenrun
 {
 
-/** Sets a team's weight. */
+/** Returns a change that creates a team or sets its weight. */
 inline v1::ChangeRecord team_change(const std::string& change_id,
                                     std::uint64_t base, std::uint32_t weight,
                                     const std::string& name = "amianto")
--- a/tests/configuration/simulated_entry.hpp
+++ b/tests/configuration/simulated_entry.hpp
@@ -15,7 +15,7 @@
 namespace cyclamenrun
 {
 
-/** Log, clock and history that simulated processes share. */
+/** Log, clock and history shared by the simulated processes. */
 struct simulated_world {
     fake_log log;
     time_point now{};
@@ -26,7 +26,7 @@
     void advance(milliseconds by) { now += by; }
 };
 
-/** The configuration's part of an entry, stepped by hand. */
+/** The parts of an entry that handle its configuration, run step by step. */
 class simulated_entry
 {
 public:
@@ -43,23 +43,23 @@
         tailer_.write_snapshots_by(writer_);
     }
 
-    /** One read of the log. */
-    void pass()
+    /** Performs one read of the log. */
+    void read_log()
     {
         tailer_.pass(milliseconds(0));
-        see();
+        record_state();
     }
 
     void catch_up()
     {
         for (int i = 0; i < 20; ++i)
-            pass();
+            read_log();
     }
 
-    void take_state_of(const simulated_entry& peer)
+    void restore_from(const simulated_entry& peer)
     {
         store.restore_from_peer(peer.store.state());
-        see();
+        record_state();
     }
 
     void submit(const v1::ChangeRecord& change,
@@ -68,8 +68,8 @@
         submitters_.emplace_back(change, world_.now + limit);
     }
 
-    /** Takes each change under way one step further. */
-    void step_changes()
+    /** Performs one step of each change in progress. */
+    void step_submitters()
     {
         for (auto it = submitters_.begin(); it != submitters_.end();) {
             if (step(*it))
@@ -79,25 +79,25 @@
         }
     }
 
-    /** Submits and sees it through, alone. */
+    /** Submits a change and runs this entry until the change is answered. */
     outcome<v1::ApplyChangeResponse> apply(const v1::ChangeRecord& change)
     {
         submit(change);
         while (!submitters_.empty()) {
-            step_changes();
-            pass();
+            step_submitters();
+            read_log();
             world_.advance(milliseconds(100));
         }
         return last_answer;
     }
 
-    /** Notes what is in force here, if that may have changed. */
-    void see()
+    /** Records this entry's state in the history if its revision changed. */
+    void record_state()
     {
-        if (!store.ready() || store.revision() == seen_revision_)
+        if (!store.ready() || store.revision() == recorded_revision_)
             return;
-        seen_revision_ = store.revision();
-        world_.history.see(name, store);
+        recorded_revision_ = store.revision();
+        world_.history.record_state(name, store);
     }
 
     tail_status status() const { return tailer_.status(); }
@@ -119,12 +119,13 @@
         if (next != submit_step::done)
             return false;
         last_answer = submitter.result();
-        world_.history.tell(submitter.change().change_id(), last_answer);
+        world_.history.record_answer(submitter.change().change_id(),
+                                     last_answer);
         return true;
     }
 
     simulated_world& world_;
-    std::uint64_t seen_revision_ = ~0ULL;
+    std::uint64_t recorded_revision_ = ~0ULL;
     log_tailer tailer_;
     std::shared_ptr<snapshot_writer> writer_;
     std::list<change_submitter> submitters_;
--- a/tests/configuration/test_change_submitter.cpp
+++ b/tests/configuration/test_change_submitter.cpp
@@ -15,26 +15,27 @@
 namespace
 {
 
-// Two and ten operators change one resource at the same moment, each through
-// an entry of its own. Each would see its own change in force if entries
-// answered by their append alone; in truth the first record wins.
-TEST(change_submitter, tells_one_of_many_racing_operators_accepted)
+// Two or ten operators change one resource at the same time, each through a
+// different entry. If entries reported a change as accepted once its append
+// succeeded, all operators would get this answer although only the first
+// record on the log takes effect.
+TEST(change_submitter, accepts_one_of_several_concurrent_changes)
 {
     for (const int operators : {2, 10}) {
         simulated_world world;
         std::list<simulated_entry> entries;
         for (int i = 0; i < operators; ++i) {
             entries.emplace_back(world);
-            entries.back().pass();
+            entries.back().read_log();
             entries.back().submit(team_change("op-" + std::to_string(i), 0,
                                               static_cast<uint32_t>(i + 1)));
         }
         for (auto& entry : entries)
-            entry.step_changes();
+            entry.step_submitters();
         int accepted = 0;
         for (auto& entry : entries) {
-            entry.pass();
-            entry.step_changes();
+            entry.read_log();
+            entry.step_submitters();
             ASSERT_TRUE(entry.is_idle());
             accepted += entry.last_answer->has_accepted() ? 1 : 0;
             EXPECT_EQ(entry.store.view()->resources.team("amianto")->weight(),
@@ -48,69 +49,71 @@
     }
 }
 
-// The append's answer is lost. An entry that says "failed" lies when the
-// record is on the log; one that says "accepted" lies when it isn't.
-TEST(change_submitter, settles_a_lost_answer_by_reading_back)
+// The log's answer to an append is lost. The entry can't tell whether the
+// record is on the log, so reporting either success or failure could be wrong.
+TEST(change_submitter, resolves_a_lost_answer_by_reading_back)
 {
-    for (const auto fate : {append_fate::answer_lost, append_fate::request_lost,
-                            append_fate::duplicated}) {
+    for (const auto result :
+         {append_result::answer_lost, append_result::request_lost,
+          append_result::duplicated}) {
         simulated_world world;
         simulated_entry entry(world);
-        entry.pass();
-        world.log.expect(fate);
+        entry.read_log();
+        world.log.queue_result(result);
         const auto answer = entry.apply(team_change("a", 0, 5));
         ASSERT_TRUE(answer && answer->has_accepted());
         EXPECT_EQ(answer->accepted().revision(), 1U);
-        world.log.release();
+        world.log.deliver_delayed();
         entry.catch_up();
         EXPECT_TRUE(world.history.violations().empty());
     }
 }
 
-// The answer is lost and the record comes onto the log after the operator's
-// deadline: neither accepted nor refused may be told, and asking later by
-// the change's id must give the truth.
-TEST(change_submitter, says_unknown_at_the_deadline_and_can_be_asked_later)
+// The answer is lost and the record reaches the log after the operator's
+// deadline. The entry must report neither acceptance nor refusal, and a later
+// query by the change id must return the actual outcome.
+TEST(change_submitter, reports_unknown_at_the_deadline_and_the_outcome_later)
 {
     simulated_world world;
     simulated_entry entry(world);
-    entry.pass();
+    entry.read_log();
     for (int i = 0; i < 20; ++i)
-        world.log.expect(append_fate::delayed);
+        world.log.queue_result(append_result::delayed);
     const auto answer = entry.apply(team_change("a", 0, 5));
     ASSERT_TRUE(answer && answer->has_unknown());
     EXPECT_EQ(answer->unknown().change_id(), "a");
     EXPECT_FALSE(entry.store.find_change("a").has_value());
-    world.log.release();
+    world.log.deliver_delayed();
     entry.catch_up();
     EXPECT_TRUE(entry.store.find_change("a")->accepted());
     EXPECT_TRUE(entry.apply(team_change("a", 0, 5))->has_accepted());
 }
 
-// An operator's first call dies with its entry, but its record is on its way.
-// The second goes to an entry that can't reach the log: were it told that
-// nothing ran, the operator would take the change for dropped.
-TEST(change_submitter, says_unknown_when_the_log_took_nothing_from_here)
+// The first entry crashes during an operator's call while its record is still
+// in transit. The operator retries through an entry that can't reach the log.
+// If that entry refused the change, the operator would assume it had no effect
+// although the record still arrives.
+TEST(change_submitter, reports_unknown_when_the_log_is_unavailable)
 {
     simulated_world world;
     simulated_entry entry(world);
-    entry.pass();
-    world.log.set_out(true);
+    entry.read_log();
+    world.log.set_unavailable(true);
     EXPECT_TRUE(entry.apply(team_change("a", 0, 5))->has_unknown());
-    world.log.set_out(false);
+    world.log.set_unavailable(false);
     world.log.append(log_record_of(team_change("a", 0, 5)));
     entry.catch_up();
     EXPECT_TRUE(entry.store.find_change("a")->accepted());
     EXPECT_TRUE(world.history.violations().empty());
 }
 
-TEST(change_submitter, refuses_by_field_and_by_reused_id)
+TEST(change_submitter, rejects_invalid_fields_and_reused_ids)
 {
     simulated_world world;
     simulated_entry entry(world);
-    entry.pass();
+    entry.read_log();
     EXPECT_TRUE(entry.apply(team_change("bad", 0, 0))->has_invalid());
-    EXPECT_EQ(world.log.end(), 0U) << "what can never apply isn't appended";
+    EXPECT_EQ(world.log.end(), 0U) << "an invalid change must not be appended";
     EXPECT_TRUE(entry.apply(team_change("a", 0, 5))->has_accepted());
     EXPECT_TRUE(entry.apply(team_change("a", 1, 6))->has_invalid());
     auto dangling = team_change("ref", 1, 7);
@@ -141,17 +144,17 @@
 }
 
 /**
- * The record protocol with two operators, two entries and one loss, small
- * enough to be walked whole: every order of steps, every fate of one append.
+ * Explores the record protocol exhaustively for two operators, two entries and
+ * one fault: every order of steps and every result of one append.
  */
-class protocol_walk
+class protocol_explorer
 {
 public:
-    std::uint64_t ends() const { return ends_; }
+    std::uint64_t completed_runs() const { return completed_runs_; }
     const std::set<violation>& violations() const { return violations_; }
-    int accepted_most() const { return accepted_most_; }
+    int max_accepted() const { return max_accepted_; }
 
-    struct side {
+    struct participant {
         configuration_state state;
         change_submitter submitter;
         bool answered = false;
@@ -160,144 +163,150 @@
     struct world {
         std::vector<std::string> log{};
         std::vector<std::string> delayed{};
-        std::array<side, 2> sides;
+        std::array<participant, 2> participants;
         time_point now{};
-        bool loss_left = true;
+        bool fault_available = true;
         configuration_history history{};
         int accepted = 0;
     };
 
-    void visit(world here, int depth);
+    void explore(world current, int depth);
 
 private:
-    bool step_operator(const world& here, std::size_t index, int depth);
-    void append(world here, std::size_t index, append_fate fate, int depth);
-    bool step_tail(const world& here, std::size_t index, int depth);
-    void finish(const world& here);
+    bool step_operator(const world& current, std::size_t index, int depth);
+    void append(world current, std::size_t index, append_result result,
+                int depth);
+    bool step_tail(const world& current, std::size_t index, int depth);
+    void finish(const world& current);
 
-    std::uint64_t ends_ = 0;
-    int accepted_most_ = 0;
+    std::uint64_t completed_runs_ = 0;
+    int max_accepted_ = 0;
     std::set<violation> violations_;
 };
 
-void protocol_walk::visit(world here, int depth)
+void protocol_explorer::explore(world current, int depth)
 {
     ASSERT_LT(depth, 60);
     bool moved = false;
-    for (std::size_t i = 0; i < here.sides.size(); ++i) {
-        moved = step_operator(here, i, depth) || moved;
-        moved = step_tail(here, i, depth) || moved;
+    for (std::size_t i = 0; i < current.participants.size(); ++i) {
+        moved = step_operator(current, i, depth) || moved;
+        moved = step_tail(current, i, depth) || moved;
     }
-    if (!here.delayed.empty()) {
-        world next = here;
+    if (!current.delayed.empty()) {
+        world next = current;
         next.log.push_back(next.delayed.back());
         next.delayed.clear();
-        visit(next, depth + 1);
+        explore(next, depth + 1);
         moved = true;
     }
     if (moved)
         return;
-    if (here.sides[0].answered && here.sides[1].answered)
-        return finish(here);
-    here.now += milliseconds(1000);
-    visit(std::move(here), depth + 1);
+    if (current.participants[0].answered && current.participants[1].answered)
+        return finish(current);
+    current.now += milliseconds(1000);
+    explore(std::move(current), depth + 1);
 }
 
-bool protocol_walk::step_operator(const world& here, std::size_t index,
-                                  int depth)
+bool protocol_explorer::step_operator(const world& current, std::size_t index,
+                                      int depth)
 {
-    const side& from = here.sides.at(index);
+    const participant& from = current.participants.at(index);
     if (from.answered)
         return false;
-    world next = here;
-    side& to = next.sides.at(index);
+    world next = current;
+    participant& to = next.participants.at(index);
     const auto step = to.submitter.next(
-        progress_of(to.state, to.submitter.change()), here.now);
+        progress_of(to.state, to.submitter.change()), current.now);
     if (step == submit_step::wait)
         return false;
     if (step == submit_step::done) {
         to.answered = true;
         const auto& answer = to.submitter.result();
         next.accepted += answer.has_accepted() ? 1 : 0;
-        next.history.tell(to.submitter.change().change_id(), answer);
-        visit(std::move(next), depth + 1);
+        next.history.record_answer(to.submitter.change().change_id(), answer);
+        explore(std::move(next), depth + 1);
         return true;
     }
-    append(here, index, append_fate::kept, depth);
-    if (here.loss_left) {
-        for (const auto fate :
-             {append_fate::answer_lost, append_fate::request_lost,
-              append_fate::delayed, append_fate::duplicated})
-            append(here, index, fate, depth);
+    append(current, index, append_result::kept, depth);
+    if (current.fault_available) {
+        for (const auto result :
+             {append_result::answer_lost, append_result::request_lost,
+              append_result::delayed, append_result::duplicated})
+            append(current, index, result, depth);
     }
     return true;
 }
 
-void protocol_walk::append(world here, std::size_t index, append_fate fate,
-                           int depth)
+void protocol_explorer::append(world current, std::size_t index,
+                               append_result result, int depth)
 {
-    change_submitter& submitter = here.sides.at(index).submitter;
-    submitter.next(progress_of(here.sides.at(index).state, submitter.change()),
-                   here.now);
-    const std::uint64_t offset = here.log.size();
-    here.loss_left = here.loss_left && fate == append_fate::kept;
-    if (fate == append_fate::delayed)
-        here.delayed.push_back(submitter.record());
-    else if (fate != append_fate::request_lost)
-        here.log.push_back(submitter.record());
-    if (fate == append_fate::duplicated)
-        here.log.push_back(submitter.record());
-    if (fate == append_fate::kept || fate == append_fate::duplicated)
-        submitter.on_append(offset, here.now);
+    change_submitter& submitter = current.participants.at(index).submitter;
+    submitter.next(
+        progress_of(current.participants.at(index).state, submitter.change()),
+        current.now);
+    const std::uint64_t offset = current.log.size();
+    current.fault_available =
+        current.fault_available && result == append_result::kept;
+    if (result == append_result::delayed)
+        current.delayed.push_back(submitter.record());
+    else if (result != append_result::request_lost)
+        current.log.push_back(submitter.record());
+    if (result == append_result::duplicated)
+        current.log.push_back(submitter.record());
+    if (result == append_result::kept || result == append_result::duplicated)
+        submitter.on_append(offset, current.now);
     else
         submitter.on_append(
-            tl::unexpected(log_error{log_failure::timed_out, {}, 0}), here.now);
-    visit(std::move(here), depth + 1);
+            tl::unexpected(log_error{log_failure::timed_out, {}, 0}),
+            current.now);
+    explore(std::move(current), depth + 1);
 }
 
-bool protocol_walk::step_tail(const world& here, std::size_t index, int depth)
+bool protocol_explorer::step_tail(const world& current, std::size_t index,
+                                  int depth)
 {
-    const std::uint64_t at = here.sides.at(index).state.revision();
-    if (at >= here.log.size())
+    const std::uint64_t at = current.participants.at(index).state.revision();
+    if (at >= current.log.size())
         return false;
-    world next = here;
-    next.sides.at(index).state.apply(at, here.log.at(at));
-    visit(std::move(next), depth + 1);
+    world next = current;
+    next.participants.at(index).state.apply(at, current.log.at(at));
+    explore(std::move(next), depth + 1);
     return true;
 }
 
-void protocol_walk::finish(const world& here)
+void protocol_explorer::finish(const world& current)
 {
-    ++ends_;
-    world last = here;
-    for (std::size_t i = 0; i < last.sides.size(); ++i) {
+    ++completed_runs_;
+    world last = current;
+    for (std::size_t i = 0; i < last.participants.size(); ++i) {
         configuration_store store;
         std::vector<log_entry> records;
         for (std::uint64_t at = 0; at < last.log.size(); ++at)
             records.push_back({at, last.log.at(at)});
         store.apply(records);
-        last.history.see(i == 0 ? "a" : "b", store);
+        last.history.record_state(i == 0 ? "a" : "b", store);
     }
     const auto found = last.history.violations();
     violations_.insert(found.begin(), found.end());
-    accepted_most_ = std::max(accepted_most_, here.accepted);
-    EXPECT_EQ(here.accepted, 1) << "one of the two has to win";
+    max_accepted_ = std::max(max_accepted_, current.accepted);
+    EXPECT_EQ(current.accepted, 1) << "exactly one change must be accepted";
 }
 
-TEST(change_submitter, holds_in_every_order_of_two_operators_with_one_loss)
+TEST(change_submitter, holds_in_every_order_of_two_operators_with_one_fault)
 {
     const time_point deadline = time_point{} + milliseconds(60'000);
-    protocol_walk walk;
-    protocol_walk::world start{
-        .sides = {protocol_walk::side{
-                      {}, change_submitter(team_change("a", 0, 1), deadline)},
-                  protocol_walk::side{
-                      {}, change_submitter(team_change("b", 0, 2), deadline)}}};
-    walk.visit(std::move(start), 0);
-    std::cout << "ends walked: " << walk.ends() << '\n';
-    EXPECT_GT(walk.ends(), 1000U);
-    EXPECT_TRUE(walk.violations().empty());
-    EXPECT_EQ(walk.accepted_most(), 1);
+    protocol_explorer explorer;
+    protocol_explorer::world start{
+        .participants = {
+            protocol_explorer::participant{
+                {}, change_submitter(team_change("a", 0, 1), deadline)},
+            protocol_explorer::participant{
+                {}, change_submitter(team_change("b", 0, 2), deadline)}}};
+    explorer.explore(std::move(start), 0);
+    std::cout << "completed runs: " << explorer.completed_runs() << '\n';
+    EXPECT_GT(explorer.completed_runs(), 1000U);
+    EXPECT_TRUE(explorer.violations().empty());
+    EXPECT_EQ(explorer.max_accepted(), 1);
 }
 
 } // namespace
--- a/tests/configuration/test_change_validation.cpp
+++ b/tests/configuration/test_change_validation.cpp
@@ -10,11 +10,11 @@
 namespace
 {
 
-/** A change with one fault, and what is to be said of it. */
-struct bad_change {
+/** A modification that invalidates a change, and the expected error. */
+struct invalid_case {
     const char* field;
     change_problem problem;
-    void (*spoil)(v1::ChangeRecord&);
+    void (*invalidate)(v1::ChangeRecord&);
 };
 
 v1::Team& team_of(v1::ChangeRecord& change)
@@ -27,7 +27,7 @@
     return *change.mutable_resource()->mutable_service();
 }
 
-void expect_one_error(const v1::ChangeRecord& change, const bad_change& bad)
+void expect_one_error(const v1::ChangeRecord& change, const invalid_case& bad)
 {
     const auto errors = check_change(change);
     ASSERT_EQ(errors.size(), 1U) << bad.field;
@@ -38,7 +38,7 @@
 TEST(change_validation, names_each_bad_field_of_a_team)
 {
     using record = v1::ChangeRecord;
-    const bad_change rows[] = {
+    const invalid_case rows[] = {
         {"change_id", change_problem::missing,
          [](record& c) { c.clear_change_id(); }},
         {"change_id", change_problem::malformed,
@@ -53,7 +53,7 @@
          [](record& c) { team_of(c).clear_key_hash(); }},
         {"team.weight", change_problem::out_of_range,
          [](record& c) { team_of(c).set_weight(0); }},
-        // A limit below zero: it is a huge one by the time it is read.
+        // A negative value is decoded as a very large unsigned one.
         {"team.weight", change_problem::out_of_range,
          [](record& c) { team_of(c).set_weight(static_cast<uint32_t>(-1)); }},
         {"team.max_concurrent", change_problem::out_of_range,
@@ -73,7 +73,7 @@
     EXPECT_TRUE(check_change(team_change("c", 0, 1)).empty());
     for (const auto& row : rows) {
         auto change = team_change("c", 0, 1);
-        row.spoil(change);
+        row.invalidate(change);
         expect_one_error(change, row);
     }
 }
@@ -81,7 +81,7 @@
 TEST(change_validation, names_each_bad_field_of_a_service)
 {
     using record = v1::ChangeRecord;
-    const bad_change rows[] = {
+    const invalid_case rows[] = {
         {"service.kind", change_problem::missing,
          [](record& c) { service_of(c).clear_kind(); }},
         {"service.model", change_problem::missing,
@@ -98,7 +98,7 @@
     EXPECT_TRUE(check_change(service_change("c", 0)).empty());
     for (const auto& row : rows) {
         auto change = service_change("c", 0);
-        row.spoil(change);
+        row.invalidate(change);
         expect_one_error(change, row);
     }
 }
@@ -127,8 +127,8 @@
     state.set_name("amianto");
     *state.mutable_resource() = team.resource();
     resources.put(state);
-    const auto gone = deletion(service_change("d", 1));
-    EXPECT_EQ(check_references(gone, resources).at(0).problem,
+    const auto deleted = deletion(service_change("d", 1));
+    EXPECT_EQ(check_references(deleted, resources).at(0).problem,
               change_problem::still_referenced);
 }
 
--- a/tests/configuration/test_configuration_state.cpp
+++ b/tests/configuration/test_configuration_state.cpp
@@ -11,7 +11,7 @@
 namespace
 {
 
-/** Applies the change as the next record. */
+/** Applies the change as the log's next record. */
 apply_result add(configuration_state& state, const v1::ChangeRecord& change)
 {
     return state.apply(state.revision(), log_record_of(change));
@@ -22,7 +22,7 @@
     return state.snapshot().SerializeAsString();
 }
 
-TEST(configuration_state, lets_one_of_two_racing_changes_win)
+TEST(configuration_state, accepts_one_of_two_concurrent_changes)
 {
     configuration_state state;
     EXPECT_EQ(add(state, team_change("a", 0, 10)), apply_result::accepted);
@@ -42,9 +42,9 @@
     EXPECT_EQ(state.revision(), 3U);
 }
 
-// An operator creates a team and another deletes it. Long after, a second
-// copy of the creation comes out of the log service's queues: the team would
-// be back. Its base is older than the tombstone.
+// A team is created and deleted. Much later, a delayed second copy of the
+// creation reaches the log, when its change id is no longer remembered. It must
+// not restore the team, since its base revision is below the tombstone's.
 TEST(configuration_state, keeps_a_deleted_resource_deleted)
 {
     configuration_state state;
@@ -106,7 +106,7 @@
     return state;
 }
 
-TEST(configuration_state, goes_through_a_snapshot_in_parts_unchanged)
+TEST(configuration_state, is_restored_unchanged_from_snapshot_parts)
 {
     const auto state = sample_state();
     const auto records = snapshot_records(state.snapshot(), 99, 4096);
@@ -124,11 +124,11 @@
     configuration_state copy;
     EXPECT_TRUE(copy.restore(*whole));
     EXPECT_EQ(bytes_of(copy), bytes_of(state));
-    EXPECT_FALSE(copy.restore(*whole)) << "an equal one is not newer";
+    EXPECT_FALSE(copy.restore(*whole)) << "the same snapshot is not newer";
     EXPECT_EQ(add(copy, team_change("b", 0, 20)), apply_result::duplicate);
 }
 
-TEST(configuration_state, leads_an_agent_by_deltas)
+TEST(configuration_state, updates_an_agent_by_deltas)
 {
     auto state = sample_state();
     configuration_state agent;
@@ -139,7 +139,8 @@
     state.apply(state.revision(), "junk");
     const auto delta = state.delta_after(agent.revision());
     EXPECT_FALSE(delta.has_snapshot());
-    EXPECT_EQ(delta.records_size(), 1) << "junk isn't sent on";
+    EXPECT_EQ(delta.records_size(), 1)
+        << "the delta omits the unparsable record";
     EXPECT_TRUE(agent.apply(delta));
     EXPECT_EQ(bytes_of(agent), bytes_of(state));
     EXPECT_FALSE(agent.apply(delta)) << "an old delta changes nothing";
@@ -151,7 +152,7 @@
     EXPECT_EQ(bytes_of(agent), bytes_of(state));
 }
 
-TEST(configuration_state, refuses_a_delta_from_after_a_gap)
+TEST(configuration_state, rejects_a_delta_that_starts_after_a_gap)
 {
     const auto state = sample_state();
     configuration_state agent;
--- a/tests/configuration/test_interleavings.cpp
+++ b/tests/configuration/test_interleavings.cpp
@@ -11,17 +11,17 @@
 namespace
 {
 
-/** One step of a random run: what to do, and with whom. */
+/** One step of a random run: an action, an entry and an argument. */
 struct random_step {
-    std::uint8_t what = 0;
-    std::uint8_t who = 0;
-    std::uint8_t extra = 0;
+    std::uint8_t action = 0;
+    std::uint8_t entry_index = 0;
+    std::uint8_t argument = 0;
 };
 
 /**
- * Three entries under faults chosen at random: racing changes of two teams
- * and a service, losses of every kind, outages, retention, replaced entries
- * and old snapshots. Ends with all faults healed.
+ * Runs three entries under random faults: concurrent changes of two teams, all
+ * results of an append, outages of the log, expired records, replaced entries
+ * and outdated snapshots.
  */
 class random_run
 {
@@ -30,56 +30,61 @@
     {
         settings_.max_records = 12;
         for (int i = 0; i < 3; ++i)
-            entries_.emplace_back(world_, settings_).pass();
+            entries_.emplace_back(world_, settings_).read_log();
     }
 
     void step(const random_step& step)
     {
-        simulated_entry& entry = pick(step.who);
-        switch (step.what % 12) {
+        simulated_entry& entry = entry_at(step.entry_index);
+        switch (step.action % 12) {
         case 0:
         case 1:
-            return submit(entry, step.extra);
+            return submit(entry, step.argument);
         case 2:
         case 3:
-            return entry.step_changes();
+            return entry.step_submitters();
         case 4:
         case 5:
         case 6:
-            return entry.pass();
+            return entry.read_log();
         case 7:
-            return world_.log.expect(static_cast<append_fate>(step.extra % 5));
+            return world_.log.queue_result(
+                static_cast<append_result>(step.argument % 5));
         case 8:
-            return world_.log.release();
+            return world_.log.deliver_delayed();
         case 9:
-            world_.log.set_out(step.extra % 3 == 0);
-            return world_.advance(milliseconds(step.extra * 50));
+            world_.log.set_unavailable(step.argument % 3 == 0);
+            return world_.advance(milliseconds(step.argument * 50));
         case 10:
-            return replace_an_entry(step);
+            return replace_entry_or_expire_records(step);
         case 11:
-            return late_snapshot(entry, step.extra);
+            return store_or_append_old_snapshot(entry, step.argument);
         default:
             return;
         }
     }
 
-    void heal()
+    /** Ends all faults and runs the entries until they have caught up. */
+    void clear_faults()
     {
-        world_.log.set_out(false);
+        world_.log.set_unavailable(false);
         for (int i = 0; i < 40; ++i) {
             for (auto& entry : entries_) {
-                entry.step_changes();
-                entry.pass();
+                entry.step_submitters();
+                entry.read_log();
             }
             world_.advance(milliseconds(2'000));
         }
-        world_.log.release();
+        world_.log.deliver_delayed();
         for (auto& entry : entries_)
             entry.catch_up();
     }
 
-    /** The last records of the log may be a snapshot that nobody needs. */
-    bool all_in_step()
+    /**
+     * Returns whether all entries are idle and at the same revision. Each entry
+     * reads the log first, since the last records may be a new snapshot.
+     */
+    bool have_converged()
     {
         for (auto& entry : entries_) {
             entry.catch_up();
@@ -103,54 +108,57 @@
     }
 
 private:
-    simulated_entry& pick(std::uint8_t who)
+    simulated_entry& entry_at(std::uint8_t entry_index)
     {
-        return *std::next(entries_.begin(), who % entries_.size());
+        return *std::next(entries_.begin(), entry_index % entries_.size());
     }
 
-    void submit(simulated_entry& entry, std::uint8_t extra)
+    void submit(simulated_entry& entry, std::uint8_t argument)
     {
         if (!entry.store.ready())
             return;
-        const std::string team = extra % 2 == 0 ? "amianto" : "codigos";
+        const std::string team = argument % 2 == 0 ? "amianto" : "codigos";
         const std::uint64_t base = entry.store.view()->resources.revision_of(
             v1::RESOURCE_KIND_TEAM, team);
         auto change = team_change("c-" + std::to_string(++changes_), base,
-                                  extra + 1U, team);
-        if (extra % 7 == 0)
+                                  argument + 1U, team);
+        if (argument % 7 == 0)
             change.mutable_resource()->mutable_team()->add_services("nowhere");
-        if (extra % 11 == 0 && base != 0)
+        if (argument % 11 == 0 && base != 0)
             change.clear_resource();
-        entry.submit(change, milliseconds(extra % 5 == 0 ? 300 : 5'000));
-        // An operator who heard nothing sends the same by another entry.
-        if (extra % 3 == 0)
-            pick(extra).submit(change, milliseconds(5'000));
+        entry.submit(change, milliseconds(argument % 5 == 0 ? 300 : 5'000));
+        // An operator without an answer retries through another entry.
+        if (argument % 3 == 0)
+            entry_at(argument).submit(change, milliseconds(5'000));
     }
 
-    /** A new one starts from the log or a peer; retention may pass. */
-    void replace_an_entry(const random_step& step)
+    /**
+     * Replaces the oldest entry by a new one that starts from its state, or
+     * expires records of the log.
+     */
+    void replace_entry_or_expire_records(const random_step& step)
     {
         std::uint64_t oldest = world_.log.end();
-        auto leaving = entries_.begin();
-        if (step.extra % 2 == 0) {
-            if (!leaving->is_idle())
+        auto oldest_entry = entries_.begin();
+        if (step.argument % 2 == 0) {
+            if (!oldest_entry->is_idle())
                 return;
             entries_.emplace_back(world_, settings_);
-            entries_.back().take_state_of(*leaving);
-            entries_.erase(leaving);
+            entries_.back().restore_from(*oldest_entry);
+            entries_.erase(oldest_entry);
             return;
         }
         for (auto& entry : entries_) {
-            if (entry.store.ready() && step.extra % 5 != 0)
+            if (entry.store.ready() && step.argument % 5 != 0)
                 oldest = std::min(oldest, entry.store.revision());
         }
-        // Somebody always has what is gone: an accepted change that no
-        // process holds and that the log has lost can't be had by anyone.
-        if (holds_all())
-            world_.log.retain_from(oldest);
+        // Expires records only while some entry holds them all. An accepted
+        // change that neither the log nor any process holds is lost for good.
+        if (any_entry_holds_all())
+            world_.log.expire_before(oldest);
     }
 
-    bool holds_all()
+    bool any_entry_holds_all()
     {
         for (auto& entry : entries_) {
             if (entry.store.ready() &&
@@ -160,34 +168,37 @@
         return false;
     }
 
-    void late_snapshot(simulated_entry& entry, std::uint8_t extra)
+    /** Keeps a copy of the entry's snapshot, or appends a part of it later. */
+    void store_or_append_old_snapshot(simulated_entry& entry,
+                                      std::uint8_t argument)
     {
-        if (extra % 2 == 0 && entry.store.ready())
-            frozen_ =
+        if (argument % 2 == 0 && entry.store.ready())
+            old_snapshot_ =
                 snapshot_records(entry.store.snapshot(),
-                                 1'000'000U + ++frozen_snapshots_, 1U << 10U);
-        else if (!frozen_.empty())
-            world_.log.append(frozen_.at(extra % frozen_.size()));
+                                 1'000'000U + ++old_snapshot_count_, 1U << 10U);
+        else if (!old_snapshot_.empty())
+            world_.log.append(
+                old_snapshot_.at(argument % old_snapshot_.size()));
     }
 
     simulated_world world_;
     snapshot_settings settings_;
     std::list<simulated_entry> entries_;
-    std::vector<std::string> frozen_;
-    std::uint64_t frozen_snapshots_ = 0;
+    std::vector<std::string> old_snapshot_;
+    std::uint64_t old_snapshot_count_ = 0;
     int changes_ = 0;
 };
 
-std::uint64_t seed_of_run()
+std::uint64_t run_seed()
 {
-    const char* given = std::getenv("CYCLAMENRUN_SEED");
-    return given != nullptr ? std::strtoull(given, nullptr, 10) : 20261202U;
+    const char* value = std::getenv("CYCLAMENRUN_SEED");
+    return value != nullptr ? std::strtoull(value, nullptr, 10) : 20261202U;
 }
 
-TEST(interleavings, keep_every_promise_to_operators)
+TEST(interleavings, uphold_all_guarantees_to_operators)
 {
     rc::detail::TestParams params;
-    params.seed = seed_of_run();
+    params.seed = run_seed();
     params.maxSuccess = 600;
     params.maxSize = 400;
     std::cout << "CYCLAMENRUN_SEED=" << params.seed << '\n';
@@ -200,20 +211,20 @@
                                rc::gen::arbitrary<std::uint8_t>(),
                                rc::gen::arbitrary<std::uint8_t>()));
             random_run run;
-            for (const auto& [what, who, extra] : script)
-                run.step({what, who, extra});
-            run.heal();
+            for (const auto& [action, entry_index, argument] : script)
+                run.step({action, entry_index, argument});
+            run.clear_faults();
             RC_ASSERT(run.violations() == std::set<violation>{});
-            RC_ASSERT(run.all_in_step());
+            RC_ASSERT(run.have_converged());
             gaps += run.gaps();
         },
-        rc::detail::TestMetadata{"interleavings", "keep every promise"},
+        rc::detail::TestMetadata{"interleavings", "uphold all guarantees"},
         params);
     rc::detail::SuccessResult success;
     EXPECT_TRUE(result.match(success));
     rc::detail::printResultMessage(result, std::cout);
-    std::cout << "\ngaps met: " << gaps << '\n';
-    EXPECT_GT(gaps, 0U) << "the runs no longer reach what they are for";
+    std::cout << "\ngaps encountered: " << gaps << '\n';
+    EXPECT_GT(gaps, 0U) << "the runs must cover gaps in the log";
 }
 
 } // namespace
--- a/tests/configuration/test_log_tail.cpp
+++ b/tests/configuration/test_log_tail.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Sets the weight of the one team through the entry, whatever it was. */
+/** Sets the weight of the team through the entry, on its current revision. */
 void set_weight(simulated_entry& entry, std::uint32_t weight)
 {
     const auto base = entry.store.view()->resources.revision_of(
@@ -26,56 +26,57 @@
     return entry.store.view()->resources.team("amianto")->weight();
 }
 
-// The log is out for an hour, and every VM is replaced meanwhile. Callers of
-// the new entries would be refused, or served by no limits at all; they take
-// the state of a peer instead, and go on from there when the log is back.
+// The log is unavailable for an hour, during which every VM is replaced. New
+// entries without a configuration would refuse callers or serve them without
+// limits. They restore a peer's state, and continue from it when the log is
+// available again.
 TEST(log_tail, starts_from_a_peer_while_the_log_is_out)
 {
     simulated_world world;
     simulated_entry first(world);
-    first.pass();
+    first.read_log();
     set_weight(first, 5);
-    world.log.set_out(true);
+    world.log.set_unavailable(true);
     simulated_entry second(world);
     second.catch_up();
     EXPECT_FALSE(second.store.ready());
-    second.take_state_of(first);
+    second.restore_from(first);
     EXPECT_EQ(weight_at(second), 5U);
     world.advance(std::chrono::hours(1));
     simulated_entry third(world);
-    third.take_state_of(second);
-    first.take_state_of(third);
+    third.restore_from(second);
+    first.restore_from(third);
     EXPECT_GT(second.status().failures, 0U);
-    world.log.set_out(false);
+    world.log.set_unavailable(false);
     set_weight(third, 6);
     second.catch_up();
     EXPECT_EQ(weight_at(second), 6U);
     EXPECT_TRUE(world.history.violations().empty());
 }
 
-// Retention passes during an outage. A reader that had not read the last
-// records would miss an accepted change for ever if it went on at the first
-// record kept; it keeps what it has until another's snapshot closes the gap.
-TEST(log_tail, never_passes_over_records_that_are_gone)
+// Records expire during an outage before a reader has read them. If the reader
+// continued at the first retained record it would miss an accepted change for
+// ever. It keeps its state until another entry's snapshot closes the gap.
+TEST(log_tail, never_skips_expired_records)
 {
     simulated_world world;
     simulated_entry ahead(world);
     simulated_entry behind(world);
-    ahead.pass();
-    behind.pass();
+    ahead.read_log();
+    behind.read_log();
     set_weight(ahead, 5);
     behind.catch_up();
     set_weight(ahead, 7);
-    world.log.set_out(true);
+    world.log.set_unavailable(true);
     behind.catch_up();
     world.advance(std::chrono::hours(1));
-    world.log.set_out(false);
-    world.log.retain_from(world.log.end());
+    world.log.set_unavailable(false);
+    world.log.expire_before(world.log.end());
     world.log.append(log_record_of(team_change("later", 1, 9)));
     behind.catch_up();
     EXPECT_EQ(behind.status().state, tail_state::behind_gap);
     EXPECT_EQ(weight_at(behind), 5U);
-    ahead.catch_up(); // writes a snapshot, since no other is retained
+    ahead.catch_up(); // writes a snapshot because none is retained
     behind.catch_up();
     EXPECT_EQ(behind.status().state, tail_state::following);
     EXPECT_EQ(behind.status().gaps, 1U);
@@ -84,48 +85,49 @@
     EXPECT_TRUE(world.history.violations().empty());
 }
 
-// As above, but nobody has what is gone: nothing may be made up, and a
-// snapshot from after what the reader has but before the gap doesn't help.
-TEST(log_tail, stays_behind_a_gap_that_nobody_can_close)
+// As above, but the only snapshot on the log lacks the last expired record. It
+// is newer than the reader's state but must not close the gap. A peer's state
+// that covers all expired records does.
+TEST(log_tail, stays_behind_a_gap_that_no_snapshot_covers)
 {
     simulated_world world;
     simulated_entry writer(world);
     simulated_entry reader(world);
-    writer.pass();
+    writer.read_log();
     set_weight(writer, 5);
     reader.catch_up();
     set_weight(writer, 6);
     const auto old = snapshot_records(writer.store.snapshot(), 77, 1U << 15U);
     set_weight(writer, 7);
-    world.log.retain_from(world.log.end());
+    world.log.expire_before(world.log.end());
     world.log.append(old.at(0));
     reader.catch_up();
     EXPECT_EQ(reader.status().state, tail_state::behind_gap);
     EXPECT_EQ(weight_at(reader), 5U);
-    reader.take_state_of(writer);
+    reader.restore_from(writer);
     reader.catch_up();
     EXPECT_EQ(reader.status().state, tail_state::following);
     EXPECT_EQ(weight_at(reader), 7U);
     EXPECT_TRUE(world.history.violations().empty());
 }
 
-// An entry accepts a change just before the log goes out, and dies; its
-// record expires before any other entry has read it. An agent has it by a
-// heartbeat: were entries to look at the log alone, it would be lost.
-TEST(log_tail, recovers_from_an_agent_what_the_log_has_lost)
+// An entry accepts a change, sends it to an agent in a heartbeat and crashes.
+// The record expires and the log becomes unavailable before any other entry
+// reads it. If entries used the log alone, the accepted change would be lost.
+TEST(log_tail, recovers_expired_records_from_an_agent)
 {
     simulated_world world;
     auto accepting = std::make_unique<simulated_entry>(world);
     simulated_entry other(world);
     configuration_store agent;
-    accepting->pass();
+    accepting->read_log();
     set_weight(*accepting, 5);
     other.catch_up();
     set_weight(*accepting, 6);
     ASSERT_TRUE(agent.apply(accepting->store.delta_after(0)));
     accepting.reset();
-    world.log.retain_from(world.log.end());
-    world.log.set_out(true);
+    world.log.expire_before(world.log.end());
+    world.log.set_unavailable(true);
 
     std::vector<v1::ProcessRevision> peers(2);
     peers[0].set_process("agent-dead");
@@ -135,26 +137,26 @@
     configuration_recovery recovery(other.store, [&](const std::string& peer) {
         return peer == "agent" ? agent.state() : std::string();
     });
-    other.pass();
+    other.read_log();
     EXPECT_FALSE(recovery.poll(other.status(), peers, world.now));
-    other.pass();
+    other.read_log();
     EXPECT_TRUE(recovery.poll(other.status(), peers, world.now));
     EXPECT_FALSE(recovery.poll(other.status(), peers, world.now)) << "too soon";
     EXPECT_EQ(weight_at(other), 6U);
-    world.log.set_out(false);
+    world.log.set_unavailable(false);
     other.catch_up();
     EXPECT_EQ(other.status().state, tail_state::following);
     EXPECT_TRUE(world.history.violations().empty());
 }
 
-// A writer of snapshots is frozen after it took the state, and resumes when
-// much has changed: its old snapshot comes onto the log last. A reader that
-// took the newest record for the newest state would go back in time.
-TEST(log_tail, is_not_set_back_by_an_old_snapshot_written_late)
+// A snapshot writer is suspended after it copied the state and appends its
+// outdated snapshot after later changes. A reader that assumed the last
+// snapshot on the log to be the newest state would revert those changes.
+TEST(log_tail, ignores_an_old_snapshot_written_late)
 {
     simulated_world world;
     simulated_entry entry(world);
-    entry.pass();
+    entry.read_log();
     set_weight(entry, 5);
     const auto old = snapshot_records(entry.store.snapshot(), 77, 1U << 15U);
     const auto kept_from = entry.store.revision();
@@ -162,27 +164,28 @@
     world.log.append(old.at(0));
     entry.catch_up();
     EXPECT_EQ(weight_at(entry), 6U);
-    // Nor does it mislead a fresh reader, to whom it is of use.
-    world.log.retain_from(kept_from);
-    simulated_entry fresh(world);
-    for (int i = 0; i < 20 && !fresh.store.ready(); ++i)
-        fresh.pass();
-    ASSERT_TRUE(fresh.store.ready());
-    EXPECT_EQ(weight_at(fresh), 6U) << "ready before what came after it";
+    // A new reader starts from this snapshot and still applies later changes.
+    world.log.expire_before(kept_from);
+    simulated_entry new_entry(world);
+    for (int i = 0; i < 20 && !new_entry.store.ready(); ++i)
+        new_entry.read_log();
+    ASSERT_TRUE(new_entry.store.ready());
+    EXPECT_EQ(weight_at(new_entry), 6U)
+        << "must not be ready before it applied later changes";
     EXPECT_TRUE(world.history.violations().empty());
 }
 
-// Every entry is replaced, one by one, again and again, while retention goes
-// on: the first changes are long gone from the log, and have to live on in
-// snapshots which entries that saw neither write again.
-TEST(log_tail, carries_state_through_entries_replaced_one_by_one)
+// Entries are replaced one by one while records expire. The first changes are
+// no longer on the log and survive only in snapshots, which have to be renewed
+// by entries that read neither the changes nor the first snapshots.
+TEST(log_tail, keeps_state_while_entries_are_replaced_one_by_one)
 {
     snapshot_settings settings;
     settings.max_records = 10;
     simulated_world world;
     std::list<simulated_entry> entries;
     for (int i = 0; i < 3; ++i)
-        entries.emplace_back(world, settings).pass();
+        entries.emplace_back(world, settings).read_log();
     set_weight(entries.front(), 42);
     EXPECT_TRUE(
         entries.front().apply(service_change("s-0", 0))->has_accepted());
@@ -198,7 +201,7 @@
         entries.emplace_back(world, settings).catch_up();
         ASSERT_TRUE(entries.back().store.ready()) << round;
         if (world.log.end() > 30)
-            world.log.retain_from(world.log.end() - 30);
+            world.log.expire_before(world.log.end() - 30);
         world.advance(std::chrono::minutes(1));
     }
     EXPECT_GT(world.log.first_retained(), 2U);
@@ -206,41 +209,41 @@
     EXPECT_TRUE(world.history.violations().empty());
 }
 
-// The log answers each call 30 s late. An operator with 10 s to spare hears
-// that the outcome isn't known, and the change is in force all the same.
-TEST(log_tail, tells_unknown_when_the_log_is_slow)
+// The log answers 30 s late, after the operator's deadline of 10 s. The entry
+// reports an unknown outcome although the change takes effect later.
+TEST(log_tail, reports_unknown_when_the_log_is_slow)
 {
     simulated_world world;
     simulated_entry entry(world);
-    entry.pass();
+    entry.read_log();
     entry.submit(team_change("slow", 0, 3));
-    world.log.expect(append_fate::delayed);
-    entry.step_changes();
+    world.log.queue_result(append_result::delayed);
+    entry.step_submitters();
     world.advance(milliseconds(30'000));
-    entry.step_changes();
+    entry.step_submitters();
     ASSERT_TRUE(entry.is_idle());
     EXPECT_TRUE(entry.last_answer->has_unknown());
-    world.log.release();
+    world.log.deliver_delayed();
     entry.catch_up();
     EXPECT_EQ(weight_at(entry), 3U);
     EXPECT_TRUE(world.history.violations().empty());
 }
 
-TEST(log_tail, leaves_a_fresh_process_unready_until_it_has_caught_up)
+TEST(log_tail, keeps_a_new_process_unready_until_it_has_caught_up)
 {
     simulated_world world;
     simulated_entry entry(world);
-    entry.pass();
+    entry.read_log();
     for (std::uint32_t i = 1; i <= 300; ++i)
         set_weight(entry, i);
-    simulated_entry fresh(world);
-    fresh.pass(); // one page of several
-    EXPECT_FALSE(fresh.store.ready());
-    fresh.catch_up();
-    EXPECT_EQ(weight_at(fresh), 300U);
+    simulated_entry new_entry(world);
+    new_entry.read_log(); // one page of several
+    EXPECT_FALSE(new_entry.store.ready());
+    new_entry.catch_up();
+    EXPECT_EQ(weight_at(new_entry), 300U);
 }
 
-TEST(snapshot_schedule, has_one_writer_and_stand_ins_after_it)
+TEST(snapshot_schedule, has_one_writer_and_ranked_backups)
 {
     const std::vector<std::string> entries{"a", "b", "c", "d"};
     snapshot_settings settings;
--- a/tests/configuration/test_order_lease.cpp
+++ b/tests/configuration/test_order_lease.cpp
@@ -15,38 +15,40 @@
 namespace
 {
 
-/** An engine, with or without a memory for fencing numbers. */
+/** An engine that may or may not reject orders by their fencing number. */
 struct fake_engine {
-    struct taken_order {
+    struct accepted_order {
         std::uint64_t incarnation = 0;
         std::uint64_t fence = 0;
         time_point from{};
         time_point to{};
     };
 
-    order_result take(std::uint64_t incarnation, const engine_order& order,
-                      time_point from, time_point to)
+    order_result handle_order(std::uint64_t incarnation,
+                              const engine_order& order, time_point from,
+                              time_point to)
     {
         if (honours_fencing && order.fence < highest)
             return order_result::old_number;
         highest = std::max(highest, order.fence);
-        taken.push_back({incarnation, order.fence, from, to});
+        accepted_orders.push_back({incarnation, order.fence, from, to});
         return order_result::done;
     }
 
     /**
-     * Whether an order was taken after one of a later claimant. An engine
-     * that looks at the numbers puts orders in a row as they come; on one
-     * that doesn't, orders of two agents must not even overlap.
+     * Returns whether an order was accepted after one of a later claimant. An
+     * engine that checks fencing numbers serializes the orders it receives; at
+     * any other engine, orders of two agents must not overlap in time either.
      */
-    bool disordered() const
+    bool has_order_violation() const
     {
-        for (std::size_t i = 1; i < taken.size(); ++i) {
-            if (taken[i].fence < taken[i - 1].fence)
+        for (std::size_t i = 1; i < accepted_orders.size(); ++i) {
+            if (accepted_orders[i].fence < accepted_orders[i - 1].fence)
                 return true;
             if (!honours_fencing &&
-                taken[i].incarnation != taken[i - 1].incarnation &&
-                taken[i].from < taken[i - 1].to)
+                accepted_orders[i].incarnation !=
+                    accepted_orders[i - 1].incarnation &&
+                accepted_orders[i].from < accepted_orders[i - 1].to)
                 return true;
         }
         return false;
@@ -54,7 +56,7 @@
 
     bool honours_fencing = true;
     std::uint64_t highest = 0;
-    std::vector<taken_order> taken;
+    std::vector<accepted_order> accepted_orders;
 };
 
 struct engine_world {
@@ -63,7 +65,7 @@
     time_point now{};
 };
 
-/** An agent as far as orders go; it always has another one to give. */
+/** The order handling of an agent that always has another order to send. */
 class simulated_agent
 {
 public:
@@ -76,57 +78,60 @@
               [this](const engine_order& order) { return send(order); },
               [this] { return clock(); })
     {
-        want_another();
+        add_desired_order();
     }
 
-    void want_another()
+    void add_desired_order()
     {
-        queue_.on_desired(
-            {{engine_action::set_role, "role-" + std::to_string(++wanted_)}}, 1,
-            clock());
+        queue_.on_desired({{engine_action::set_role,
+                            "role-" + std::to_string(++order_count_)}},
+                          1, clock());
     }
 
     order_runner_state pass()
     {
-        if (clock() < frozen_until_)
+        if (clock() < suspended_until_)
             return order_runner_state::claiming;
         const auto state = runner_.pass();
         if (state == order_runner_state::acted)
-            want_another();
+            add_desired_order();
         return state;
     }
 
-    /** It stops for a while; clocks go on. */
-    void freeze(milliseconds how_long) { frozen_until_ = clock() + how_long; }
-    /** Its next order is held up between the decision and the engine. */
-    void freeze_in_order() { frozen_in_order_ = true; }
-    /** Runs `meanwhile` just before the clock is read for the n-th time. */
-    void freeze_at(int reading, std::function<void()> meanwhile)
+    /** Suspends the agent for a time; its clock continues. */
+    void suspend(milliseconds duration)
     {
-        freeze_at_ = readings_ + reading;
+        suspended_until_ = clock() + duration;
+    }
+    /** Makes each later order last for the whole order limit. */
+    void delay_orders() { orders_delayed_ = true; }
+    /** Calls `meanwhile` just before the n-th reading of the clock from now. */
+    void suspend_at(int reading, std::function<void()> meanwhile)
+    {
+        suspend_at_ = readings_ + reading;
         meanwhile_ = std::move(meanwhile);
     }
-    /** Its clock goes faster or slower than the world's, by so many in 1000. */
-    void set_drift(int per_mille) { drift_ = per_mille; }
+    /** Sets how much faster the agent's clock runs; negative for slower. */
+    void set_drift(int per_mille) { drift_per_mille_ = per_mille; }
 
     order_runner& runner() { return runner_; }
 
 private:
     time_point clock()
     {
-        if (++readings_ == freeze_at_)
+        if (++readings_ == suspend_at_)
             meanwhile_();
         const auto since = world_.now.time_since_epoch();
-        return time_point(since + since * drift_ / 1000);
+        return time_point(since + since * drift_per_mille_ / 1000);
     }
 
     order_result send(const engine_order& order)
     {
         const time_point start = world_.now;
         const auto limit = settings_.order_limit;
-        return world_.engine.take(incarnation_, order, start,
-                                  start +
-                                      (frozen_in_order_ ? limit : limit / 10));
+        return world_.engine.handle_order(
+            incarnation_, order, start,
+            start + (orders_delayed_ ? limit : limit / 10));
     }
 
     engine_world& world_;
@@ -136,13 +141,13 @@
     order_claims claims_;
     order_queue queue_;
     order_runner runner_;
-    int wanted_ = 0;
-    int drift_ = 0;
+    int order_count_ = 0;
+    int drift_per_mille_ = 0;
     int readings_ = 0;
-    int freeze_at_ = 0;
+    int suspend_at_ = 0;
     std::function<void()> meanwhile_;
-    bool frozen_in_order_ = false;
-    time_point frozen_until_{};
+    bool orders_delayed_ = false;
+    time_point suspended_until_{};
 };
 
 order_lease_settings settings_for(bool honours_fencing)
@@ -152,8 +157,11 @@
     return settings;
 }
 
-/** Passes until an order was given; returns the time that took. */
-milliseconds run_until_acted(engine_world& world, simulated_agent& agent)
+/**
+ * Runs the agent until it has sent an order, for at most two minutes. Returns
+ * the elapsed time.
+ */
+milliseconds run_until_order_sent(engine_world& world, simulated_agent& agent)
 {
     const time_point start = world.now;
     while (agent.pass() != order_runner_state::acted) {
@@ -164,20 +172,20 @@
     return std::chrono::duration_cast<milliseconds>(world.now - start);
 }
 
-// A new agent comes while the old one is frozen with an order in hand. With
-// an engine that ignores fencing numbers the old order, sent on resume,
-// would undo the new agent's.
-TEST(order_lease, has_a_frozen_agent_drop_its_order_on_resume)
+// A new agent takes over while the old one is suspended with an order pending.
+// At an engine that ignores fencing numbers, the old agent's order would
+// override the new agent's if it were sent on resume.
+TEST(order_lease, drops_an_order_after_a_suspension)
 {
     engine_world world;
     world.engine.honours_fencing = false;
     const auto settings = settings_for(false);
     simulated_agent old_agent(world, 1, settings);
-    run_until_acted(world, old_agent);
-    ASSERT_EQ(world.engine.taken.size(), 1U);
-    old_agent.freeze(std::chrono::minutes(1));
+    run_until_order_sent(world, old_agent);
+    ASSERT_EQ(world.engine.accepted_orders.size(), 1U);
+    old_agent.suspend(std::chrono::minutes(1));
     simulated_agent new_agent(world, 2, settings);
-    const auto waited = run_until_acted(world, new_agent);
+    const auto waited = run_until_order_sent(world, new_agent);
     EXPECT_GE(waited, settings.lease + settings.margin);
     world.now += std::chrono::minutes(1);
     for (int i = 0; i < 50; ++i) {
@@ -185,78 +193,83 @@
         world.now += milliseconds(100);
     }
     EXPECT_EQ(old_agent.pass(), order_runner_state::stood_down);
-    EXPECT_EQ(world.engine.taken.back().incarnation, 2U);
-    EXPECT_FALSE(world.engine.disordered());
+    EXPECT_EQ(world.engine.accepted_orders.back().incarnation, 2U);
+    EXPECT_FALSE(world.engine.has_order_violation());
 }
 
-// The same, with the old agent frozen at every step between looking at the
-// clock and giving the order.
-TEST(order_lease, drops_its_order_wherever_it_was_frozen)
+// As above, but the old agent is suspended at each point between reading the
+// clock and sending the order.
+TEST(order_lease, drops_an_order_after_a_suspension_at_any_point)
 {
-    int given_before = 0;
+    int accepted_total = 0;
     for (int reading = 1; reading <= 30; ++reading) {
         engine_world world;
         world.engine.honours_fencing = false;
         const auto settings = settings_for(false);
         simulated_agent old_agent(world, 1, settings);
         simulated_agent new_agent(world, 2, settings);
-        run_until_acted(world, old_agent);
-        old_agent.freeze_at(reading,
-                            [&] { run_until_acted(world, new_agent); });
+        run_until_order_sent(world, old_agent);
+        old_agent.suspend_at(reading,
+                             [&] { run_until_order_sent(world, new_agent); });
         for (int i = 0; i < 30; ++i)
             old_agent.pass();
-        ASSERT_FALSE(world.engine.disordered()) << "reading " << reading;
-        ASSERT_EQ(world.engine.taken.back().incarnation, 2U) << reading;
-        given_before += static_cast<int>(world.engine.taken.size());
+        ASSERT_FALSE(world.engine.has_order_violation())
+            << "reading " << reading;
+        ASSERT_EQ(world.engine.accepted_orders.back().incarnation, 2U)
+            << reading;
+        accepted_total += static_cast<int>(world.engine.accepted_orders.size());
     }
-    EXPECT_GT(given_before, 90);
+    EXPECT_GT(accepted_total, 90);
 }
 
-// The same with an engine that refuses old numbers: nobody has to wait.
+// An engine that refuses old fencing numbers makes the wait unnecessary.
 TEST(order_lease, does_not_wait_where_the_engine_refuses_old_numbers)
 {
     engine_world world;
     simulated_agent old_agent(world, 1, settings_for(true));
-    run_until_acted(world, old_agent);
+    run_until_order_sent(world, old_agent);
     simulated_agent new_agent(world, 2, settings_for(true));
-    EXPECT_LE(run_until_acted(world, new_agent), milliseconds(1'000));
-    EXPECT_EQ(world.engine.take(1, {1, {}, {}, {}}, world.now, world.now),
-              order_result::old_number);
+    EXPECT_LE(run_until_order_sent(world, new_agent), milliseconds(1'000));
+    EXPECT_EQ(
+        world.engine.handle_order(1, {1, {}, {}, {}}, world.now, world.now),
+        order_result::old_number);
 }
 
-// The claim's append gets lost, or its answer, or it comes twice, or late:
-// after the new agent's claim, where it must not take the engine back.
-TEST(order_lease, survives_lost_doubled_and_late_claims)
+// The append of a claim is lost, loses its answer, is duplicated or is delayed.
+// A delayed copy that reaches the log after the new agent's claim must not give
+// the engine back to the old agent.
+TEST(order_lease, handles_lost_duplicated_and_late_claims)
 {
-    for (const auto fate : {append_fate::answer_lost, append_fate::request_lost,
-                            append_fate::duplicated, append_fate::delayed}) {
+    for (const auto result :
+         {append_result::answer_lost, append_result::request_lost,
+          append_result::duplicated, append_result::delayed}) {
         engine_world world;
         world.engine.honours_fencing = false;
         simulated_agent old_agent(world, 1, settings_for(false));
-        world.log.expect(fate);
-        run_until_acted(world, old_agent);
+        world.log.queue_result(result);
+        run_until_order_sent(world, old_agent);
         simulated_agent new_agent(world, 2, settings_for(false));
-        run_until_acted(world, new_agent);
-        world.log.release();
-        run_until_acted(world, new_agent);
-        ASSERT_FALSE(world.engine.taken.empty());
-        EXPECT_EQ(world.engine.taken.back().incarnation, 2U);
-        EXPECT_FALSE(world.engine.disordered());
+        run_until_order_sent(world, new_agent);
+        world.log.deliver_delayed();
+        run_until_order_sent(world, new_agent);
+        ASSERT_FALSE(world.engine.accepted_orders.empty());
+        EXPECT_EQ(world.engine.accepted_orders.back().incarnation, 2U);
+        EXPECT_FALSE(world.engine.has_order_violation());
     }
 }
 
-TEST(order_lease, gives_no_order_when_the_log_is_out)
+TEST(order_lease, sends_no_order_while_the_log_is_unavailable)
 {
     engine_world world;
-    world.log.set_out(true);
+    world.log.set_unavailable(true);
     simulated_agent agent(world, 1, settings_for(true));
-    EXPECT_GT(run_until_acted(world, agent), std::chrono::minutes(1));
-    EXPECT_TRUE(world.engine.taken.empty());
+    EXPECT_GT(run_until_order_sent(world, agent), std::chrono::minutes(1));
+    EXPECT_TRUE(world.engine.accepted_orders.empty());
 }
 
-// Claims are kept for a bounded number of upstreams; an agent whose claim
-// dropped out must neither act by it nor stand down for ever.
-TEST(order_lease, claims_anew_when_its_claim_is_no_longer_kept)
+// Claims are kept for a limited number of upstreams. An agent whose claim was
+// evicted must neither act on it nor give up for ever.
+TEST(order_lease, claims_again_after_its_claim_was_evicted)
 {
     const auto settings = settings_for(false);
     order_lease lease("vm-1", 1, settings);
@@ -275,8 +288,9 @@
     EXPECT_EQ(lease.claim().base_fencing_number(), 0U);
 }
 
-// The agent is frozen while its claim is under way and reads it back late.
-// Counted from the read-back, its lease would outlive a taker's wait.
+// An agent is suspended while its claim is in transit and reads it back late.
+// If its lease started at the read-back, it would last longer than the time
+// for which a successor waits.
 TEST(order_lease, counts_its_lease_from_when_the_claim_was_first_sent)
 {
     const auto settings = settings_for(true);
@@ -288,17 +302,17 @@
     own.set_fencing_number(5);
     lease.on_claim_read({}, sent, sent);
     lease.on_claim_sent(sent);
-    lease.on_claim_sent(sent + milliseconds(1'000)); // another copy
+    lease.on_claim_sent(sent + milliseconds(1'000)); // second copy of the claim
     lease.on_claim_read(own, sent, sent + milliseconds(5'000));
     const auto last = sent + settings.lease - settings.order_limit;
     EXPECT_TRUE(lease.may_act(last));
     EXPECT_FALSE(lease.may_act(last + milliseconds(1)));
 }
 
-// Two agents for one upstream, frozen, cut from the log and with clocks that
-// drift, at random: whatever the order of events, the engine must not take
-// an order after one of a later claimant.
-TEST(order_lease, lets_one_claimant_act_at_a_time)
+// Up to three agents of one upstream are suspended at random and lose access
+// to the log while their clocks drift. In no order of events may the engine
+// accept an order after one of a later claimant.
+TEST(order_lease, allows_one_claimant_at_a_time)
 {
     std::uint64_t orders = 0;
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
@@ -317,25 +331,26 @@
             auto& agent = *agents.at(random() % started);
             agent.pass();
             if (random() % 50 == 0)
-                agent.freeze(milliseconds(random() % 30'000));
+                agent.suspend(milliseconds(random() % 30'000));
             if (random() % 40 == 0)
-                agent.freeze_in_order();
+                agent.delay_orders();
             if (random() % 30 == 0)
-                world.log.expect(static_cast<append_fate>(random() % 5));
+                world.log.queue_result(
+                    static_cast<append_result>(random() % 5));
             if (random() % 30 == 0)
-                world.log.release();
+                world.log.deliver_delayed();
             if (random() % 40 == 0)
-                world.log.set_out(random() % 3 == 0);
+                world.log.set_unavailable(random() % 3 == 0);
             world.now += milliseconds(random() % 300);
         }
-        ASSERT_FALSE(world.engine.disordered()) << "seed " << seed;
-        orders += world.engine.taken.size();
+        ASSERT_FALSE(world.engine.has_order_violation()) << "seed " << seed;
+        orders += world.engine.accepted_orders.size();
     }
-    std::cout << "orders taken in 300 seeds: " << orders << '\n';
+    std::cout << "orders accepted in 300 seeds: " << orders << '\n';
     EXPECT_GT(orders, 5'000U);
 }
 
-TEST(order_queue, wants_what_assignments_say)
+TEST(order_queue, derives_orders_from_assignments)
 {
     configuration_state state;
     state.apply(0, log_record_of(service_change("s", 0)));
@@ -358,7 +373,7 @@
     EXPECT_GT(roles["decode"], 25);
 }
 
-/** Tries at the weight store until all agents have loaded. */
+/** Requests to the weight store until all agents have loaded the model. */
 struct load_outcome {
     int refused = 0;
     milliseconds took{0};
@@ -369,13 +384,13 @@
     constexpr int agents = 100;
     constexpr double store_rate = 2.0;
     std::mt19937_64 random(7);
-    std::uniform_real_distribution<double> even(0.0, 1.0);
+    std::uniform_real_distribution<double> uniform(0.0, 1.0);
     order_queue_settings settings;
     settings.loads_per_second = spread ? store_rate / 1.3 : 1e9;
     std::vector<order_queue> queues;
     time_point now{};
     for (int i = 0; i < agents; ++i) {
-        queues.emplace_back(settings, [&] { return even(random); });
+        queues.emplace_back(settings, [&] { return uniform(random); });
         queues.back().on_desired({{engine_action::load_model, "m"}}, agents,
                                  now);
     }
@@ -387,13 +402,14 @@
             const auto order = queue.next(now);
             if (!order)
                 continue;
-            const bool room = tokens >= 1.0;
-            tokens -= room ? 1.0 : 0.0;
-            loaded += room ? 1 : 0;
-            result.refused += room ? 0 : 1;
-            queue.on_result(
-                *order, room ? order_result::done : order_result::store_limited,
-                now);
+            const bool available = tokens >= 1.0;
+            tokens -= available ? 1.0 : 0.0;
+            loaded += available ? 1 : 0;
+            result.refused += available ? 0 : 1;
+            queue.on_result(*order,
+                            available ? order_result::done
+                                      : order_result::store_limited,
+                            now);
         }
         now += milliseconds(100);
         tokens = std::min(4.0, tokens + store_rate / 10);
@@ -403,9 +419,10 @@
     return result;
 }
 
-// A failure domain restarts: a hundred agents want weights from a store that
-// gives two a second. All at once, most are refused, again and again.
-TEST(order_queue, does_not_stampede_the_weight_store)
+// After the restart of a failure domain, 100 agents load weights from a store
+// that serves two requests per second. If all requested them at once, the store
+// would refuse most of them repeatedly (thundering herd).
+TEST(order_queue, avoids_a_thundering_herd_at_the_weight_store)
 {
     const auto spread = restart_domain(true);
     const auto at_once = restart_domain(false);
