--- a/src/libcyclamenrun/configuration/configuration_revisions.hpp
+++ b/src/libcyclamenrun/configuration/configuration_revisions.hpp
@@ -13,12 +13,12 @@
 namespace cyclamenrun
 {
 
-/** Which kind of process holds a revision. */
+/** Kind of a process that reports its revision. */
 enum class process_role : std::uint8_t { entry, agent };
 
 std::string_view name_of(process_role role);
 
-/** A process as far as its configuration is concerned. */
+/** Identifies a process that holds a configuration. */
 struct process_identity {
     std::string process;
     process_role role = process_role::entry;
@@ -26,32 +26,36 @@
 };
 
 /**
- * The revision in force at each process that was heard of lately, so that an
- * operator can wait until a change is in force everywhere.
+ * The revision in force at each process that reported one recently. Operators
+ * use it to wait until a change is in force everywhere.
  */
 class configuration_revisions
 {
 public:
-    /** A process told its revision; an older one never replaces a newer. */
-    void note(const process_identity& who, std::uint64_t revision,
+    /**
+     * Records a revision that a process reported. An older revision never
+     * replaces a newer one.
+     */
+    void note(const process_identity& identity, std::uint64_t revision,
               time_point now);
 
-    /** A process is gone for good. */
+    /** Removes a process that will not report again. */
     void forget(const std::string& process);
 
     std::vector<v1::ProcessRevision> list(time_point now) const;
 
-    /** When silent for so long, a process is no longer listed. */
-    static constexpr milliseconds kept_for{600'000};
+    /** A process without a report for this long is not listed. */
+    static constexpr milliseconds max_report_age{600'000};
     static constexpr std::size_t max_processes = 4096;
 
 private:
     struct row {
-        process_identity who;
+        process_identity identity;
         std::uint64_t revision = 0;
-        time_point heard_at{};
+        time_point reported_at{};
     };
 
+    /** Removes expired rows, or the oldest one if none has expired. */
     void make_room(time_point now);
 
     mutable std::mutex mutex_;
--- a/src/libcyclamenrun/configuration/snapshot_parts.hpp
+++ b/src/libcyclamenrun/configuration/snapshot_parts.hpp
@@ -13,32 +13,36 @@
 namespace cyclamenrun
 {
 
-/** Log records that hold the snapshot, each of about `part_bytes` at most. */
+/**
+ * Splits the snapshot into log records of about `part_bytes` at most. A single
+ * larger item gets a record of its own.
+ */
 std::vector<std::string> snapshot_records(const v1::SnapshotRecord& snapshot,
                                           std::uint64_t snapshot_id,
                                           std::size_t part_bytes);
 
 /**
- * Puts snapshots together from their parts, which may be interleaved with
- * those of another writer. Of unfinished ones, the oldest is dropped.
+ * Assembles snapshots from their parts. Parts of several writers may be
+ * interleaved. Drops the oldest incomplete snapshot when there are more than
+ * max_incomplete.
  */
 class snapshot_assembler
 {
 public:
-    /** The whole snapshot, when this was its last missing part. */
+    /** Adds a part; returns the snapshot if the part completes it. */
     std::optional<v1::SnapshotRecord> add(const v1::SnapshotRecord& part);
 
-    static constexpr std::size_t max_unfinished = 4;
+    static constexpr std::size_t max_incomplete = 4;
     static constexpr std::uint32_t max_parts = 256;
 
 private:
     using parts = std::map<std::uint32_t, v1::SnapshotRecord>;
 
     parts& parts_of(std::uint64_t snapshot_id);
-    void forget(std::uint64_t snapshot_id);
+    void remove_parts(std::uint64_t snapshot_id);
 
-    std::map<std::uint64_t, parts> unfinished_;
-    std::deque<std::uint64_t> order_;
+    std::map<std::uint64_t, parts> incomplete_;
+    std::deque<std::uint64_t> insertion_order_;
 };
 
 } // namespace cyclamenrun
