--- a/src/libcyclamenrun/outcomes/gate.cpp
+++ b/src/libcyclamenrun/outcomes/gate.cpp
@@ -22,13 +22,14 @@
 
 refusal drain_refusal()
 {
-    return not_run(refusal_reason::draining, "upstream takes no new work",
+    return not_run(refusal_reason::draining,
+                   "the agent is draining and accepts no new work",
                    milliseconds(0));
 }
 
 refusal lost_refusal()
 {
-    return not_run(refusal_reason::no_upstream, "the upstream does not answer",
+    return not_run(refusal_reason::no_upstream, "the upstream does not respond",
                    soon);
 }
 
@@ -50,7 +51,7 @@
     return waiting;
 }
 
-/** `Effects` is gate's own, private type. */
+/** `Effects` is the private type gate::effects. */
 template <typename Effects>
 void wake_readers(const work_session& session, Effects& todo)
 {
@@ -84,12 +85,13 @@
     {
         const std::scoped_lock lock(mutex_);
         reader = submit_locked(dispatch, now, todo);
-        // A second copy of a refused dispatch must find itself refused too,
-        // also when what stood in its way has gone by then.
+        // A second copy of a refused dispatch must be refused as well, even if
+        // the reason for the refusal no longer applies.
         if (!reader && reader.error().kind == refusal_kind::not_run &&
             !entomb(dispatch.request_id(), now))
             reader = tl::unexpected(
-                outcome_unknown(reader.error().reason, "too many refusals"));
+                outcome_unknown(reader.error().reason,
+                                "too many refused requests are recorded"));
     }
     run(todo);
     return reader;
@@ -100,14 +102,16 @@
 {
     const auto& id = dispatch.request_id();
     if (id.empty() || id.size() > longest_request_id)
-        return tl::unexpected(
-            not_run(refusal_reason::bad_request, "request id is missing"));
+        return tl::unexpected(not_run(refusal_reason::bad_request,
+                                      "request id is empty or too long"));
     if (tombstones_.contains(id, now))
-        return tl::unexpected(not_run(refusal_reason::cancelled,
-                                      "this request was refused before"));
+        return tl::unexpected(
+            not_run(refusal_reason::cancelled,
+                    "a request with this id was refused before"));
     if (sessions_.find_request(id) != 0)
-        return tl::unexpected(outcome_unknown(refusal_reason::duplicate_request,
-                                              "a copy of this already runs"));
+        return tl::unexpected(
+            outcome_unknown(refusal_reason::duplicate_request,
+                            "a request with this id was already accepted"));
 
     if (dispatch.has_ticket()) {
         const auto earlier = tickets_.check(dispatch, now);
@@ -117,7 +121,7 @@
             return sessions_.attach((*earlier)->work, id, 0);
         if (*earlier)
             return tl::unexpected(outcome_unknown(
-                refusal_reason::ticket_used, "its answer is no longer kept"));
+                refusal_reason::ticket_used, "the answer is no longer kept"));
     }
     if (const auto checked = check(dispatch, now); !checked)
         return tl::unexpected(checked.error());
@@ -133,8 +137,9 @@
 {
     if (dispatch.incarnation() != 0 &&
         dispatch.incarnation() != settings_.incarnation)
-        return tl::unexpected(not_run(refusal_reason::wrong_incarnation,
-                                      "another incarnation was meant"));
+        return tl::unexpected(
+            not_run(refusal_reason::wrong_incarnation,
+                    "the dispatch names another incarnation"));
     if (draining_)
         return tl::unexpected(drain_refusal());
     if (!engine_ready_)
@@ -144,11 +149,11 @@
     if (poison_.verdict(dispatch.fingerprint(), now) == poison_verdict::poison)
         return tl::unexpected(
             not_run(refusal_reason::poison,
-                    "two upstreams were lost while they ran this"));
+                    "two upstreams were lost while they ran this request"));
     if (sessions_.full() || sessions_.kept_bytes() >= settings_.max_kept_bytes)
-        return tl::unexpected(not_run(refusal_reason::queue_full,
-                                      "too many answers wait to be fetched",
-                                      soon));
+        return tl::unexpected(
+            not_run(refusal_reason::queue_full,
+                    "too many answers are waiting to be fetched", soon));
     return {};
 }
 
@@ -194,7 +199,7 @@
     if (incarnation != settings_.incarnation)
         return tl::unexpected(
             outcome_unknown(refusal_reason::wrong_incarnation,
-                            "the agent that ran this is gone"));
+                            "the incarnation that ran this request has ended"));
 
     const auto work =
         by_generation
@@ -203,16 +208,17 @@
     const auto* session = sessions_.find(work);
     if (session != nullptr && session->request.team() == resume.team())
         return work;
-    // A generation of another team is answered like one that never was.
+    // The refusal must not disclose whether another team's generation exists.
     if (by_generation || session != nullptr)
         return tl::unexpected(failed(refusal_reason::generation_unknown,
                                      "no such generation is kept here"));
-    // The dispatch has not come; entombed, it never will run here.
+    // The dispatch has not arrived. The tombstone keeps it from running here.
     if (!entomb(resume.request_id(), now))
-        return tl::unexpected(outcome_unknown(
-            refusal_reason::generation_unknown, "too many refusals"));
+        return tl::unexpected(
+            outcome_unknown(refusal_reason::generation_unknown,
+                            "too many refused requests are recorded"));
     return tl::unexpected(not_run(refusal_reason::generation_unknown,
-                                  "this request never began here"));
+                                  "this request did not begin on this agent"));
 }
 
 refusal gate::cancel(const link::Cancel& cancel, time_point now)
@@ -235,8 +241,9 @@
         } else {
             if (session->state != work_state::ended)
                 give_up(work, *session, refusal_reason::cancelled, now, todo);
-            answer = session->refused.value_or(outcome_unknown(
-                refusal_reason::cancelled, "it had ended, or runs on"));
+            answer = session->refused.value_or(
+                outcome_unknown(refusal_reason::cancelled,
+                                "the request has ended or is still running"));
         }
     }
     run(todo);
@@ -254,7 +261,7 @@
     if (session == nullptr || session->state != work_state::ended)
         return;
     session->acknowledged = true;
-    // With a ticket the caller may send its call again and find this answer.
+    // A caller with a ticket may resend its call and must get this answer.
     if (!session->has_ticket())
         session->keep_until = now + settings_.acknowledged_grace;
 }
@@ -295,7 +302,8 @@
             sessions_.append_token(*session, text);
             admission_.tokens_made(work, 1, now);
             wake_readers(*session, todo);
-            // Its prompt has been read, which may let the next one start.
+            // The first token ends the prompt's processing, which may allow the
+            // next work item to start.
             if (session->replay.next_index() == 1)
                 admit(now, todo);
         }
@@ -367,7 +375,7 @@
         ++load_change_;
         todo.news = true;
         const auto loss = next_loss();
-        // A VM that is being taken away dies of that, not of what it runs.
+        // The reclaim explains the loss, so no request is suspected.
         const bool explained = reclaim_deadline_.has_value();
         for (auto& [work, session] : sessions_.all()) {
             if (session.state != work_state::running)
@@ -379,10 +387,11 @@
             admission_.finished(work, false, now);
             const refusal why =
                 session.is_call()
-                    ? outcome_unknown(refusal_reason::upstream_lost,
-                                      "the runner was lost during the call")
+                    ? outcome_unknown(
+                          refusal_reason::upstream_lost,
+                          "the application runner was lost during the call")
                     : failed(refusal_reason::engine_lost,
-                             "the engine was lost");
+                             "the engine was lost during the generation");
             refuse(session, why, now, todo);
         }
         refuse_all_waiting(lost_refusal(), now, todo);
@@ -390,7 +399,7 @@
     run(todo);
 }
 
-void gate::engine_ready(std::uint64_t foreign_tokens, time_point now)
+void gate::engine_ready(std::uint64_t external_tokens, time_point now)
 {
     effects todo;
     {
@@ -398,7 +407,7 @@
         engine_ready_ = true;
         ++load_change_;
         todo.news = true;
-        admission_.foreign_memory(foreign_tokens);
+        admission_.foreign_memory(external_tokens);
         admit(now, todo);
     }
     run(todo);
@@ -505,8 +514,8 @@
         return;
     }
     if (session.is_call() && reason == refusal_reason::cancelled) {
-        // Cutting a call short would leave open what it has done; it ends by
-        // itself, and with a ticket its caller may come back for the answer.
+        // Stopping a call would leave its effect unknown. The call runs to its
+        // end, and a caller with a ticket may still fetch the answer.
         session.orphan_deadline.reset();
         return;
     }
@@ -522,7 +531,7 @@
 {
     session.refused = why;
     if (why.kind == refusal_kind::not_run) {
-        // A late copy of the same dispatch must not run after all.
+        // A delayed copy of the same dispatch must not run later.
         if (!entomb(session.request.request_id(), now))
             session.refused->kind = refusal_kind::outcome_unknown;
         else if (session.has_ticket())
@@ -606,8 +615,8 @@
     const std::scoped_lock lock(mutex_);
     if (!draining_ || now < linger_deadline_)
         return false;
-    // An answer that nobody has fetched yet would go with the process, though
-    // a link that is cut just now may soon be back to fetch it.
+    // The process's exit would lose an answer that was not fetched yet, and an
+    // entry whose link is interrupted may still reconnect to fetch it.
     const auto& all = sessions_.all();
     return std::all_of(all.begin(), all.end(), [now](const auto& known) {
         const auto& session = known.second;
--- a/src/libcyclamenrun/outcomes/gate.hpp
+++ b/src/libcyclamenrun/outcomes/gate.hpp
@@ -19,7 +19,7 @@
 namespace cyclamenrun
 {
 
-/** What the upstream is to be asked to run. */
+/** One work item that the upstream is to run. */
 struct run_order {
     work_id work = 0;
     std::string request_id;
@@ -30,28 +30,29 @@
     time_point deadline;
 };
 
-/** How a gate acts on the world; called without its lock. */
+/** Callbacks of a gate. They are called without the gate's lock held. */
 struct gate_hooks {
     std::function<void(const run_order&)> start;
     std::function<void(work_id)> stop;
-    std::function<void(reader_id)> wake; ///< there is something to pull
-    std::function<void()> news;          ///< load_change() or marks moved
+    std::function<void(reader_id)> wake; ///< pull() has data for the reader
+    std::function<void()> news; ///< load_change() or marks_version() advanced
 };
 
 /**
- * The one way to an upstream: what it has not admitted does not run.
+ * Controls all access to one upstream: only work that the gate has admitted
+ * runs there.
  *
- * All that is decided about a piece of work (admission, cancellation,
- * refusal, drain, completion) is decided here under one lock, so of two that
- * race exactly one wins, and the answer says which. The gate speaks for one
- * incarnation of one agent and knows nothing of any other.
+ * Admission, cancellation, refusal, drain and completion of a work item are
+ * decided under one lock. Of two racing events exactly one wins, and the
+ * response reports the winner. A gate belongs to one incarnation of one agent
+ * and holds no state of earlier incarnations.
  */
 class gate
 {
 public:
     gate(gate_settings settings, gate_hooks hooks);
 
-    // Commands of entries.
+    // Commands from entries.
     outcome<reader_id> submit(const link::Dispatch& dispatch, time_point now);
     outcome<reader_id> resume(const link::Resume& resume, time_point now);
     refusal cancel(const link::Cancel& cancel, time_point now);
@@ -59,51 +60,56 @@
     reader_frames pull(reader_id reader, std::size_t max_bytes, time_point now);
     void detach(reader_id reader, time_point now);
 
-    // What the upstream did. Ignored for work that does not run (any more).
+    // Events of the upstream. Events of work that is not running are ignored.
     void token_made(work_id work, const std::string& text, time_point now);
     void finished(work_id work, const std::string& finish_reason,
                   time_point now);
     void answered(work_id work, call_answer answer, time_point now);
     void run_failed(work_id work, const refusal& why, time_point now);
-    /** The engine's process is gone, and with it all that ran on it. */
+    /** Handles the end of the engine's process: all running work is lost. */
     void engine_lost(time_point now);
     /**
-     * The engine answers and runs nothing of ours; `foreign_tokens` of its
-     * memory are still held by what an earlier incarnation started.
+     * Handles an engine that responds and runs no work of this gate. Work of
+     * an earlier incarnation still occupies `external_tokens` of its memory.
      */
-    void engine_ready(std::uint64_t foreign_tokens, time_point now);
-    /** What the engine says of its own load, late. */
+    void engine_ready(std::uint64_t external_tokens, time_point now);
+    /** Handles a load report of the engine, which arrives with a delay. */
     void engine_load(const engine_load_hint& hint, time_point now);
 
-    // Commands of operators and the platform.
+    // Commands from operators and the platform.
     void drain(time_point now);
-    /** The VM goes away at `deadline`: what has not ended then has failed. */
+    /**
+     * Drains the gate because the platform reclaims the VM at `deadline`; work
+     * that is still running then fails.
+     */
     void reclaim(time_point deadline, time_point now);
-    /** The service's objective, by the configuration in force. */
+    /** Applies the objective that the configuration sets for the service. */
     void pursue(objective goal);
     void merge_marks(const std::vector<link::PoisonMark>& marks,
                      time_point now);
-    /** Does what time alone brings about. */
+    /** Applies expired deadlines and admits work; to be called periodically. */
     void tick(time_point now);
 
     // Queries.
-    /** Whether the upstream should (still) run this. */
+    /** Whether the upstream should run this work item. */
     bool wanted(work_id work) const;
     bool draining() const;
-    /** Draining, nothing runs, every answer was fetched or given up, and no
-     *  dispatch can be on its way any more. */
+    /**
+     * Whether the gate is draining, no work is running, every answer was
+     * acknowledged or has expired, and no dispatch can still be in transit.
+     */
     bool drained(time_point now) const;
     link::LoadReport load(time_point now) const;
-    /** Counts what a peer should hear of at once. */
+    /** Counts the load changes that are reported to peers immediately. */
     std::uint64_t load_change() const;
     std::uint64_t marks_version() const;
     std::vector<link::PoisonMark> marks_since(std::uint64_t version) const;
-    /** Visits each session under the lock, for the state dump. */
+    /** Calls `visitor` for each session under the lock, for the state dump. */
     void visit(
         const std::function<void(work_id, const work_session&)>& visitor) const;
 
 private:
-    /** What is to be done once the lock is released. */
+    /** Callbacks to run once the lock is released. */
     struct effects {
         std::vector<run_order> starts;
         std::vector<work_id> stops;
@@ -121,7 +127,7 @@
     void end(work_session& session, time_point now, effects& todo);
     void refuse(work_session& session, const refusal& why, time_point now,
                 effects& todo);
-    /** Ends work that nobody wants or may have any more. */
+    /** Ends work for `reason`; a cancelled call that is running continues. */
     void give_up(work_id work, work_session& session, refusal_reason reason,
                  time_point now, effects& todo);
     void expire(time_point now, effects& todo);
--- a/src/libcyclamenrun/outcomes/gate_settings.hpp
+++ b/src/libcyclamenrun/outcomes/gate_settings.hpp
@@ -10,7 +10,7 @@
 namespace cyclamenrun
 {
 
-/** How an agent's gate is set up. Bounds are per agent. */
+/** Settings of an agent's gate. All bounds are per agent. */
 struct gate_settings {
     std::string upstream;
     std::uint64_t incarnation = 0;
@@ -23,26 +23,30 @@
     std::size_t tombstone_capacity = 65536;
     std::size_t ticket_capacity = 65536;
     std::size_t poison_capacity = 4096;
-    /** Of one answer, tokens or body. */
+    /** Limit for one answer: the text of its tokens, or its body. */
     std::size_t max_answer_bytes = std::size_t{4} << 20U;
-    /** Over this no new work is taken until answers have been fetched. */
+    /** Limit for all kept answers; once reached, new work is refused. */
     std::size_t max_kept_bytes = std::size_t{64} << 20U;
-    /** Tokens that stay resumable behind the slowest reader. */
+    /** Number of tokens kept for resumption behind the slowest reader. */
     std::uint64_t replay_window_tokens = 8192;
 
-    /** Work whose caller has gone runs on so long. */
+    /** How long work continues to run without a reader. */
     milliseconds resume_grace{15'000};
-    /** An answer that nobody acknowledged is kept so long. */
+    /** How long an unacknowledged answer is kept. */
     milliseconds answer_grace{60'000};
-    /** One that was is still kept so long: the caller's own link may break. */
+    /**
+     * How long an acknowledged answer is kept: the connection between the
+     * caller and the entry may still break.
+     */
     milliseconds acknowledged_grace{10'000};
-    /** Longer than any stalled link can hold a dispatch back. */
+    /** Exceeds the time for which a stalled link can delay a dispatch. */
     milliseconds tombstone_life{600'000};
     milliseconds poison_life{3'600'000};
     /**
-     * A drained gate still answers so long. Longer than an entry takes to
-     * give a silent link up (3 s) and tries to come back by a new one (10 s),
-     * so that a dispatch which was on its way is refused, not left open.
+     * How long a draining gate keeps responding. Exceeds the time in which an
+     * entry closes a link that does not respond (3 s) and tries to reattach
+     * over a new one (10 s), so a dispatch in transit is refused and not left
+     * without a response.
      */
     milliseconds drain_linger{15'000};
     milliseconds longest_deadline{3'600'000};
--- a/src/libcyclamenrun/outcomes/link_messages.hpp
+++ b/src/libcyclamenrun/outcomes/link_messages.hpp
@@ -8,12 +8,15 @@
 namespace cyclamenrun
 {
 
-/** Our own types as links carry them, and back. */
+/** Conversions between internal types and the messages sent over links. */
 void write_message(const generation_id& id, link::GenerationId& message);
 generation_id read_message(const link::GenerationId& message);
 
 void write_message(const refusal& why, link::Refused& message);
-/** What a newer peer says and this one does not know claims least. */
+/**
+ * Maps an unknown kind, which a newer peer may send, to outcome_unknown and an
+ * unknown reason to internal: these make the weakest claims.
+ */
 refusal read_message(const link::Refused& message);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/outcomes/poison_register.cpp
+++ b/src/libcyclamenrun/outcomes/poison_register.cpp
@@ -10,7 +10,10 @@
 namespace
 {
 
-/** Losses remembered a request; two convict, so more add nothing. */
+/**
+ * Losses recorded per request. Two make it a poison request, so a longer record
+ * would not change the verdict.
+ */
 constexpr std::size_t losses_kept = 4;
 
 bool contains(const std::vector<std::uint64_t>& losses, std::uint64_t loss)
@@ -143,7 +146,7 @@
     });
     if (records_.size() < capacity_)
         return;
-    // The one that expires first is the one longest untouched.
+    // The record that expires first is the least recently changed one.
     records_.erase(std::min_element(
         records_.begin(), records_.end(), [](const auto& a, const auto& b) {
             return a.second.deadline < b.second.deadline;
--- a/src/libcyclamenrun/outcomes/poison_register.hpp
+++ b/src/libcyclamenrun/outcomes/poison_register.hpp
@@ -15,22 +15,22 @@
 namespace cyclamenrun
 {
 
-/** What is held against a request. */
+/** Classification of a request by the losses recorded for it. */
 enum class poison_verdict : std::uint8_t {
     clean,
-    suspect, ///< One upstream was lost while it ran: to be run alone.
-    poison,  ///< Two were lost: it is refused.
+    suspect, ///< one upstream was lost while running it; it is run alone
+    poison,  ///< two upstreams were lost while running it; it is refused
 };
 
 /**
- * Remembers, by fingerprint, which requests ran on an upstream when that was
- * lost.
+ * Records, by fingerprint, which requests were running on an upstream when it
+ * was lost.
  *
- * Guards against a request that crashes each upstream which runs it and that
- * its caller sends again. One loss marks all that ran there; each of them is
- * next run alone, so a second loss can only be held against the guilty one,
- * and one that ends well is cleared. Marks are passed on between processes; a
- * mark names its loss, so that several reports of one loss count once.
+ * Guards against a request that crashes every upstream it runs on and that its
+ * caller keeps resending. A loss marks all requests that were running there.
+ * Each of them next runs alone, so a second loss identifies the request that
+ * caused it, and a request that completes is cleared. Processes exchange marks;
+ * a mark carries the id of its loss, so repeated reports of a loss count once.
  */
 class poison_register
 {
@@ -39,13 +39,13 @@
 
     void mark(std::uint64_t fingerprint, std::uint64_t loss, time_point now);
     void clear(std::uint64_t fingerprint, time_point now);
-    /** The loss was none: whoever was held to be lost has been heard. */
+    /** Clears a loss whose reported process has responded since. */
     void withdraw(std::uint64_t loss, time_point now);
     void merge(const link::PoisonMark& mark, time_point now);
 
     poison_verdict verdict(std::uint64_t fingerprint, time_point now) const;
 
-    /** Counts changes; a peer that has seen it needs only later marks. */
+    /** Counts changes; a peer at this version needs only later marks. */
     std::uint64_t version() const { return version_; }
     std::vector<link::PoisonMark> marks_since(std::uint64_t version) const;
     std::size_t size() const { return records_.size(); }
--- a/src/libcyclamenrun/outcomes/poison_watch.cpp
+++ b/src/libcyclamenrun/outcomes/poison_watch.cpp
@@ -28,8 +28,8 @@
                               const route_target& agent, time_point now)
 {
     const std::scoped_lock lock(mutex_);
-    // Named by the agent's life, so that all entries which lose it report
-    // one and the same loss.
+    // Derived from the agent's incarnation, so that all entries that lose the
+    // agent report the same loss.
     const auto loss = hash64(agent.upstream, agent.incarnation);
     marks_.mark(fingerprint, loss, now);
     if (reported_.size() < most_reported)
@@ -59,7 +59,7 @@
 {
     const std::scoped_lock lock(mutex_);
     auto& known = peers_[upstream];
-    // A new life of the agent remembers nothing of what the old one was told.
+    // A new incarnation of the agent has none of the marks sent to the old one.
     const bool same_life = known.incarnation == reply.load().incarnation();
     known.incarnation = reply.load().incarnation();
     known.told = same_life ? known.sent : 0;
--- a/src/libcyclamenrun/outcomes/poison_watch.hpp
+++ b/src/libcyclamenrun/outcomes/poison_watch.hpp
@@ -16,8 +16,9 @@
 {
 
 /**
- * An entry's register of poison marks, and how far each agent has been told
- * of it. Marks reach other entries through the agents that both beat with.
+ * An entry's register of poison marks, and the version of it that each agent
+ * has received. Marks reach other entries through the agents with which both
+ * exchange heartbeats.
  */
 class poison_watch
 {
@@ -26,18 +27,18 @@
 
     poison_verdict verdict(std::uint64_t fingerprint, time_point now) const;
     /**
-     * An agent was lost with this on it. Whether it died or was only cut off
-     * can't be told yet, so the mark is taken back if that same life of the
-     * agent is heard again.
+     * Marks a request whose agent was lost while the request was on it. The
+     * entry can't distinguish a dead agent from an unreachable one, so the mark
+     * is withdrawn if the same incarnation of the agent responds again.
      */
     void agent_lost(std::uint64_t fingerprint, const route_target& agent,
                     time_point now);
 
-    /** An engine was lost with this on it; its agent named the loss. */
+    /** Marks a request whose engine was lost, as its agent reported. */
     void engine_lost(std::uint64_t fingerprint, std::uint64_t loss,
                      time_point now);
 
-    /** Puts what the agent has not been told into the heartbeat. */
+    /** Adds the marks that the agent has not received yet to the heartbeat. */
     void write_marks(const std::string& upstream, link::Heartbeat& heartbeat);
     void read_marks(const std::string& upstream,
                     const link::HeartbeatReply& reply, time_point now);
@@ -46,15 +47,15 @@
 private:
     struct peer {
         std::uint64_t incarnation = 0;
-        std::uint64_t told = 0; // of our version
-        std::uint64_t sent = 0; // with the heartbeat under way
-        std::uint64_t seen = 0; // of the peer's version
+        std::uint64_t told = 0; // version of the register that the peer has
+        std::uint64_t sent = 0; // version sent with the pending heartbeat
+        std::uint64_t seen = 0; // the peer's version that was merged here
     };
 
     mutable std::mutex mutex_;
     poison_register marks_;
     std::unordered_map<std::string, peer> peers_;
-    /** Losses that this entry reported, of agents that may yet be heard. */
+    /** Losses reported by this entry of agents that may respond again. */
     std::set<std::uint64_t> reported_;
 };
 
--- a/src/libcyclamenrun/outcomes/relay.cpp
+++ b/src/libcyclamenrun/outcomes/relay.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Refusals that another upstream would only repeat. */
+/** Whether every other upstream would refuse the request as well. */
 bool final_everywhere(refusal_reason reason)
 {
     switch (reason) {
@@ -34,8 +34,8 @@
 }
 
 /**
- * The agent refuses a little before the entry's own deadline, so that the
- * caller hears from the one who knows whether its work had begun.
+ * Shortens the remaining time by a tenth, at most 50 ms. The agent, which knows
+ * whether the work has begun, then refuses it before the entry's own deadline.
  */
 milliseconds dispatch_time_left(time_point deadline, time_point now)
 {
@@ -77,9 +77,10 @@
 {
     const auto verdict = hooks_.verdict(request_.fingerprint, now);
     if (verdict == poison_verdict::poison)
-        return refuse(not_run(refusal_reason::poison,
-                              "two upstreams were lost while they ran this"),
-                      now);
+        return refuse(
+            not_run(refusal_reason::poison,
+                    "two upstreams were lost while they ran this request"),
+            now);
     suspect_ = verdict == poison_verdict::suspect;
 
     if (request_.ticket) {
@@ -113,18 +114,17 @@
 {
     if (done_ || stream != stream_ || !stream_open_)
         return {};
-    // Guards against an answer to somebody else's request, late or out of
-    // order on a link that mixes up its streams: it would show as a frame
-    // with another id, and is not looked at any further.
+    // Guards against an answer to another request on a link that confuses its
+    // streams. Such a frame has another request id; its content is ignored.
     if (frame.request_id() != attempt_id())
-        return fail_closed("frame of another request", now);
+        return fail_closed("the agent sent a frame of another request", now);
 
     if (frame.has_refused()) {
         stream_open_ = false;
         const auto why = read_message(frame.refused());
         relay_actions actions;
-        // Held against the work before it is tried elsewhere: the agents' own
-        // word of the loss may come after the next engine is lost as well.
+        // The request is marked before it is retried: the agents' own report of
+        // the loss may arrive after the next engine is lost as well.
         if (frame.loss() != 0)
             hooks_.engine_lost(request_.fingerprint, frame.loss(), now);
         if (frame.kept())
@@ -152,10 +152,10 @@
 {
     may_have_run_ = true;
     const auto id = read_message(accepted.generation());
-    // Guards against splicing two generations: a resumed stream must go on
-    // with the very one whose tokens the caller has.
+    // Guards against splicing two generations: a resumed stream must continue
+    // the generation whose tokens the caller has.
     if (generation_ && !(*generation_ == id))
-        return fail_closed("resumed into another generation", now);
+        return fail_closed("the agent resumed another generation", now);
     generation_ = id;
     return {};
 }
@@ -163,9 +163,9 @@
 relay_actions relay::on_tokens(const link::Tokens& tokens, time_point now)
 {
     if (is_call() || !generation_)
-        return fail_closed("tokens before a generation", now);
+        return fail_closed("the agent sent tokens without a generation", now);
     if (tokens.first_index() != next_index_)
-        return fail_closed("gap in the tokens", now);
+        return fail_closed("the tokens' indexes are not consecutive", now);
     const stream_position first{*generation_, next_index_};
     std::vector<std::string> texts(tokens.text().begin(), tokens.text().end());
     next_index_ += texts.size();
@@ -185,7 +185,7 @@
 relay_actions relay::on_finished(const link::Finished& finished, time_point now)
 {
     if (is_call() || !generation_ || finished.token_count() != next_index_)
-        return fail_closed("end does not match the tokens", now);
+        return fail_closed("the end frame does not match the tokens", now);
     done_ = true;
     stream_open_ = false;
     return {write_end{*generation_, next_index_, finished.finish_reason(),
@@ -205,7 +205,7 @@
 relay_actions relay::on_refused(const refusal& why, time_point now)
 {
     if (why.kind == refusal_kind::not_run) {
-        // A ticket binds its call to this agent, which is the one that knows.
+        // A ticket binds its call to this agent: no other agent may run it.
         if (request_.ticket || final_everywhere(why.reason))
             return refuse(why, now);
         return try_elsewhere(why, now);
@@ -218,7 +218,7 @@
 
 relay_actions relay::on_reattach_refused(const refusal& why, time_point now)
 {
-    // Only the incarnation that the work was sent to can tell of it.
+    // Only the incarnation that received the work knows its outcome.
     if (why.reason == refusal_reason::wrong_incarnation)
         return lost_agent(now);
     if (why.kind == refusal_kind::not_run && !seen_)
@@ -241,7 +241,7 @@
         reattach_deadline_ = now + settings_.reattach_window;
         return reattach(now);
     }
-    // Work that may run again need not wait for its agent to come back.
+    // Work that may run again does not wait for its agent to return.
     if (may_run_again() || now >= reattach_deadline_)
         return lost_agent(now);
     reattach_at_ = now + settings_.reattach_pause;
@@ -252,7 +252,7 @@
 {
     hooks_.agent_lost(request_.fingerprint, target_, now);
     may_have_run_ = true;
-    const auto detail = "the agent was lost with this on it";
+    const auto detail = "the agent was lost while it had this request";
     if (may_run_again())
         return try_elsewhere(failed(refusal_reason::agent_lost, detail), now);
     return refuse(is_call()
@@ -273,7 +273,7 @@
                        allowed.error().retry_after, why.detail},
                       now);
     auto actions = dispatch(now);
-    // With nowhere else to go, the first cause tells more than that.
+    // If no upstream is left, the original cause is the more useful refusal.
     auto* refused = std::get_if<write_refusal>(&actions.front());
     if (refused != nullptr &&
         refused->why.reason == refusal_reason::no_upstream) {
@@ -289,7 +289,7 @@
 
 relay_actions relay::refuse(refusal why, time_point)
 {
-    // An earlier attempt may have run, whatever the last one says.
+    // An earlier attempt may have run even if the last one did not.
     if (why.kind == refusal_kind::not_run && may_have_run_ && !request_.ticket)
         why.kind =
             is_call() ? refusal_kind::outcome_unknown : refusal_kind::failed;
@@ -308,8 +308,9 @@
 relay_actions relay::fail_closed(const std::string& detail, time_point now)
 {
     may_have_run_ = true;
-    // What came before is right, and the agent still has the rest: another
-    // stream can bring it. Only a second bad one speaks against the agent.
+    // The frames before this one were valid and the agent still has the rest,
+    // so a new stream can deliver it. After a further invalid stream (see
+    // max_broken_streams) the attempt is abandoned.
     if (++broken_streams_ < settings_.max_broken_streams) {
         relay_actions actions{close_stream{stream_}};
         stream_open_ = false;
@@ -341,7 +342,8 @@
     relay_actions actions;
     if (stream_open_)
         actions.emplace_back(close_stream{stream_});
-    // Without a token's id the caller can't resume, so nobody will.
+    // A caller that has received no token id can't resume, so the work is
+    // cancelled.
     if (!seen_ && !request_.ticket && stream_ > 0)
         actions.emplace_back(cancel_message());
     return actions;
--- a/src/libcyclamenrun/outcomes/relay.hpp
+++ b/src/libcyclamenrun/outcomes/relay.hpp
@@ -14,50 +14,51 @@
 namespace cyclamenrun
 {
 
-/** What a relay asks of the entry it works in. */
+/** Functions of the entry that a relay calls. */
 struct relay_hooks {
-    /** An upstream for the request, none of `excluded`. */
+    /** Chooses an upstream for the request, other than those `excluded`. */
     std::function<outcome<route_target>(
         const relay_request& request, const std::vector<std::string>& excluded,
         bool suspect, time_point now)>
         choose;
-    /** Whether the team may have one more attempt made. */
+    /** Takes one retry from the team's budget, or refuses. */
     std::function<outcome<void>(const std::string& team, time_point now)>
         spend_retry;
     std::function<poison_verdict(std::uint64_t fingerprint, time_point now)>
         verdict;
-    /** An agent was lost with this work on it. */
+    /** Reports that an agent was lost while it had this work. */
     std::function<void(std::uint64_t fingerprint, const route_target& target,
                        time_point now)>
         agent_lost;
-    /** An engine was lost with this work on it, as its agent tells. */
+    /** Reports that an agent lost its engine while the engine ran this work. */
     std::function<void(std::uint64_t fingerprint, std::uint64_t loss,
                        time_point now)>
         engine_lost;
 };
 
-/** Bounds of one relay. */
+/** Limits of one relay. */
 struct relay_settings {
     int max_attempts = 4;
     /**
-     * How long a lost agent may take to be reached again. A frozen one holds
-     * answers that nobody else has, so this outlasts a usual freeze.
+     * How long the relay tries to reach a lost agent again. A frozen agent
+     * holds answers that no other process has, so the window is longer than a
+     * usual freeze.
      */
     milliseconds reattach_window{10'000};
     milliseconds reattach_pause{200};
-    /** Streams of one attempt given up for frames that can't be right. */
+    /** Streams with invalid frames after which an attempt is abandoned. */
     int max_broken_streams = 2;
     std::size_t max_whole_bytes = std::size_t{4} << 20U;
 };
 
 /**
- * Brings one caller's request to its one outcome: the complete answer, or a
- * refusal that says truthfully whether the work ran.
+ * Brings one caller's request to exactly one outcome: the complete answer, or
+ * a refusal that states correctly whether the work ran.
  *
- * A state machine without I/O: events go in, actions come out. It holds the
- * promises at the entry's side: tokens go on in order and from one
- * generation, work is sent again only if it has not run or nobody has seen it
- * and it may repeat, and what is said of it follows from what is known.
+ * A state machine without I/O: events are its input, actions its output. It
+ * enforces the entry's guarantees. Tokens are delivered in order and from one
+ * generation. Work is sent again only if it has not run, or if it is idempotent
+ * and the caller has received no token. A refusal claims no more than is known.
  */
 class relay
 {
@@ -67,11 +68,11 @@
     relay_actions start(time_point now);
     relay_actions on_frame(stream_number stream, const link::AgentFrame& frame,
                            time_point now);
-    /** The stream ended without a final frame. */
+    /** Handles a stream that ended without a final frame. */
     relay_actions on_stream_lost(stream_number stream,
                                  bool request_may_have_left, time_point now);
     relay_actions on_caller_gone(time_point now);
-    /** To be called at next_event(). */
+    /** Handles expired deadlines; to be called at next_event(). */
     relay_actions on_time(time_point now);
 
     bool done() const { return done_; }
@@ -121,12 +122,12 @@
     std::size_t whole_bytes_ = 0;
     std::uint64_t next_index_ = 0;
     int attempts_ = 0;
-    int broken_streams_ = 0;   // of this attempt
-    stream_number stream_ = 0; // the last one opened
+    int broken_streams_ = 0;   // in this attempt
+    stream_number stream_ = 0; // the last stream opened
     bool stream_open_ = false;
     bool reattaching_ = false;
-    bool seen_ = false;         // the caller has been given a token
-    bool may_have_run_ = false; // some attempt of this request
+    bool seen_ = false;         // the caller has received a token
+    bool may_have_run_ = false; // in any attempt of this request
     bool suspect_ = false;
     bool done_ = false;
     std::optional<time_point> reattach_at_;
--- a/src/libcyclamenrun/outcomes/relay_action.hpp
+++ b/src/libcyclamenrun/outcomes/relay_action.hpp
@@ -14,10 +14,10 @@
 namespace cyclamenrun
 {
 
-/** Counts the streams that a relay has opened, from 1. */
+/** Number of a relay's stream, in the order of opening, from 1. */
 using stream_number = std::uint32_t;
 
-/** Open a stream to an agent; its events come back under this number. */
+/** Open a stream to an agent; the stream's events carry `stream`. */
 struct open_stream {
     stream_number stream = 0;
     std::string upstream;
@@ -25,12 +25,12 @@
     std::string frame; ///< serialized Dispatch or Resume
 };
 
-/** Drop a stream; nothing more is wanted from it. */
+/** Close a stream; its later events are ignored. */
 struct close_stream {
     stream_number stream = 0;
 };
 
-/** Send one message whose answer nobody waits for. */
+/** Send one message without waiting for its response. */
 struct send_message {
     std::string upstream;
     std::string path;
@@ -43,20 +43,20 @@
     std::vector<std::string> texts;
 };
 
-/** The generation is complete. */
+/** Complete the caller's answer: the generation has ended. */
 struct write_end {
     generation_id generation;
     std::uint64_t token_count = 0;
     std::string finish_reason;
-    std::vector<std::string> whole; ///< all tokens, for whole delivery
+    std::vector<std::string> whole; ///< all tokens, in delivery_mode::whole
 };
 
-/** Write a runner's answer to the caller. */
+/** Write an application runner's answer to the caller. */
 struct write_answer {
     call_answer answer;
 };
 
-/** Tell the caller that there is no answer, and what that means. */
+/** Write a refusal to the caller. */
 struct write_refusal {
     refusal why;
 };
--- a/src/libcyclamenrun/outcomes/relay_request.hpp
+++ b/src/libcyclamenrun/outcomes/relay_request.hpp
@@ -13,13 +13,13 @@
 namespace cyclamenrun
 {
 
-/** How an answer reaches its caller. */
+/** How an answer is delivered to its caller. */
 enum class delivery_mode : std::uint8_t {
-    stream, ///< token by token; a restart is possible until the first one
-    whole,  ///< at once, when complete; may be restarted unseen until then
+    stream, ///< token by token; the work may be rerun until the first token
+    whole,  ///< at once, when complete; the work may be rerun until then
 };
 
-/** A caller's request, checked and with its deadline fixed. */
+/** A caller's request after validation. */
 struct relay_request {
     std::string id;
     link::WorkKind kind = link::WORK_KIND_GENERATION;
@@ -36,11 +36,11 @@
     std::vector<std::uint64_t> prefix_blocks;
     bool idempotent = true;
     std::optional<link::Ticket> ticket;
-    /** Set when the caller resumes: where it stands. */
+    /** Set when the caller resumes: the last token that it has received. */
     std::optional<stream_position> resume_after;
 };
 
-/** An upstream chosen for a request, and the life of its agent. */
+/** The upstream chosen for a request, and its agent's incarnation. */
 struct route_target {
     std::string upstream;
     std::uint64_t incarnation = 0; ///< 0: not known yet
--- a/src/libcyclamenrun/outcomes/replay_buffer.hpp
+++ b/src/libcyclamenrun/outcomes/replay_buffer.hpp
@@ -10,16 +10,16 @@
 {
 
 /**
- * The tokens of one generation, numbered from 0, so that a caller who lost
- * its connection can be sent the rest again. Only the front can be dropped.
- * Texts lie end to end in one string: four bytes of book-keeping a token.
+ * The tokens of one generation, numbered from 0, for resending them to a caller
+ * that lost its connection. Tokens can be dropped only from the front. The
+ * texts are concatenated in one string, so the overhead is 4 bytes per token.
  */
 class replay_buffer
 {
 public:
     void append(std::string_view token);
 
-    /** Drops the tokens before `index`; these can't be resumed any more. */
+    /** Drops the tokens before `index`; they can't be resent afterwards. */
     void drop_before(std::uint64_t index);
 
     std::uint64_t first_index() const { return first_index_; }
@@ -32,8 +32,8 @@
     }
 
     /**
-     * Tokens from `index` on: as many as fit `max_bytes`, but at least one
-     * if there is one. `index` must be contained.
+     * Returns the tokens from `index` on that fit into `max_bytes`, but at
+     * least one if the buffer has one. contains(index) must hold.
      */
     std::vector<std::string> read(std::uint64_t index,
                                   std::size_t max_bytes) const;
@@ -46,7 +46,7 @@
 
     std::uint64_t first_index_ = 0;
     std::string text_;
-    std::vector<std::uint32_t> ends_; // of each token in text_
+    std::vector<std::uint32_t> ends_; // end offset of each token in text_
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/outcomes/session_table.cpp
+++ b/src/libcyclamenrun/outcomes/session_table.cpp
@@ -95,11 +95,12 @@
     auto& session = sessions_.at(work);
     if (session.readers.size() >= limits_.max_readers_per_session)
         return tl::unexpected(failed(refusal_reason::queue_full,
-                                     "too many streams read this answer",
+                                     "too many streams are reading this answer",
                                      milliseconds(1000)));
     if (!session.replay.contains(next_index))
-        return tl::unexpected(failed(refusal_reason::resume_out_of_range,
-                                     "tokens are no longer, or not yet, kept"));
+        return tl::unexpected(
+            failed(refusal_reason::resume_out_of_range,
+                   "tokens from this index on are not kept or not made yet"));
     session.orphan_deadline.reset();
     readers_[++last_reader_] = {work, request_id, next_index, false};
     session.readers.push_back(last_reader_);
@@ -165,7 +166,8 @@
 
 void session_table::trim(work_session& session)
 {
-    // Trimming moves what stays, so it waits for a whole window to drop.
+    // Trimming moves the remaining tokens, so it waits until a whole window
+    // can be dropped.
     const auto window = limits_.replay_window_tokens;
     if (session.replay.next_index() - session.replay.first_index() < 2 * window)
         return;
--- a/src/libcyclamenrun/outcomes/session_table.hpp
+++ b/src/libcyclamenrun/outcomes/session_table.hpp
@@ -16,29 +16,29 @@
 
 using work_id = std::uint64_t;
 
-/** One entry's stream that reads the answer of a piece of work. */
+/** An entry's stream that reads the answer of a work item. */
 using reader_id = std::uint64_t;
 
-/** Frames for one reader. */
+/** Frames for one reader; `end` is set when no more will follow. */
 struct reader_frames {
     std::vector<link::AgentFrame> frames;
     bool end = false;
 };
 
-/** Bounds of a session_table. */
+/** Limits of a session_table. */
 struct session_limits {
     std::size_t max_sessions = 0;
     std::size_t max_readers_per_session = 0;
-    /** Tokens that stay resumable behind the slowest reader. */
+    /** Number of tokens kept for resumption behind the slowest reader. */
     std::uint64_t replay_window_tokens = 0;
 };
 
 /**
- * The work an agent knows of, and who reads the answers.
+ * The work items of an agent and the readers of their answers.
  *
- * Each reader has a place of its own in an answer, so that an answer can be
- * sent again through another entry while an earlier stream still hangs.
- * Not thread-safe: the gate's lock covers it.
+ * Each reader has its own position in an answer, so an answer can be sent again
+ * through another entry while an earlier stream is still open. Not thread-safe;
+ * the gate's lock protects it.
  */
 class session_table
 {
@@ -50,18 +50,18 @@
                                           time_point deadline);
     work_session* find(work_id work);
     const work_session* find(work_id work) const;
-    /** 0 if there is none. */
+    /** Returns 0 if there is no such work item; so does find_generation(). */
     work_id find_request(const std::string& request_id) const;
     work_id find_generation(const generation_id& generation) const;
     void forget(work_id work);
 
     /**
-     * Adds a reader that lacks the tokens from `next_index` on. Refused if
-     * these aren't there, or not any more.
+     * Adds a reader that needs the tokens from `next_index` on. Returns a
+     * refusal if `next_index` lies outside the kept tokens.
      */
     outcome<reader_id> attach(work_id work, const std::string& request_id,
                               std::uint64_t next_index);
-    /** The work whose reader this was, 0 if it was none any more. */
+    /** Removes a reader. Returns its work item, or 0 for an unknown reader. */
     work_id detach(reader_id reader);
     reader_frames pull(reader_id reader, std::size_t max_bytes);
 
--- a/src/libcyclamenrun/outcomes/ticket_authority.cpp
+++ b/src/libcyclamenrun/outcomes/ticket_authority.cpp
@@ -23,7 +23,7 @@
     return not_run(refusal_reason::ticket_invalid, std::move(detail));
 }
 
-/** Length before text, so that no two field lists give the same bytes. */
+/** Prefixes the field with its length: different field lists never collide. */
 void append_field(std::string& bytes, std::string_view field)
 {
     bytes += std::to_string(field.size());
@@ -31,7 +31,7 @@
     bytes += field;
 }
 
-/** Empty for what does not decode; the decoder reports that by throwing. */
+/** Returns an empty string if `text` is not valid base64. */
 std::string decode_base64(std::string_view text)
 {
     std::istringstream encoded{std::string(text)};
@@ -81,13 +81,14 @@
 outcome<link::Ticket> ticket_authority::from_text(std::string_view text)
 {
     if (text.empty() || text.size() > longest_ticket_text)
-        return tl::unexpected(bad_ticket("ticket has the wrong length"));
+        return tl::unexpected(bad_ticket("ticket is empty or too long"));
     if (text.find_first_not_of(base64_digits) != std::string_view::npos)
-        return tl::unexpected(bad_ticket("ticket is not base64"));
+        return tl::unexpected(
+            bad_ticket("ticket contains a character outside base64"));
     const auto bytes = decode_base64(text);
     link::Ticket ticket;
     if (!ticket.ParseFromString(bytes) || ticket.upstream().empty())
-        return tl::unexpected(bad_ticket("ticket does not parse"));
+        return tl::unexpected(bad_ticket("ticket cannot be decoded"));
     return ticket;
 }
 
--- a/src/libcyclamenrun/outcomes/ticket_authority.hpp
+++ b/src/libcyclamenrun/outcomes/ticket_authority.hpp
@@ -14,19 +14,19 @@
 namespace cyclamenrun
 {
 
-/** What a ticket permits and until when. */
+/** What a ticket permits, and its expiry. */
 struct ticket_terms {
     std::string upstream;
     std::uint64_t incarnation = 0;
     std::string team;
     std::string service;
-    /** In ms of the agent's own uptime, so that no wall clock is trusted. */
+    /** In ms of the agent's uptime: wall clocks are not trusted. */
     std::uint64_t expiry_ms = 0;
 };
 
 /**
- * Mints and checks tickets. Any entry can mint one without asking the agent,
- * because what makes a ticket good is the link key that both hold.
+ * Issues and verifies tickets. An entry can issue a ticket without contacting
+ * the agent, because a ticket is signed with the link key that both have.
  */
 class ticket_authority
 {
@@ -35,10 +35,10 @@
 
     link::Ticket mint(const ticket_terms& terms) const;
 
-    /** Whether this authority's key signed the ticket. */
+    /** Whether the ticket is signed with this authority's key. */
     bool genuine(const link::Ticket& ticket) const;
 
-    /** The form in which callers hold a ticket: printable ASCII. */
+    /** Encodes a ticket as printable ASCII, the form that callers receive. */
     static std::string to_text(const link::Ticket& ticket);
     static outcome<link::Ticket> from_text(std::string_view text);
 
--- a/src/libcyclamenrun/outcomes/ticket_book.cpp
+++ b/src/libcyclamenrun/outcomes/ticket_book.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** No ticket lives longer; a larger expiry would be a forged one. */
+/** Exceeds the expiry of any issued ticket; a larger one is refused. */
 constexpr std::uint64_t longest_expiry_ms = std::uint64_t{1} << 42U;
 
 } // namespace
@@ -27,17 +27,19 @@
     const auto& ticket = dispatch.ticket();
     if (!authority_.genuine(ticket) || ticket.expiry_ms() > longest_expiry_ms)
         return tl::unexpected(
-            not_run(refusal_reason::ticket_invalid, "ticket is not genuine"));
+            not_run(refusal_reason::ticket_invalid,
+                    "ticket has an invalid signature or expiry"));
     if (ticket.team() != dispatch.team() ||
         ticket.service() != dispatch.service())
-        return tl::unexpected(not_run(refusal_reason::ticket_invalid,
-                                      "ticket of another team or service"));
-    // An earlier incarnation may have run the call and forgotten it with its
-    // memory, so neither "not run" nor a second run would be right.
-    if (ticket.upstream() != upstream_ || ticket.incarnation() != incarnation_)
         return tl::unexpected(
-            outcome_unknown(refusal_reason::wrong_incarnation,
-                            "the agent that this ticket names is gone"));
+            not_run(refusal_reason::ticket_invalid,
+                    "ticket was issued for another team or service"));
+    // An earlier incarnation may have run the call and its records are lost, so
+    // neither a not_run refusal nor a second run would be correct.
+    if (ticket.upstream() != upstream_ || ticket.incarnation() != incarnation_)
+        return tl::unexpected(outcome_unknown(
+            refusal_reason::wrong_incarnation,
+            "ticket was issued for another upstream or incarnation"));
 
     const auto known = uses_.find(ticket.nonce());
     if (known != uses_.end()) {
--- a/src/libcyclamenrun/outcomes/ticket_book.hpp
+++ b/src/libcyclamenrun/outcomes/ticket_book.hpp
@@ -18,11 +18,12 @@
 {
 
 /**
- * The tickets that this incarnation of an agent has seen used.
+ * The tickets used at this incarnation of an agent.
  *
- * A ticket runs one call: its first use is entered here, every later one
- * finds the entry. The entry stays until the ticket has expired, after which
- * each use is refused by its date, so no use can pass for a first one.
+ * A ticket runs one call: its first use is recorded here and every later use
+ * finds the record. A record is kept at least until its ticket has expired;
+ * from then on a use without a record is refused as expired, so a later use is
+ * never taken for the first.
  */
 class ticket_book
 {
@@ -38,18 +39,18 @@
                 std::size_t capacity);
 
     /**
-     * The earlier use of the dispatch's ticket, nothing if this is the first,
-     * or a refusal: not_run for a ticket that could never have run here,
-     * outcome_unknown where an earlier use may have.
+     * Returns the earlier use of the dispatch's ticket, nullopt if this is the
+     * first use, or a refusal: not_run if the ticket can't have run this call,
+     * outcome_unknown if an earlier use may have run it.
      */
     outcome<std::optional<use>> check(const link::Dispatch& dispatch,
                                       time_point now) const;
 
-    /** False if the book is full: then the call must not run. */
+    /** Records a use. Returns false if full: the call must not run then. */
     bool enter(const link::Dispatch& dispatch, std::uint64_t work,
                time_point now);
 
-    /** The call did not run: its ticket may be used again. */
+    /** Deletes the use of a call that did not run: the ticket stays valid. */
     void withdraw(const link::Dispatch& dispatch);
 
     std::size_t size() const { return uses_.size(); }
@@ -62,7 +63,7 @@
     std::uint64_t incarnation_;
     time_point started_at_;
     std::size_t capacity_;
-    std::unordered_map<std::uint64_t, use> uses_; // by the ticket's nonce
+    std::unordered_map<std::uint64_t, use> uses_; // keyed by the ticket's nonce
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/outcomes/tombstones.hpp
+++ b/src/libcyclamenrun/outcomes/tombstones.hpp
@@ -12,19 +12,19 @@
 {
 
 /**
- * Ids of work that must never start, each kept until its deadline.
+ * Ids of requests that must never start, each kept until its deadline.
  *
  * Guards against a dispatch that a stalled link delivers after its caller has
- * been told not_run: the late copy finds its id here and is refused. The set
- * is bounded by refusing to take more, never by forgetting early, since an id
- * forgotten early would let the late copy run.
+ * received a not_run refusal: the delayed copy's id is found here and the copy
+ * is refused. A full set rejects new ids and never evicts one before its
+ * deadline, because that would allow the delayed copy to run.
  */
 class tombstones
 {
 public:
     explicit tombstones(std::size_t capacity) : capacity_(capacity) {}
 
-    /** False if the set is full: then not_run must not be said. */
+    /** Returns false if the set is full: not_run must not be reported then. */
     bool add(const std::string& id, time_point deadline, time_point now);
 
     bool contains(const std::string& id, time_point now) const;
--- a/src/libcyclamenrun/outcomes/work_session.hpp
+++ b/src/libcyclamenrun/outcomes/work_session.hpp
@@ -17,7 +17,7 @@
 {
 
 enum class work_state : std::uint8_t {
-    waiting, ///< admitted to the queue; nothing has reached the upstream
+    waiting, ///< queued; the upstream has not received it
     running, ///< handed to the upstream
     ended,   ///< its answer or refusal is final
 };
@@ -31,7 +31,7 @@
     std::string body;
 };
 
-/** One piece of work at an agent, from its dispatch until it is forgotten. */
+/** A work item at an agent, from its dispatch until its answer is removed. */
 struct work_session {
     link::Dispatch request;
     generation_id generation;
@@ -44,14 +44,14 @@
     std::optional<call_answer> answer;
     std::optional<refusal> refused;
 
-    std::vector<std::uint64_t> readers; // of its answer, by id
-    /** Nobody reads: when running work is cancelled. */
+    std::vector<std::uint64_t> readers; // ids of the answer's readers
+    /** Set while there are no readers: when the work is cancelled. */
     std::optional<time_point> orphan_deadline;
-    /** The loss of the engine that ended it and is held against it. */
+    /** Id of the engine loss that ended the work and marked it; 0 if none. */
     std::uint64_t loss = 0;
-    /** The entry has all of it. */
+    /** Whether the entry has received the whole answer. */
     bool acknowledged = false;
-    /** Ended: when the answer is forgotten. */
+    /** Set in state `ended`: when the answer may be removed. */
     time_point keep_until;
 
     bool is_call() const { return request.kind() == link::WORK_KIND_CALL; }
