--- a/src/libcyclamenrun/outcomes/gate.cpp
+++ b/src/libcyclamenrun/outcomes/gate.cpp
@@ -11,8 +11,8 @@
 namespace
 {
 
-constexpr std::size_t longest_request_id = 128;
-constexpr milliseconds soon{1000};
+constexpr std::size_t max_request_id_bytes = 128;
+constexpr milliseconds short_retry_after{1000};
 
 milliseconds clamp_deadline(std::uint64_t time_left_ms, milliseconds longest)
 {
@@ -27,10 +27,10 @@
                    milliseconds(0));
 }
 
-refusal lost_refusal()
+refusal no_upstream_refusal()
 {
     return not_run(refusal_reason::no_upstream, "the upstream does not respond",
-                   soon);
+                   short_retry_after);
 }
 
 waiting_work describe(work_id work, const work_session& session)
@@ -51,12 +51,12 @@
     return waiting;
 }
 
-/** `Effects` is the private type gate::effects. */
-template <typename Effects>
-void wake_readers(const work_session& session, Effects& todo)
+/** `DeferredCalls` is the private type gate::deferred_calls. */
+template <typename DeferredCalls>
+void wake_readers(const work_session& session, DeferredCalls& deferred)
 {
-    todo.wakes.insert(todo.wakes.end(), session.readers.begin(),
-                      session.readers.end());
+    deferred.wakes.insert(deferred.wakes.end(), session.readers.begin(),
+                          session.readers.end());
 }
 
 session_limits limits_of(const gate_settings& settings)
@@ -80,28 +80,28 @@
 
 outcome<reader_id> gate::submit(const link::Dispatch& dispatch, time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     outcome<reader_id> reader = tl::unexpected(refusal{});
     {
         const std::scoped_lock lock(mutex_);
-        reader = submit_locked(dispatch, now, todo);
+        reader = submit_locked(dispatch, now, deferred);
         // A second copy of a refused dispatch must be refused as well, even if
         // the reason for the refusal no longer applies.
         if (!reader && reader.error().kind == refusal_kind::not_run &&
-            !entomb(dispatch.request_id(), now))
+            !add_tombstone(dispatch.request_id(), now))
             reader = tl::unexpected(
                 outcome_unknown(reader.error().reason,
                                 "too many refused requests are recorded"));
     }
-    run(todo);
+    run(deferred);
     return reader;
 }
 
 outcome<reader_id> gate::submit_locked(const link::Dispatch& dispatch,
-                                       time_point now, effects& todo)
+                                       time_point now, deferred_calls& deferred)
 {
     const auto& id = dispatch.request_id();
-    if (id.empty() || id.size() > longest_request_id)
+    if (id.empty() || id.size() > max_request_id_bytes)
         return tl::unexpected(not_run(refusal_reason::bad_request,
                                       "request id is empty or too long"));
     if (tombstones_.contains(id, now))
@@ -125,11 +125,11 @@
     }
     if (const auto checked = check(dispatch, now); !checked)
         return tl::unexpected(checked.error());
-    const auto work = take_in(dispatch, now);
+    const auto work = create_session(dispatch, now);
     if (!work)
         return tl::unexpected(work.error());
     auto reader = sessions_.attach(*work, id, 0);
-    admit(now, todo);
+    admit(now, deferred);
     return reader;
 }
 
@@ -143,7 +143,7 @@
     if (draining_)
         return tl::unexpected(drain_refusal());
     if (!engine_ready_)
-        return tl::unexpected(lost_refusal());
+        return tl::unexpected(no_upstream_refusal());
     if (dispatch.time_left_ms() == 0)
         return tl::unexpected(not_run(refusal_reason::deadline_passed));
     if (poison_.verdict(dispatch.fingerprint(), now) == poison_verdict::poison)
@@ -151,13 +151,14 @@
             not_run(refusal_reason::poison,
                     "two upstreams were lost while they ran this request"));
     if (sessions_.full() || sessions_.kept_bytes() >= settings_.max_kept_bytes)
-        return tl::unexpected(
-            not_run(refusal_reason::queue_full,
-                    "too many answers are waiting to be fetched", soon));
+        return tl::unexpected(not_run(
+            refusal_reason::queue_full,
+            "too many answers are waiting to be fetched", short_retry_after));
     return {};
 }
 
-outcome<work_id> gate::take_in(const link::Dispatch& dispatch, time_point now)
+outcome<work_id> gate::create_session(const link::Dispatch& dispatch,
+                                      time_point now)
 {
     const auto time_left =
         clamp_deadline(dispatch.time_left_ms(), settings_.longest_deadline);
@@ -169,14 +170,15 @@
         poison_.verdict(dispatch.fingerprint(), now) == poison_verdict::suspect;
     const auto queued = admission_.enqueue(describe(work, session), now);
     if (!queued) {
-        sessions_.forget(work);
+        sessions_.remove(work);
         return tl::unexpected(queued.error());
     }
-    if (dispatch.has_ticket() && !tickets_.enter(dispatch, work, now)) {
+    if (dispatch.has_ticket() && !tickets_.record_use(dispatch, work, now)) {
         admission_.remove(work, now);
-        sessions_.forget(work);
+        sessions_.remove(work);
         return tl::unexpected(not_run(refusal_reason::queue_full,
-                                      "too many tickets are in use", soon));
+                                      "too many tickets are in use",
+                                      short_retry_after));
     }
     return work;
 }
@@ -213,7 +215,7 @@
         return tl::unexpected(failed(refusal_reason::generation_unknown,
                                      "no such generation is kept here"));
     // The dispatch has not arrived. The tombstone keeps it from running here.
-    if (!entomb(resume.request_id(), now))
+    if (!add_tombstone(resume.request_id(), now))
         return tl::unexpected(
             outcome_unknown(refusal_reason::generation_unknown,
                             "too many refused requests are recorded"));
@@ -223,7 +225,7 @@
 
 refusal gate::cancel(const link::Cancel& cancel, time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     refusal answer =
         not_run(refusal_reason::cancelled, "cancelled before it began");
     {
@@ -234,19 +236,20 @@
             cancel.incarnation() != settings_.incarnation) {
             answer = outcome_unknown(refusal_reason::wrong_incarnation);
         } else if (session == nullptr) {
-            if (!entomb(cancel.request_id(), now))
+            if (!add_tombstone(cancel.request_id(), now))
                 answer = outcome_unknown(refusal_reason::cancelled);
         } else if (session->request.team() != cancel.team()) {
             answer = failed(refusal_reason::generation_unknown);
         } else {
             if (session->state != work_state::ended)
-                give_up(work, *session, refusal_reason::cancelled, now, todo);
+                abort_work(work, *session, refusal_reason::cancelled, now,
+                           deferred);
             answer = session->refused.value_or(
                 outcome_unknown(refusal_reason::cancelled,
                                 "the request has ended or is still running"));
         }
     }
-    run(todo);
+    run(deferred);
     return answer;
 }
 
@@ -288,7 +291,7 @@
 
 void gate::token_made(work_id work, const std::string& text, time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     {
         const std::scoped_lock lock(mutex_);
         auto* session = running_session(work);
@@ -296,25 +299,25 @@
             return;
         if (session->replay.bytes() + text.size() >
             settings_.max_answer_bytes) {
-            give_up(work, *session, refusal_reason::answer_too_large, now,
-                    todo);
+            abort_work(work, *session, refusal_reason::answer_too_large, now,
+                       deferred);
         } else {
             sessions_.append_token(*session, text);
             admission_.tokens_made(work, 1, now);
-            wake_readers(*session, todo);
+            wake_readers(*session, deferred);
             // The first token ends the prompt's processing, which may allow the
             // next work item to start.
             if (session->replay.next_index() == 1)
-                admit(now, todo);
+                admit(now, deferred);
         }
     }
-    run(todo);
+    run(deferred);
 }
 
 void gate::finished(work_id work, const std::string& finish_reason,
                     time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     {
         const std::scoped_lock lock(mutex_);
         auto* session = running_session(work);
@@ -323,15 +326,15 @@
         session->finish_reason = finish_reason;
         poison_.clear(session->request.fingerprint(), now);
         admission_.finished(work, true, now);
-        end(*session, now, todo);
-        admit(now, todo);
+        end(*session, now, deferred);
+        admit(now, deferred);
     }
-    run(todo);
+    run(deferred);
 }
 
 void gate::answered(work_id work, call_answer answer, time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     {
         const std::scoped_lock lock(mutex_);
         auto* session = running_session(work);
@@ -341,46 +344,46 @@
         admission_.finished(work, true, now);
         if (answer.body.size() > settings_.max_answer_bytes) {
             refuse(*session, outcome_unknown(refusal_reason::answer_too_large),
-                   now, todo);
+                   now, deferred);
         } else {
             sessions_.set_answer(*session, std::move(answer));
-            end(*session, now, todo);
+            end(*session, now, deferred);
         }
-        admit(now, todo);
+        admit(now, deferred);
     }
-    run(todo);
+    run(deferred);
 }
 
 void gate::run_failed(work_id work, const refusal& why, time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     {
         const std::scoped_lock lock(mutex_);
         auto* session = running_session(work);
         if (session == nullptr)
             return;
         admission_.finished(work, false, now);
-        refuse(*session, why, now, todo);
-        admit(now, todo);
+        refuse(*session, why, now, deferred);
+        admit(now, deferred);
     }
-    run(todo);
+    run(deferred);
 }
 
 void gate::engine_lost(time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     {
         const std::scoped_lock lock(mutex_);
         engine_ready_ = false;
         ++load_change_;
-        todo.news = true;
-        const auto loss = next_loss();
+        deferred.state_changed = true;
+        const auto loss = next_loss_id();
         // The reclaim explains the loss, so no request is suspected.
-        const bool explained = reclaim_deadline_.has_value();
+        const bool being_reclaimed = reclaim_deadline_.has_value();
         for (auto& [work, session] : sessions_.all()) {
             if (session.state != work_state::running)
                 continue;
-            if (!explained) {
+            if (!being_reclaimed) {
                 session.loss = loss;
                 poison_.mark(session.request.fingerprint(), loss, now);
             }
@@ -392,30 +395,30 @@
                           "the application runner was lost during the call")
                     : failed(refusal_reason::engine_lost,
                              "the engine was lost during the generation");
-            refuse(session, why, now, todo);
+            refuse(session, why, now, deferred);
         }
-        refuse_all_waiting(lost_refusal(), now, todo);
+        refuse_all_waiting(no_upstream_refusal(), now, deferred);
     }
-    run(todo);
+    run(deferred);
 }
 
 void gate::engine_ready(std::uint64_t external_tokens, time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     {
         const std::scoped_lock lock(mutex_);
         engine_ready_ = true;
         ++load_change_;
-        todo.news = true;
+        deferred.state_changed = true;
         admission_.foreign_memory(external_tokens);
-        admit(now, todo);
+        admit(now, deferred);
     }
-    run(todo);
+    run(deferred);
 }
 
 void gate::drain(time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     {
         const std::scoped_lock lock(mutex_);
         if (!draining_) {
@@ -423,10 +426,10 @@
             linger_deadline_ = now + settings_.drain_linger;
         }
         draining_ = true;
-        todo.news = true;
-        refuse_all_waiting(drain_refusal(), now, todo);
+        deferred.state_changed = true;
+        refuse_all_waiting(drain_refusal(), now, deferred);
     }
-    run(todo);
+    run(deferred);
 }
 
 void gate::reclaim(time_point deadline, time_point now)
@@ -447,70 +450,72 @@
 void gate::merge_marks(const std::vector<link::PoisonMark>& marks,
                        time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     {
         const std::scoped_lock lock(mutex_);
         const auto before = poison_.version();
         for (const auto& mark : marks)
             poison_.merge(mark, now);
-        todo.news = poison_.version() != before;
+        deferred.state_changed = poison_.version() != before;
     }
-    run(todo);
+    run(deferred);
 }
 
 void gate::engine_load(const engine_load_hint& hint, time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     {
         const std::scoped_lock lock(mutex_);
         admission_.engine_load(hint, now);
-        admit(now, todo);
+        admit(now, deferred);
     }
-    run(todo);
+    run(deferred);
 }
 
 void gate::tick(time_point now)
 {
-    effects todo;
+    deferred_calls deferred;
     {
         const std::scoped_lock lock(mutex_);
-        expire(now, todo);
-        admit(now, todo);
+        expire(now, deferred);
+        admit(now, deferred);
     }
-    run(todo);
+    run(deferred);
 }
 
-void gate::expire(time_point now, effects& todo)
+void gate::expire(time_point now, deferred_calls& deferred)
 {
     for (const auto work : admission_.expired(now)) {
         auto* session = sessions_.find(work);
         if (session != nullptr)
             refuse(*session, not_run(refusal_reason::deadline_passed), now,
-                   todo);
+                   deferred);
     }
-    std::vector<work_id> forgotten;
+    std::vector<work_id> expired_sessions;
     for (auto& [work, session] : sessions_.all()) {
         if (session.state == work_state::ended) {
             if (now >= session.keep_until && session.readers.empty())
-                forgotten.push_back(work);
+                expired_sessions.push_back(work);
         } else if (now >= session.deadline) {
-            give_up(work, session, refusal_reason::deadline_passed, now, todo);
+            abort_work(work, session, refusal_reason::deadline_passed, now,
+                       deferred);
         } else if (session.orphan_deadline && now >= *session.orphan_deadline) {
-            give_up(work, session, refusal_reason::cancelled, now, todo);
+            abort_work(work, session, refusal_reason::cancelled, now, deferred);
         } else if (reclaim_deadline_ && now >= *reclaim_deadline_) {
-            give_up(work, session, refusal_reason::reclaimed, now, todo);
+            abort_work(work, session, refusal_reason::reclaimed, now, deferred);
         }
     }
-    for (const auto work : forgotten)
-        sessions_.forget(work);
+    for (const auto work : expired_sessions)
+        sessions_.remove(work);
 }
 
-void gate::give_up(work_id work, work_session& session, refusal_reason reason,
-                   time_point now, effects& todo)
+void gate::abort_work(work_id work, work_session& session,
+                      refusal_reason reason, time_point now,
+                      deferred_calls& deferred)
 {
     if (session.state == work_state::waiting) {
         admission_.remove(work, now);
-        refuse(session, not_run(reason), now, todo);
+        refuse(session, not_run(reason), now, deferred);
         return;
     }
     if (session.is_call() && reason == refusal_reason::cancelled) {
@@ -519,48 +524,49 @@
         session.orphan_deadline.reset();
         return;
     }
-    todo.stops.push_back(work);
+    deferred.stops.push_back(work);
     admission_.finished(work, false, now);
     refuse(session,
            session.is_call() ? outcome_unknown(reason) : failed(reason), now,
-           todo);
+           deferred);
 }
 
 void gate::refuse(work_session& session, const refusal& why, time_point now,
-                  effects& todo)
+                  deferred_calls& deferred)
 {
     session.refused = why;
     if (why.kind == refusal_kind::not_run) {
         // A delayed copy of the same dispatch must not run later.
-        if (!entomb(session.request.request_id(), now))
+        if (!add_tombstone(session.request.request_id(), now))
             session.refused->kind = refusal_kind::outcome_unknown;
         else if (session.has_ticket())
-            tickets_.withdraw(session.request);
+            tickets_.remove_use(session.request);
     }
-    end(session, now, todo);
+    end(session, now, deferred);
 }
 
-void gate::end(work_session& session, time_point now, effects& todo)
+void gate::end(work_session& session, time_point now, deferred_calls& deferred)
 {
     session.state = work_state::ended;
     session.request.clear_body();
     session.keep_until = now + settings_.answer_grace;
     if (session.has_ticket())
         session.keep_until = std::max(session.keep_until, session.deadline);
-    wake_readers(session, todo);
+    wake_readers(session, deferred);
 }
 
-void gate::refuse_all_waiting(const refusal& why, time_point now, effects& todo)
+void gate::refuse_all_waiting(const refusal& why, time_point now,
+                              deferred_calls& deferred)
 {
     for (auto& [work, session] : sessions_.all()) {
         if (session.state != work_state::waiting)
             continue;
         admission_.remove(work, now);
-        refuse(session, why, now, todo);
+        refuse(session, why, now, deferred);
     }
 }
 
-void gate::admit(time_point now, effects& todo)
+void gate::admit(time_point now, deferred_calls& deferred)
 {
     if (!engine_ready_)
         return;
@@ -570,15 +576,15 @@
             continue;
         session->state = work_state::running;
         auto& request = session->request;
-        todo.starts.push_back({work, request.request_id(), request.kind(),
-                               request.path(), request.body(),
-                               admission_.priority(work), session->deadline});
+        deferred.starts.push_back(
+            {work, request.request_id(), request.kind(), request.path(),
+             request.body(), admission_.priority(work), session->deadline});
         request.clear_body();
-        wake_readers(*session, todo);
+        wake_readers(*session, deferred);
     }
 }
 
-bool gate::entomb(const std::string& request_id, time_point now)
+bool gate::add_tombstone(const std::string& request_id, time_point now)
 {
     return tombstones_.add(request_id, now + settings_.tombstone_life, now);
 }
@@ -591,7 +597,7 @@
     return session;
 }
 
-std::uint64_t gate::next_loss()
+std::uint64_t gate::next_loss_id()
 {
     ++engine_losses_;
     return hash64(settings_.upstream, settings_.incarnation + engine_losses_);
@@ -677,15 +683,15 @@
         visitor(work, session);
 }
 
-void gate::run(const effects& todo) const
+void gate::run(const deferred_calls& deferred) const
 {
-    for (const auto work : todo.stops)
+    for (const auto work : deferred.stops)
         hooks_.stop(work);
-    for (const auto& order : todo.starts)
+    for (const auto& order : deferred.starts)
         hooks_.start(order);
-    for (const auto reader : todo.wakes)
+    for (const auto reader : deferred.wakes)
         hooks_.wake(reader);
-    if (todo.news)
+    if (deferred.state_changed)
         hooks_.news();
 }
 
--- a/src/libcyclamenrun/outcomes/gate.hpp
+++ b/src/libcyclamenrun/outcomes/gate.hpp
@@ -110,33 +110,35 @@
 
 private:
     /** Callbacks to run once the lock is released. */
-    struct effects {
+    struct deferred_calls {
         std::vector<run_order> starts;
         std::vector<work_id> stops;
         std::vector<reader_id> wakes;
-        bool news = false;
+        bool state_changed = false;
     };
 
     outcome<reader_id> submit_locked(const link::Dispatch& dispatch,
-                                     time_point now, effects& todo);
+                                     time_point now, deferred_calls& deferred);
     outcome<void> check(const link::Dispatch& dispatch, time_point now) const;
-    outcome<work_id> take_in(const link::Dispatch& dispatch, time_point now);
+    outcome<work_id> create_session(const link::Dispatch& dispatch,
+                                    time_point now);
     outcome<work_id> find_for_resume(const link::Resume& resume,
                                      time_point now);
-    void admit(time_point now, effects& todo);
-    void end(work_session& session, time_point now, effects& todo);
+    void admit(time_point now, deferred_calls& deferred);
+    void end(work_session& session, time_point now, deferred_calls& deferred);
     void refuse(work_session& session, const refusal& why, time_point now,
-                effects& todo);
+                deferred_calls& deferred);
     /** Ends work for `reason`; a cancelled call that is running continues. */
-    void give_up(work_id work, work_session& session, refusal_reason reason,
-                 time_point now, effects& todo);
-    void expire(time_point now, effects& todo);
-    void refuse_all_waiting(const refusal& why, time_point now, effects& todo);
-    bool entomb(const std::string& request_id, time_point now);
+    void abort_work(work_id work, work_session& session, refusal_reason reason,
+                    time_point now, deferred_calls& deferred);
+    void expire(time_point now, deferred_calls& deferred);
+    void refuse_all_waiting(const refusal& why, time_point now,
+                            deferred_calls& deferred);
+    bool add_tombstone(const std::string& request_id, time_point now);
     work_session* running_session(work_id work);
-    std::uint64_t next_loss();
+    std::uint64_t next_loss_id();
     link::LoadReport load_locked(time_point now) const;
-    void run(const effects& todo) const;
+    void run(const deferred_calls& deferred) const;
 
     gate_settings settings_;
     gate_hooks hooks_;
--- a/src/libcyclamenrun/outcomes/poison_register.cpp
+++ b/src/libcyclamenrun/outcomes/poison_register.cpp
@@ -14,16 +14,16 @@
  * Losses recorded per request. Two make it a poison request, so a longer record
  * would not change the verdict.
  */
-constexpr std::size_t losses_kept = 4;
+constexpr std::size_t max_recorded_losses = 4;
 
 bool contains(const std::vector<std::uint64_t>& losses, std::uint64_t loss)
 {
     return std::find(losses.begin(), losses.end(), loss) != losses.end();
 }
 
-void keep(std::vector<std::uint64_t>& losses, std::uint64_t loss)
+void add_bounded(std::vector<std::uint64_t>& losses, std::uint64_t loss)
 {
-    if (losses.size() == losses_kept)
+    if (losses.size() == max_recorded_losses)
         losses.erase(losses.begin());
     losses.push_back(loss);
 }
@@ -40,8 +40,8 @@
 
 } // namespace
 
-poison_register::poison_register(std::size_t capacity, duration mark_life)
-    : capacity_(capacity), mark_life_(mark_life)
+poison_register::poison_register(std::size_t capacity, duration mark_lifetime)
+    : capacity_(capacity), mark_lifetime_(mark_lifetime)
 {
 }
 
@@ -49,31 +49,31 @@
                            time_point now)
 {
     const auto known = records_.find(fingerprint);
-    if (known != records_.end() && (contains(known->second.held, loss) ||
+    if (known != records_.end() && (contains(known->second.active, loss) ||
                                     contains(known->second.cleared, loss)))
         return;
-    keep(touch(fingerprint, now).held, loss);
+    add_bounded(touch(fingerprint, now).active, loss);
 }
 
 void poison_register::clear(std::uint64_t fingerprint, time_point now)
 {
     const auto known = records_.find(fingerprint);
-    if (known == records_.end() || known->second.held.empty())
+    if (known == records_.end() || known->second.active.empty())
         return;
     auto& changed = touch(fingerprint, now);
-    for (const auto loss : changed.held)
-        keep(changed.cleared, loss);
-    changed.held.clear();
+    for (const auto loss : changed.active)
+        add_bounded(changed.cleared, loss);
+    changed.active.clear();
 }
 
-void poison_register::withdraw(std::uint64_t loss, time_point now)
+void poison_register::clear_loss(std::uint64_t loss, time_point now)
 {
     for (auto& [fingerprint, known] : records_) {
-        if (std::erase(known.held, loss) == 0)
+        if (std::erase(known.active, loss) == 0)
             continue;
-        keep(known.cleared, loss);
+        add_bounded(known.cleared, loss);
         known.changed = ++version_;
-        known.deadline = now + mark_life_;
+        known.deadline = now + mark_lifetime_;
     }
 }
 
@@ -87,8 +87,8 @@
     if (known != records_.end() && contains(known->second.cleared, mark.loss()))
         return;
     auto& changed = touch(mark.fingerprint(), now);
-    std::erase(changed.held, mark.loss());
-    keep(changed.cleared, mark.loss());
+    std::erase(changed.active, mark.loss());
+    add_bounded(changed.cleared, mark.loss());
 }
 
 poison_verdict poison_register::verdict(std::uint64_t fingerprint,
@@ -97,7 +97,7 @@
     const auto known = records_.find(fingerprint);
     if (known == records_.end() || now >= known->second.deadline)
         return poison_verdict::clean;
-    switch (known->second.held.size()) {
+    switch (known->second.active.size()) {
     case 0:
         return poison_verdict::clean;
     case 1:
@@ -114,7 +114,7 @@
     for (const auto& [fingerprint, known] : records_) {
         if (known.changed <= version)
             continue;
-        for (const auto loss : known.held)
+        for (const auto loss : known.active)
             marks.push_back(make_mark(fingerprint, loss, false));
         for (const auto loss : known.cleared)
             marks.push_back(make_mark(fingerprint, loss, true));
@@ -129,11 +129,11 @@
         make_room(now);
     auto& touched = records_[fingerprint];
     if (now >= touched.deadline) {
-        touched.held.clear();
+        touched.active.clear();
         touched.cleared.clear();
     }
     touched.changed = ++version_;
-    touched.deadline = now + mark_life_;
+    touched.deadline = now + mark_lifetime_;
     return touched;
 }
 
--- a/src/libcyclamenrun/outcomes/poison_register.hpp
+++ b/src/libcyclamenrun/outcomes/poison_register.hpp
@@ -35,12 +35,12 @@
 class poison_register
 {
 public:
-    poison_register(std::size_t capacity, duration mark_life);
+    poison_register(std::size_t capacity, duration mark_lifetime);
 
     void mark(std::uint64_t fingerprint, std::uint64_t loss, time_point now);
     void clear(std::uint64_t fingerprint, time_point now);
     /** Clears a loss whose reported process has responded since. */
-    void withdraw(std::uint64_t loss, time_point now);
+    void clear_loss(std::uint64_t loss, time_point now);
     void merge(const link::PoisonMark& mark, time_point now);
 
     poison_verdict verdict(std::uint64_t fingerprint, time_point now) const;
@@ -52,7 +52,7 @@
 
 private:
     struct record {
-        std::vector<std::uint64_t> held;
+        std::vector<std::uint64_t> active;
         std::vector<std::uint64_t> cleared;
         std::uint64_t changed = 0;
         time_point deadline;
@@ -62,7 +62,7 @@
     void make_room(time_point now);
 
     std::size_t capacity_;
-    duration mark_life_;
+    duration mark_lifetime_;
     std::uint64_t version_ = 0;
     std::unordered_map<std::uint64_t, record> records_;
 };
--- a/src/libcyclamenrun/outcomes/poison_watch.cpp
+++ b/src/libcyclamenrun/outcomes/poison_watch.cpp
@@ -8,12 +8,12 @@
 namespace
 {
 
-constexpr std::size_t most_reported = 4096;
+constexpr std::size_t max_reported_losses = 4096;
 
 } // namespace
 
-poison_watch::poison_watch(std::size_t capacity, duration mark_life)
-    : marks_(capacity, mark_life)
+poison_watch::poison_watch(std::size_t capacity, duration mark_lifetime)
+    : marks_(capacity, mark_lifetime)
 {
 }
 
@@ -32,7 +32,7 @@
     // agent report the same loss.
     const auto loss = hash64(agent.upstream, agent.incarnation);
     marks_.mark(fingerprint, loss, now);
-    if (reported_.size() < most_reported)
+    if (reported_.size() < max_reported_losses)
         reported_.insert(loss);
 }
 
@@ -48,9 +48,9 @@
 {
     const std::scoped_lock lock(mutex_);
     auto& known = peers_[upstream];
-    known.sent = marks_.version();
-    heartbeat.set_marks_seen(known.seen);
-    for (auto& mark : marks_.marks_since(known.told))
+    known.sent_version = marks_.version();
+    heartbeat.set_marks_seen(known.received_version);
+    for (auto& mark : marks_.marks_since(known.merged_version))
         *heartbeat.add_marks() = std::move(mark);
 }
 
@@ -60,13 +60,14 @@
     const std::scoped_lock lock(mutex_);
     auto& known = peers_[upstream];
     // A new incarnation of the agent has none of the marks sent to the old one.
-    const bool same_life = known.incarnation == reply.load().incarnation();
+    const bool same_incarnation =
+        known.incarnation == reply.load().incarnation();
     known.incarnation = reply.load().incarnation();
-    known.told = same_life ? known.sent : 0;
-    known.seen = reply.marks_version();
+    known.merged_version = same_incarnation ? known.sent_version : 0;
+    known.received_version = reply.marks_version();
     const auto loss = hash64(upstream, known.incarnation);
     if (reported_.erase(loss) > 0)
-        marks_.withdraw(loss, now);
+        marks_.clear_loss(loss, now);
     for (const auto& mark : reply.marks())
         marks_.merge(mark, now);
 }
--- a/src/libcyclamenrun/outcomes/poison_watch.hpp
+++ b/src/libcyclamenrun/outcomes/poison_watch.hpp
@@ -23,7 +23,7 @@
 class poison_watch
 {
 public:
-    poison_watch(std::size_t capacity, duration mark_life);
+    poison_watch(std::size_t capacity, duration mark_lifetime);
 
     poison_verdict verdict(std::uint64_t fingerprint, time_point now) const;
     /**
@@ -47,9 +47,9 @@
 private:
     struct peer {
         std::uint64_t incarnation = 0;
-        std::uint64_t told = 0; // version of the register that the peer has
-        std::uint64_t sent = 0; // version sent with the pending heartbeat
-        std::uint64_t seen = 0; // the peer's version that was merged here
+        std::uint64_t merged_version = 0;   // our marks that the peer has
+        std::uint64_t sent_version = 0;     // our marks in the last heartbeat
+        std::uint64_t received_version = 0; // the peer's marks merged here
     };
 
     mutable std::mutex mutex_;
--- a/src/libcyclamenrun/outcomes/relay.cpp
+++ b/src/libcyclamenrun/outcomes/relay.cpp
@@ -11,7 +11,7 @@
 {
 
 /** Whether every other upstream would refuse the request as well. */
-bool final_everywhere(refusal_reason reason)
+bool refused_by_every_upstream(refusal_reason reason)
 {
     switch (reason) {
     case refusal_reason::bad_request:
@@ -65,7 +65,7 @@
         generation_ = request_.resume_after->generation;
         next_index_ = request_.resume_after->index + 1;
         target_ = {generation_->upstream, generation_->incarnation};
-        seen_ = true;
+        token_delivered_ = true;
         may_have_run_ = true;
         reattach_deadline_ = now + settings_.reattach_window;
         return reattach(now);
@@ -93,10 +93,10 @@
     }
     ++attempts_;
     generation_.reset();
-    whole_.clear();
-    whole_bytes_ = 0;
+    buffered_tokens_.clear();
+    buffered_bytes_ = 0;
     next_index_ = 0;
-    broken_streams_ = 0;
+    invalid_streams_ = 0;
     reattaching_ = false;
     reattach_at_.reset();
     return {open("/dispatch", dispatch_frame(now))};
@@ -117,7 +117,8 @@
     // Guards against an answer to another request on a link that confuses its
     // streams. Such a frame has another request id; its content is ignored.
     if (frame.request_id() != attempt_id())
-        return fail_closed("the agent sent a frame of another request", now);
+        return handle_protocol_error(
+            "the agent sent a frame of another request", now);
 
     if (frame.has_refused()) {
         stream_open_ = false;
@@ -155,7 +156,8 @@
     // Guards against splicing two generations: a resumed stream must continue
     // the generation whose tokens the caller has.
     if (generation_ && !(*generation_ == id))
-        return fail_closed("the agent resumed another generation", now);
+        return handle_protocol_error("the agent resumed another generation",
+                                     now);
     generation_ = id;
     return {};
 }
@@ -163,33 +165,36 @@
 relay_actions relay::on_tokens(const link::Tokens& tokens, time_point now)
 {
     if (is_call() || !generation_)
-        return fail_closed("the agent sent tokens without a generation", now);
+        return handle_protocol_error(
+            "the agent sent tokens without a generation", now);
     if (tokens.first_index() != next_index_)
-        return fail_closed("the tokens' indexes are not consecutive", now);
+        return handle_protocol_error("the tokens' indexes are not consecutive",
+                                     now);
     const stream_position first{*generation_, next_index_};
     std::vector<std::string> texts(tokens.text().begin(), tokens.text().end());
     next_index_ += texts.size();
     if (request_.delivery == delivery_mode::stream) {
-        seen_ = true;
+        token_delivered_ = true;
         return {write_tokens{first, std::move(texts)}};
     }
     for (auto& text : texts) {
-        whole_bytes_ += text.size();
-        whole_.push_back(std::move(text));
+        buffered_bytes_ += text.size();
+        buffered_tokens_.push_back(std::move(text));
     }
-    if (whole_bytes_ > settings_.max_whole_bytes)
-        return give_up(failed(refusal_reason::answer_too_large), now);
+    if (buffered_bytes_ > settings_.max_whole_bytes)
+        return abort_work(failed(refusal_reason::answer_too_large), now);
     return {};
 }
 
 relay_actions relay::on_finished(const link::Finished& finished, time_point now)
 {
     if (is_call() || !generation_ || finished.token_count() != next_index_)
-        return fail_closed("the end frame does not match the tokens", now);
+        return handle_protocol_error("the end frame does not match the tokens",
+                                     now);
     done_ = true;
     stream_open_ = false;
     return {write_end{*generation_, next_index_, finished.finish_reason(),
-                      std::move(whole_)},
+                      std::move(buffered_tokens_)},
             acknowledge_message()};
 }
 
@@ -206,12 +211,12 @@
 {
     if (why.kind == refusal_kind::not_run) {
         // A ticket binds its call to this agent: no other agent may run it.
-        if (request_.ticket || final_everywhere(why.reason))
+        if (request_.ticket || refused_by_every_upstream(why.reason))
             return refuse(why, now);
         return try_elsewhere(why, now);
     }
     may_have_run_ = true;
-    if (!may_run_again() || final_everywhere(why.reason))
+    if (!may_run_again() || refused_by_every_upstream(why.reason))
         return refuse(why, now);
     return try_elsewhere(why, now);
 }
@@ -220,8 +225,8 @@
 {
     // Only the incarnation that received the work knows its outcome.
     if (why.reason == refusal_reason::wrong_incarnation)
-        return lost_agent(now);
-    if (why.kind == refusal_kind::not_run && !seen_)
+        return handle_lost_agent(now);
+    if (why.kind == refusal_kind::not_run && !token_delivered_)
         return try_elsewhere(why, now);
     return refuse(why, now);
 }
@@ -243,12 +248,12 @@
     }
     // Work that may run again does not wait for its agent to return.
     if (may_run_again() || now >= reattach_deadline_)
-        return lost_agent(now);
-    reattach_at_ = now + settings_.reattach_pause;
+        return handle_lost_agent(now);
+    reattach_at_ = now + settings_.reattach_delay;
     return {};
 }
 
-relay_actions relay::lost_agent(time_point now)
+relay_actions relay::handle_lost_agent(time_point now)
 {
     hooks_.agent_lost(request_.fingerprint, target_, now);
     may_have_run_ = true;
@@ -297,7 +302,7 @@
     return {write_refusal{std::move(why)}};
 }
 
-relay_actions relay::give_up(const refusal& why, time_point now)
+relay_actions relay::abort_work(const refusal& why, time_point now)
 {
     relay_actions actions{close_stream{stream_}, cancel_message()};
     stream_open_ = false;
@@ -305,13 +310,14 @@
     return actions;
 }
 
-relay_actions relay::fail_closed(const std::string& detail, time_point now)
+relay_actions relay::handle_protocol_error(const std::string& detail,
+                                           time_point now)
 {
     may_have_run_ = true;
     // The frames before this one were valid and the agent still has the rest,
     // so a new stream can deliver it. After a further invalid stream (see
-    // max_broken_streams) the attempt is abandoned.
-    if (++broken_streams_ < settings_.max_broken_streams) {
+    // max_invalid_streams) the attempt is abandoned.
+    if (++invalid_streams_ < settings_.max_invalid_streams) {
         relay_actions actions{close_stream{stream_}};
         stream_open_ = false;
         reattach_deadline_ = now + settings_.reattach_window;
@@ -344,7 +350,7 @@
         actions.emplace_back(close_stream{stream_});
     // A caller that has received no token id can't resume, so the work is
     // cancelled.
-    if (!seen_ && !request_.ticket && stream_ > 0)
+    if (!token_delivered_ && !request_.ticket && stream_ > 0)
         actions.emplace_back(cancel_message());
     return actions;
 }
@@ -357,9 +363,10 @@
         if (stream_ == 0)
             return refuse(not_run(refusal_reason::deadline_passed), now);
         const bool began = generation_.has_value() && !is_call();
-        return give_up(began ? failed(refusal_reason::deadline_passed)
-                             : outcome_unknown(refusal_reason::deadline_passed),
-                       now);
+        return abort_work(
+            began ? failed(refusal_reason::deadline_passed)
+                  : outcome_unknown(refusal_reason::deadline_passed),
+            now);
     }
     if (reattach_at_ && now >= *reattach_at_)
         return reattach(now);
@@ -374,7 +381,7 @@
 
 bool relay::may_run_again() const
 {
-    return request_.idempotent && !request_.ticket && !seen_;
+    return request_.idempotent && !request_.ticket && !token_delivered_;
 }
 
 std::string relay::attempt_id() const
--- a/src/libcyclamenrun/outcomes/relay.hpp
+++ b/src/libcyclamenrun/outcomes/relay.hpp
@@ -45,9 +45,9 @@
      * usual freeze.
      */
     milliseconds reattach_window{10'000};
-    milliseconds reattach_pause{200};
+    milliseconds reattach_delay{200};
     /** Streams with invalid frames after which an attempt is abandoned. */
-    int max_broken_streams = 2;
+    int max_invalid_streams = 2;
     std::size_t max_whole_bytes = std::size_t{4} << 20U;
 };
 
@@ -92,11 +92,12 @@
 
     relay_actions dispatch(time_point now);
     relay_actions reattach(time_point now);
-    relay_actions lost_agent(time_point now);
+    relay_actions handle_lost_agent(time_point now);
     relay_actions try_elsewhere(const refusal& why, time_point now);
     relay_actions refuse(refusal why, time_point now);
-    relay_actions give_up(const refusal& why, time_point now);
-    relay_actions fail_closed(const std::string& detail, time_point now);
+    relay_actions abort_work(const refusal& why, time_point now);
+    relay_actions handle_protocol_error(const std::string& detail,
+                                        time_point now);
 
     relay_actions on_accepted(const link::Accepted& accepted, time_point now);
     relay_actions on_tokens(const link::Tokens& tokens, time_point now);
@@ -118,16 +119,16 @@
     route_target target_;
     std::vector<std::string> excluded_;
     std::optional<generation_id> generation_;
-    std::vector<std::string> whole_;
-    std::size_t whole_bytes_ = 0;
+    std::vector<std::string> buffered_tokens_;
+    std::size_t buffered_bytes_ = 0;
     std::uint64_t next_index_ = 0;
     int attempts_ = 0;
-    int broken_streams_ = 0;   // in this attempt
+    int invalid_streams_ = 0;  // in this attempt
     stream_number stream_ = 0; // the last stream opened
     bool stream_open_ = false;
     bool reattaching_ = false;
-    bool seen_ = false;         // the caller has received a token
-    bool may_have_run_ = false; // in any attempt of this request
+    bool token_delivered_ = false; // the caller has received a token
+    bool may_have_run_ = false;    // in any attempt of this request
     bool suspect_ = false;
     bool done_ = false;
     std::optional<time_point> reattach_at_;
--- a/src/libcyclamenrun/outcomes/session_table.cpp
+++ b/src/libcyclamenrun/outcomes/session_table.cpp
@@ -76,7 +76,7 @@
     return generation.sequence;
 }
 
-void session_table::forget(work_id work)
+void session_table::remove(work_id work)
 {
     const auto found = sessions_.find(work);
     if (found == sessions_.end())
@@ -126,29 +126,29 @@
         pulled.end = true;
         return pulled;
     }
-    auto& place = found->second;
-    auto& session = sessions_.at(place.work);
+    auto& position = found->second;
+    auto& session = sessions_.at(position.work);
 
-    if (!place.accepted_sent && session.state != work_state::waiting) {
-        place.accepted_sent = true;
+    if (!position.accepted_sent && session.state != work_state::waiting) {
+        position.accepted_sent = true;
         pulled.frames.push_back(accepted_frame(session));
     }
-    if (place.next_index < session.replay.next_index()) {
-        auto texts = session.replay.read(place.next_index, max_bytes);
+    if (position.next_index < session.replay.next_index()) {
+        auto texts = session.replay.read(position.next_index, max_bytes);
         auto& frame = pulled.frames.emplace_back();
-        frame.mutable_tokens()->set_first_index(place.next_index);
+        frame.mutable_tokens()->set_first_index(position.next_index);
         for (auto& text : texts)
             frame.mutable_tokens()->add_text(std::move(text));
-        place.next_index += texts.size();
+        position.next_index += texts.size();
         trim(session);
     }
     if (session.state == work_state::ended &&
-        place.next_index == session.replay.next_index()) {
+        position.next_index == session.replay.next_index()) {
         pulled.frames.push_back(final_frame(session));
         pulled.end = true;
     }
     for (auto& frame : pulled.frames)
-        frame.set_request_id(place.request_id);
+        frame.set_request_id(position.request_id);
     return pulled;
 }
 
--- a/src/libcyclamenrun/outcomes/session_table.hpp
+++ b/src/libcyclamenrun/outcomes/session_table.hpp
@@ -53,7 +53,7 @@
     /** Returns 0 if there is no such work item; so does find_generation(). */
     work_id find_request(const std::string& request_id) const;
     work_id find_generation(const generation_id& generation) const;
-    void forget(work_id work);
+    void remove(work_id work);
 
     /**
      * Adds a reader that needs the tokens from `next_index` on. Returns a
@@ -73,7 +73,7 @@
     const std::map<work_id, work_session>& all() const { return sessions_; }
 
 private:
-    struct reading {
+    struct reader_position {
         work_id work = 0;
         std::string request_id;
         std::uint64_t next_index = 0;
@@ -85,7 +85,7 @@
     session_limits limits_;
     std::map<work_id, work_session> sessions_;
     std::unordered_map<std::string, work_id> by_request_;
-    std::unordered_map<reader_id, reading> readers_;
+    std::unordered_map<reader_id, reader_position> readers_;
     work_id last_work_ = 0;
     reader_id last_reader_ = 0;
     std::size_t kept_bytes_ = 0;
--- a/src/libcyclamenrun/outcomes/ticket_authority.cpp
+++ b/src/libcyclamenrun/outcomes/ticket_authority.cpp
@@ -14,11 +14,11 @@
 namespace
 {
 
-constexpr std::size_t longest_ticket_text = 1024;
+constexpr std::size_t max_ticket_text_bytes = 1024;
 constexpr std::string_view base64_digits =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/=";
 
-refusal bad_ticket(std::string detail)
+refusal invalid_ticket(std::string detail)
 {
     return not_run(refusal_reason::ticket_invalid, std::move(detail));
 }
@@ -63,7 +63,7 @@
     return ticket;
 }
 
-bool ticket_authority::genuine(const link::Ticket& ticket) const
+bool ticket_authority::has_valid_signature(const link::Ticket& ticket) const
 {
     return constant_time_equal(ticket.mac(), signature(ticket));
 }
@@ -80,15 +80,15 @@
 
 outcome<link::Ticket> ticket_authority::from_text(std::string_view text)
 {
-    if (text.empty() || text.size() > longest_ticket_text)
-        return tl::unexpected(bad_ticket("ticket is empty or too long"));
+    if (text.empty() || text.size() > max_ticket_text_bytes)
+        return tl::unexpected(invalid_ticket("ticket is empty or too long"));
     if (text.find_first_not_of(base64_digits) != std::string_view::npos)
         return tl::unexpected(
-            bad_ticket("ticket contains a character outside base64"));
+            invalid_ticket("ticket contains a character outside base64"));
     const auto bytes = decode_base64(text);
     link::Ticket ticket;
     if (!ticket.ParseFromString(bytes) || ticket.upstream().empty())
-        return tl::unexpected(bad_ticket("ticket cannot be decoded"));
+        return tl::unexpected(invalid_ticket("ticket cannot be decoded"));
     return ticket;
 }
 
--- a/src/libcyclamenrun/outcomes/ticket_authority.hpp
+++ b/src/libcyclamenrun/outcomes/ticket_authority.hpp
@@ -36,7 +36,7 @@
     link::Ticket mint(const ticket_terms& terms) const;
 
     /** Whether the ticket is signed with this authority's key. */
-    bool genuine(const link::Ticket& ticket) const;
+    bool has_valid_signature(const link::Ticket& ticket) const;
 
     /** Encodes a ticket as printable ASCII, the form that callers receive. */
     static std::string to_text(const link::Ticket& ticket);
--- a/src/libcyclamenrun/outcomes/ticket_book.cpp
+++ b/src/libcyclamenrun/outcomes/ticket_book.cpp
@@ -9,7 +9,7 @@
 {
 
 /** Exceeds the expiry of any issued ticket; a larger one is refused. */
-constexpr std::uint64_t longest_expiry_ms = std::uint64_t{1} << 42U;
+constexpr std::uint64_t max_expiry_ms = std::uint64_t{1} << 42U;
 
 } // namespace
 
@@ -25,7 +25,8 @@
 ticket_book::check(const link::Dispatch& dispatch, time_point now) const
 {
     const auto& ticket = dispatch.ticket();
-    if (!authority_.genuine(ticket) || ticket.expiry_ms() > longest_expiry_ms)
+    if (!authority_.has_valid_signature(ticket) ||
+        ticket.expiry_ms() > max_expiry_ms)
         return tl::unexpected(
             not_run(refusal_reason::ticket_invalid,
                     "ticket has an invalid signature or expiry"));
@@ -54,8 +55,8 @@
     return std::nullopt;
 }
 
-bool ticket_book::enter(const link::Dispatch& dispatch, std::uint64_t work,
-                        time_point now)
+bool ticket_book::record_use(const link::Dispatch& dispatch, std::uint64_t work,
+                             time_point now)
 {
     if (uses_.size() >= capacity_)
         std::erase_if(uses_, [now](const auto& known) {
@@ -68,7 +69,7 @@
     return true;
 }
 
-void ticket_book::withdraw(const link::Dispatch& dispatch)
+void ticket_book::remove_use(const link::Dispatch& dispatch)
 {
     uses_.erase(dispatch.ticket().nonce());
 }
--- a/src/libcyclamenrun/outcomes/tombstones.cpp
+++ b/src/libcyclamenrun/outcomes/tombstones.cpp
@@ -5,7 +5,7 @@
 
 bool tombstones::add(const std::string& id, time_point deadline, time_point now)
 {
-    forget_expired(now);
+    remove_expired(now);
     const auto known = deadlines_.find(id);
     if (known != deadlines_.end()) {
         known->second = std::max(known->second, deadline);
@@ -24,7 +24,7 @@
     return known != deadlines_.end() && now < known->second;
 }
 
-void tombstones::forget_expired(time_point now)
+void tombstones::remove_expired(time_point now)
 {
     while (!oldest_first_.empty()) {
         const auto known = deadlines_.find(oldest_first_.front());
--- a/src/libcyclamenrun/outcomes/tombstones.hpp
+++ b/src/libcyclamenrun/outcomes/tombstones.hpp
@@ -31,7 +31,7 @@
     std::size_t size() const { return deadlines_.size(); }
 
 private:
-    void forget_expired(time_point now);
+    void remove_expired(time_point now);
 
     std::size_t capacity_;
     std::unordered_map<std::string, time_point> deadlines_;
--- a/tests/faults/fault_world.cpp
+++ b/tests/faults/fault_world.cpp
@@ -145,7 +145,7 @@
         if (!node.its_gate || frozen(node))
             continue;
         node.its_gate->tick(time_.now());
-        marks_.withdraw(node.incarnation, time_.now());
+        marks_.clear_loss(node.incarnation, time_.now());
         for (const auto& open : streams_) {
             if (&agents_[open->agent] == &node && open->attached)
                 pull(open);
