--- a/tests/faults/fake_link.hpp
+++ b/tests/faults/fake_link.hpp
@@ -10,9 +10,9 @@
 {
 
 /**
- * One direction between an entry and an agent: in order, one millisecond
- * long. While it is stalled messages wait, as they do in the sockets of a
- * peer that is frozen or behind a full link, and arrive late.
+ * One direction of a link between an entry and an agent. Delivers messages in
+ * order with 1 ms of latency. While it is stalled, messages are queued, as in
+ * the sockets of a frozen peer or a congested link, and arrive late.
  */
 class fake_link
 {
@@ -22,7 +22,8 @@
     void send(std::function<void()> message)
     {
         if (stuck()) {
-            // In order with the rest of its connection, long after.
+            // Delivered in order with the connection's other messages, after
+            // the connection recovers.
             time_.after(time_left(stuck_until_, time_.now()) + milliseconds(2),
                         std::move(message));
             return;
@@ -40,8 +41,8 @@
     }
 
     /**
-     * The connection carries nothing until then; a new one, made by
-     * reconnect(), does, and overtakes what is still on its way.
+     * Blocks the connection for `pause`. A new connection, made by reconnect(),
+     * carries messages at once; they overtake those still in transit.
      */
     void stick(milliseconds pause) { stuck_until_ = time_.now() + pause; }
     void reconnect() { stuck_until_ = time_point{}; }
--- a/tests/faults/fake_upstream.cpp
+++ b/tests/faults/fake_upstream.cpp
@@ -50,7 +50,8 @@
     if (gate_ == nullptr)
         return;
     ++lives_;
-    // A new agent cancels what it did not start; calls run to their end.
+    // A new agent cancels generations that it did not start; calls run to
+    // their end.
     std::erase_if(runs_, [](const auto& known) {
         return known.second.order.kind == link::WORK_KIND_GENERATION;
     });
--- a/tests/faults/fake_upstream.hpp
+++ b/tests/faults/fake_upstream.hpp
@@ -12,19 +12,19 @@
 namespace cyclamenrun::faults
 {
 
-/** Moments of a run at which a fault can be brought about. */
+/** Points of a run at which a fault can be injected. */
 enum class run_moment : std::uint8_t {
     begun,
     prompt_processed,
     first_token,
     mid_stream,
     last_token,
-    effect, ///< a call has done its work; its answer isn't on its way yet
+    effect, ///< a call took effect; its answer is not sent yet
 };
 
 /**
- * A model engine or an application runner. It makes `tokens` tokens of each
- * generation, each marked with its run, and answers each call once.
+ * A fake model engine or application runner. It produces `tokens` tokens for
+ * each generation, each labelled with its run, and answers each call once.
  */
 class fake_upstream
 {
@@ -35,18 +35,18 @@
     fake_upstream(std::string name, virtual_time& time, history& seen,
                   moment_hook on_moment);
 
-    /** The gate that hears of runs; null while the agent is down. */
+    /** Sets the gate that receives events; null while the agent is down. */
     void attach(gate* gate);
     void start(const run_order& order);
     void stop(work_id work);
 
-    /** The process ends, and with it all that it runs; starts again later. */
+    /** Ends the process and all of its runs; it restarts after a delay. */
     void die();
-    /** Nothing moves for so long: memory is full, or the process slow. */
+    /** Stops progress for `pause`: memory is full, or the process is slow. */
     void pause(milliseconds pause);
-    /** The answer of what runs is lost after its effect. */
+    /** Loses the answer of the next call that completes, after its effect. */
     void lose_answers() { loses_answers_ = true; }
-    /** Names the upstream in one life of its agent. */
+    /** Identifies the upstream during one incarnation of its agent. */
     std::string life() const { return name_ + '#' + std::to_string(lives_); }
 
     static constexpr std::uint64_t tokens = 12;
@@ -77,13 +77,13 @@
     time_point paused_until_{};
 };
 
-/** Tells the run and the index of the token that it is the text of. */
+/** The text of a token, which encodes its run and index. */
 std::string token_text(std::uint64_t run, std::uint64_t index);
 inline constexpr std::uint64_t token_stride = 1000;
 
-/** The work that a request's body asks for. */
+/** The work id that a request's body names. */
 std::string work_of_body(const std::string& body);
-/** The caller's exchange that a request id belongs to. */
+/** The caller's exchange to which a request id belongs. */
 std::string exchange_of(const std::string& request_id);
 
 } // namespace cyclamenrun::faults
--- a/tests/faults/fault_kinds.hpp
+++ b/tests/faults/fault_kinds.hpp
@@ -11,18 +11,18 @@
 namespace cyclamenrun::faults
 {
 
-/** Stages of a request at which a fault strikes. */
+/** Stages of a request at which a fault can be injected. */
 enum class step : std::uint8_t {
     chosen,           ///< the entry is about to send the dispatch
-    dispatch_sent,    ///< it is on its way
-    begun,            ///< admitted and handed to the upstream
-    prompt_processed, ///< no token yet
+    dispatch_sent,    ///< the dispatch is in transit
+    begun,            ///< the work is admitted and passed to the upstream
+    prompt_processed, ///< the prompt is processed; no token is produced yet
     first_token,
     mid_stream,
     last_token,
-    effect,       ///< a call has done its work, its answer is not sent yet
-    answered,     ///< the caller has the last of it
-    acknowledged, ///< and the agent has been told
+    effect,       ///< a call took effect; its answer is not sent yet
+    answered,     ///< the caller has received the whole answer
+    acknowledged, ///< the agent has received the acknowledgement
 };
 
 enum class fault : std::uint8_t {
@@ -38,9 +38,9 @@
     answer_late,
     answer_lost,
     answer_of_another,
-    answer_out_of_order, ///< two of its frames change places
-    answer_with_gap,     ///< one of its frames is missing
-    connection_stuck,    ///< what was sent arrives late, by other ways all goes
+    answer_out_of_order, ///< two frames of the answer are swapped
+    answer_with_gap,     ///< one frame of the answer is missing
+    connection_stuck,    ///< sent messages are delayed; new connections work
     agent_frozen,
     entry_frozen,
     memory_full,
@@ -49,7 +49,7 @@
     caller_resends,
 };
 
-/** A fault, and how long after its step it strikes. */
+/** A fault, and its delay after the step at which it is injected. */
 struct timed_fault {
     fault what = fault::upstream_dies;
     milliseconds after{0};
@@ -102,7 +102,7 @@
     fault_row{fault::caller_resends, "caller_resends"},
 };
 
-/** Whether work of this shape comes by this step. */
+/** Whether work of this shape passes through this step. */
 constexpr bool has_step(work_shape shape, step at)
 {
     const bool generation =
@@ -121,8 +121,8 @@
 }
 
 /**
- * Whether every caller is to get its answer all the same: the stop is planned,
- * the trouble passes, or the caller comes back by the other entry.
+ * Whether every caller must get its answer despite the fault: the stop is
+ * planned, the fault is temporary, or the caller retries at the other entry.
  */
 constexpr bool costs_nothing(fault what, work_shape shape)
 {
--- a/tests/faults/fault_world.cpp
+++ b/tests/faults/fault_world.cpp
@@ -63,7 +63,7 @@
 {
     strike_at_ = at;
     strikes_ = std::move(faults);
-    // More than two may use up the attempts that a request has.
+    // More than two faults may exhaust the attempts of a request.
     const bool few = strikes_.size() <= 2;
     seen_.nothing_is_lost =
         few && std::all_of(strikes_.begin(), strikes_.end(),
@@ -160,7 +160,7 @@
 {
     auto& node = agents_[index];
     node.frozen_until = time_.now() + pause;
-    // The upstream's own process runs on, but nobody reads what it makes.
+    // The upstream's process is not frozen, but the agent reads no output.
     node.upstream->pause(pause);
     for (std::size_t entry = 0; entry < entry_count; ++entry) {
         auto& line = wire_of(entry, index);
@@ -258,12 +258,12 @@
     }
     auto& line = wire_of(open->entry, open->agent);
     if (!agents_[open->agent].its_gate) {
-        // Nobody listens there.
+        // The agent is down and refuses the connection.
         time_.after(milliseconds(2), [this, open] { lose(open, false); });
         return;
     }
-    // A dispatch goes out on a connection that stands; an agent that was
-    // lost before is connected to anew, which a stalled link does not allow.
+    // A dispatch uses an open connection. A resume follows the loss of the
+    // agent, so it needs a new connection, which fails over a stalled link.
     if (line.to_agent.stalled() && action.path == "/resume") {
         time_.after(connect_time, [this, open] { lose(open, false); });
         return;
@@ -291,7 +291,7 @@
 void fault_world::perform(std::uint64_t id, const send_message& action)
 {
     auto& its = sessions_.at(id);
-    // The caller's socket broke before it had its answer.
+    // The entry died before the caller's socket had delivered the answer.
     if (action.path == "/acknowledge" && its.over && !entry_runs(its.entry))
         return;
     const auto agent = index_of(action.upstream);
@@ -512,7 +512,7 @@
         node.its_gate->detach(open->reader, time_.now());
 }
 
-/** Both ends give a link up that has been silent for too long. */
+/** Closes a stream at both ends if its link fails for the keepalive time. */
 void fault_world::watch_keepalive(const stream_pointer& open)
 {
     time_.after(keepalive, [this, open] {
@@ -527,8 +527,8 @@
         }
         const auto& frozen_until = entry_frozen_until_.at(open->entry);
         const bool entry_sleeps = frozen_until && time_.now() < *frozen_until;
-        // The old connection's end reaches the agent after all that is still
-        // on its way there; what comes by a new connection overtakes it.
+        // The close of the old connection reaches the agent after all messages
+        // in transit on it. Messages on a new connection overtake it.
         const bool was_stuck = line.to_agent.stuck();
         if (was_stuck) {
             line.to_agent.send([this, open] { close_agent_side(open); });
@@ -542,7 +542,8 @@
         }
         if (!frozen(agents_[open->agent]))
             close_agent_side(open);
-        // What sleeps notices when it wakes, after what had arrived before.
+        // A frozen process notices the close when it resumes, after the
+        // messages that arrived before.
         line.to_agent.send([this, open] { close_agent_side(open); });
         line.to_entry.send([this, open] { lose(open, true); });
     });
@@ -593,7 +594,7 @@
     if (caller_left_ || !entry_runs(other) || resends_left_-- == 0)
         return;
     const bool resumes = shape_ == work_shape::stream && caller_has_;
-    // A call that must not repeat and has no ticket is not sent again.
+    // A non-idempotent call without a ticket is not sent again.
     if (shape_ == work_shape::plain_call)
         return;
     send_request(other, resumes ? caller_has_ : std::nullopt);
@@ -615,8 +616,9 @@
     event seen;
     seen.kind = kind;
     seen.at_ms = time_.now_ms();
-    // Each new start of a generation is a piece of work of its own: only a
-    // resume goes on with the tokens that the caller has.
+    // All exchanges share one work id: a request that is sent again from the
+    // start has delivered no token, and a resume continues the tokens that the
+    // caller has.
     seen.work = "work";
     seen.exchange = sessions_.at(id).exchange;
     seen.run = run;
@@ -675,7 +677,8 @@
         });
         break;
     case fault::entry_stops:
-        // It serves what it has begun; the balancer sends nothing more.
+        // The entry completes its open requests; the load balancer sends it no
+        // new ones.
         break;
     case fault::link_stalls_to_agent:
         line.to_agent.stall();
@@ -755,7 +758,7 @@
         });
         break;
     case fault::caller_resends:
-        // Impatient, it asks again by the other entry at once.
+        // The caller resends its request at the other entry without waiting.
         soon([this, entry] {
             const auto id = last_session_;
             if (sessions_.at(id).over || !entry_runs(1 - entry))
--- a/tests/faults/fault_world.hpp
+++ b/tests/faults/fault_world.hpp
@@ -20,9 +20,9 @@
 {
 
 /**
- * Two entries, three agents with their upstreams and one caller, in virtual
- * time. The gates and relays are the ones that the daemons run; links,
- * upstreams and the caller are fakes, and the fakes write the history.
+ * A simulation, in virtual time, of two entries, three agents with their
+ * upstreams, and one caller. Gates and relays are the production classes. The
+ * links, the upstreams and the caller are fakes, which record the history.
  */
 class fault_world
 {
@@ -30,9 +30,9 @@
     explicit fault_world(work_shape shape);
     ~fault_world();
 
-    /** Brings these about, in order, when the caller's work comes by. */
+    /** Injects these faults, in order, when the work reaches step `at`. */
     void strike(step at, std::vector<timed_fault> faults);
-    /** Runs the caller's work to whatever end it comes to. */
+    /** Runs the caller's work until it has an outcome or time is up. */
     const history& run();
 
 private:
@@ -43,7 +43,8 @@
         std::unique_ptr<fake_upstream> upstream;
         std::optional<time_point> frozen_until;
         bool leaving = false;
-        std::vector<std::unique_ptr<gate>> dead; // late events may name them
+        std::vector<std::unique_ptr<gate>>
+            dead; // late events may still refer to these
     };
     struct wire {
         fake_link to_agent;
@@ -61,7 +62,7 @@
         bool attached = false;
         bool agent_closed = false;
         bool entry_closed = false;
-        bool held = false; // the caller takes nothing: no window
+        bool held = false; // the caller reads nothing: no flow control window
         bool drops_next = false;
         bool swaps_next = false;
         std::optional<link::AgentFrame> swapped;
@@ -72,7 +73,7 @@
         std::size_t entry = 0;
         std::string exchange;
         std::unique_ptr<relay> its_relay;
-        bool over = false; // for the caller
+        bool over = false; // caller has an outcome or left
         bool acknowledged = false;
     };
 
@@ -84,7 +85,7 @@
     bool frozen(const agent_node& node) const;
     std::size_t current_agent() const;
 
-    // Entries and what they send.
+    // Entries and their messages.
     relay_hooks hooks_for(std::size_t entry);
     void perform(std::uint64_t session, const relay_actions& actions);
     void perform(std::uint64_t session, const open_stream& action);
--- a/tests/faults/history.cpp
+++ b/tests/faults/history.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Walks one history and collects what it violates. */
+/** Checks one history and collects the violated guarantees. */
 class checker
 {
 public:
@@ -74,27 +74,27 @@
         const bool may_repeat = seen_.shape != work_shape::plain_call &&
                                 seen_.shape != work_shape::ticket_call;
         if (!may_repeat && runs_of_works_[seen.work] > 1)
-            report("a call that must not repeat ran twice");
+            report("a non-idempotent call ran twice");
         if (told_not_run_.contains(seen.exchange))
-            report("ran after its caller was told not_run");
+            report("a request ran after its caller received not_run");
         runs_of_exchanges_.insert(seen.exchange);
         if (draining_.contains(seen.upstream))
-            report("new work ran at an upstream that is leaving");
+            report("new work ran at an upstream whose agent is draining");
     }
 
     void token_received(const event& seen)
     {
         auto& got = deliveries_[seen.work];
         if (works_of_runs_[seen.run] != seen.work)
-            report("a caller got a token of somebody else's answer");
+            report("a caller received a token of another request's answer");
         if (got.next == 0)
             got.run = seen.run;
         if (got.run != seen.run)
             report("tokens of two generations were spliced");
         if (got.next != seen.index)
-            report("a token was lost, doubled or out of order");
+            report("a token was lost, duplicated or out of order");
         if (got.ended)
-            report("a token came after the end");
+            report("a caller received a token after the end");
         got.next = seen.index + 1;
     }
 
@@ -103,7 +103,7 @@
         open_.erase(seen.exchange);
         auto& got = deliveries_[seen.work];
         if (got.next != tokens_made_[got.run] || !ended_runs_.contains(got.run))
-            report("an answer was called complete that was not");
+            report("an incomplete answer was reported as complete");
         got.ended = true;
     }
 
@@ -111,36 +111,37 @@
     {
         open_.erase(seen.exchange);
         if (works_of_runs_[seen.run] != seen.work)
-            report("a caller got the answer to somebody else's call");
+            report("a caller received the answer to another call");
         if (!ended_runs_.contains(seen.run))
-            report("an answer came from a call that has not ended");
+            report("a caller received an answer before its call ended");
     }
 
     void refused(const event& seen)
     {
         open_.erase(seen.exchange);
-        // A ticket names its agent. One that is used first when that agent is
-        // leaving has begun nothing, and is told so; a new one goes elsewhere.
+        // A ticket is bound to its agent. If its first use comes while the
+        // agent is draining, the call is refused as not_run, and the caller
+        // needs a ticket for another agent.
         const bool needs_new_ticket = seen_.shape == work_shape::ticket_call &&
                                       seen.refused == refusal_kind::not_run &&
                                       seen.reason == refusal_reason::draining;
         if (seen_.nothing_is_lost && !needs_new_ticket)
-            report("a caller lost its answer needlessly: " +
+            report("a caller was refused although no answer may be lost: " +
                    std::string(name_of(seen.reason)));
         if (seen.refused != refusal_kind::not_run)
             return;
         told_not_run_.insert(seen.exchange);
         if (runs_of_exchanges_.contains(seen.exchange))
-            report("told not_run, but it had run");
+            report("a caller received not_run, but its request had run");
         if (seen_.shape == work_shape::ticket_call &&
             runs_of_works_[seen.work] > 0)
-            report("told not_run, but its ticket had run");
+            report("a caller received not_run, but its ticket's call had run");
     }
 
     void check_ends()
     {
         if (seen_.caller_stays && !open_.empty())
-            report("a caller was left without an outcome");
+            report("an exchange has no outcome");
     }
 
     void report(const std::string& what) { violations_.push_back(what); }
--- a/tests/faults/history.hpp
+++ b/tests/faults/history.hpp
@@ -21,41 +21,41 @@
 enum class event_kind : std::uint8_t {
     exchange_begun,  ///< a caller sent a request
     run_begun,       ///< an upstream began to run a request
-    run_token,       ///< an engine made a token
-    run_ended,       ///< an engine or runner came to the end of a run
-    drain_begun,     ///< an agent was told to take no new work
-    token_received,  ///< a caller got a token
-    end_received,    ///< a caller was told that its answer is complete
-    answer_received, ///< a caller got a runner's answer
-    refused,         ///< a caller got a refusal
-    caller_left,     ///< the caller closed, or its connection broke
+    run_token,       ///< an engine produced a token
+    run_ended,       ///< an engine or runner completed a run
+    drain_begun,     ///< an agent began to refuse new work
+    token_received,  ///< a caller received a token
+    end_received,    ///< a caller received the end of a complete answer
+    answer_received, ///< a caller received a runner's answer
+    refused,         ///< a caller received a refusal
+    caller_left,     ///< the caller closed its connection, or it broke
 };
 
-/** What a fake saw. The system under test writes nothing in here. */
+/** An event observed by a fake. The system under test records none. */
 struct event {
     event_kind kind = event_kind::exchange_begun;
     std::int64_t at_ms = 0;
-    /** What the caller wanted; resends and resumes share it. */
+    /** The caller's work; resends and resumes have the same one. */
     std::string work;
     /** One HTTP request of the caller. */
     std::string exchange;
     std::string upstream;
-    std::uint64_t run = 0;   ///< names one run at an upstream
-    std::uint64_t index = 0; ///< of a token, or how many there are
+    std::uint64_t run = 0;   ///< identifies one run at an upstream
+    std::uint64_t index = 0; ///< of a token, or the number of tokens
     refusal_kind refused = refusal_kind::not_run;
     refusal_reason reason = refusal_reason::internal;
 };
 
 struct history {
     work_shape shape = work_shape::stream;
-    /** Only what costs nobody an answer was brought about. */
+    /** Whether every caller must get its answer: see costs_nothing(). */
     bool nothing_is_lost = false;
-    /** The caller waits to the end: each exchange must have an outcome. */
+    /** Whether the caller stays, so that each exchange must have an outcome. */
     bool caller_stays = true;
     std::vector<event> events;
 };
 
-/** One violated promise each, empty if all hold. */
+/** Returns one message for each violated guarantee. */
 std::vector<std::string> violations_of(const history& seen);
 
 } // namespace cyclamenrun::faults
--- a/tests/faults/test_faults_page.cpp
+++ b/tests/faults/test_faults_page.cpp
@@ -27,7 +27,7 @@
     return text.str();
 }
 
-/** What the caller saw last. */
+/** The last outcome that the caller observed. */
 std::string outcome_of(const history& seen)
 {
     std::string outcome = "nothing";
@@ -92,11 +92,11 @@
 }
 
 /**
- * The page of faults tells operators what callers see. Its tables are what
- * the matrix gives, cell by cell, so that neither can change without the
- * other: `make docs` writes them again.
+ * Guards against a page of faults that differs from the system's behaviour: the
+ * tables tell operators what callers observe and must equal the results of the
+ * matrix, cell by cell. `make docs` rewrites them.
  */
-TEST(faults_page, tells_what_the_matrix_gives)
+TEST(faults_page, tables_match_the_matrix)
 {
     auto page = read_page();
     const auto begin = page.find(begin_mark);
--- a/tests/faults/test_guards.cpp
+++ b/tests/faults/test_guards.cpp
@@ -12,7 +12,7 @@
 const std::string link_key = "0123456789abcdef0123456789abcdef";
 const time_point start{std::chrono::hours(1)};
 
-/** A gate whose upstream does just what the test says. */
+/** A gate with an upstream that the test controls. */
 struct gate_fixture : testing::Test {
     gate_fixture()
     {
@@ -65,8 +65,9 @@
 };
 
 /**
- * A dispatch arrives twice under one request id, as a duplicated frame would.
- * The second copy must not run, nor may its sender be told that nothing ran.
+ * Guards against running a dispatch twice. A duplicated frame delivers it again
+ * with the same request id. The copy must not run, and its refusal must not
+ * state not_run.
  */
 TEST_F(gate_fixture, a_second_copy_of_a_dispatch_does_not_run)
 {
@@ -78,11 +79,11 @@
 }
 
 /**
- * A caller closes in mid stream and never comes back. Its generation runs on
- * for the grace in which a resume would find it, then the engine is told to
- * stop, so that nobody's tokens take up its memory.
+ * Guards against engine memory held by an abandoned generation. The caller
+ * disconnects in mid-stream and does not resume. The generation runs for the
+ * resume grace period, then the gate stops it.
  */
-TEST_F(gate_fixture, work_whose_caller_stays_away_is_cancelled_after_a_grace)
+TEST_F(gate_fixture, work_without_a_reader_is_cancelled_after_the_grace_period)
 {
     const auto reader = made->submit(generation("r.1"), start);
     ASSERT_TRUE(reader);
@@ -94,10 +95,11 @@
 }
 
 /**
- * A ticketed call is refused as not run, since the agent is leaving. The
- * caller sends it again with the same ticket: that is no second use.
+ * Guards against a ticket that is used up by a call that did not run. The call
+ * is refused as not_run, since no upstream runs it, and the caller sends it
+ * again with the same ticket. The gate must not treat that as a second use.
  */
-TEST_F(gate_fixture, a_ticket_whose_call_was_not_run_is_still_good)
+TEST_F(gate_fixture, a_ticket_stays_valid_if_its_call_did_not_run)
 {
     settings.admission.max_running = 1;
     ASSERT_TRUE(made->submit(ticket_call("r.1", "team"), start));
@@ -107,7 +109,7 @@
     EXPECT_EQ(started.size(), 2U);
 }
 
-TEST_F(gate_fixture, tickets_that_are_not_the_callers_own_run_nothing)
+TEST_F(gate_fixture, invalid_or_expired_tickets_run_nothing)
 {
     const auto other_team = made->submit(ticket_call("r.1", "other"), start);
     ASSERT_FALSE(other_team);
@@ -134,11 +136,12 @@
 }
 
 /**
- * Somebody resumes with an id that is not theirs, ahead of what was made, or
- * guessed. Each gets a typed refusal, and none learns whether another team's
- * generation exists.
+ * Guards against resuming another team's generation or probing for one. A
+ * resume names the wrong team, a guessed secret, or an index that was not
+ * produced yet. Each gets a typed refusal, and the first two are the same as
+ * for a generation that does not exist.
  */
-TEST_F(gate_fixture, a_resume_with_a_wrong_position_gets_nothing)
+TEST_F(gate_fixture, an_invalid_resume_is_refused)
 {
     const auto reader = made->submit(generation("r.1"), start);
     made->token_made(started.at(0), "token", start);
@@ -163,9 +166,9 @@
 }
 
 /**
- * An engine crashes whenever it runs one request, and its caller sends it
- * again each time. After the second loss it is refused by type; what ran
- * beside it the first time is cleared when it ends well alone.
+ * Guards against a request that crashes every engine it runs on while its
+ * caller keeps resending it. After the second loss it is refused as poison. A
+ * request that ran beside it at the first loss is cleared once it completes.
  */
 TEST_F(gate_fixture, a_request_that_crashes_two_engines_is_refused)
 {
@@ -191,9 +194,9 @@
 }
 
 /**
- * A link breaks in mid stream and is made again, and what comes on it is the
- * start of another generation. The caller has tokens of the first one, so it
- * gets a typed failure rather than a splice of the two.
+ * Guards against splicing two generations. A link breaks in mid-stream, and the
+ * stream that resumes it delivers another generation. The caller already has
+ * tokens of the first one, so it must get a typed failure.
  */
 TEST(relay_guards, tokens_of_another_generation_are_never_spliced_in)
 {
@@ -221,7 +224,7 @@
     relayed.on_frame(1, tokens, start);
     relayed.on_stream_lost(1, true, start);
 
-    // It is asked for once more, on yet another stream, and then given up.
+    // The relay resumes once more on a third stream, then fails the request.
     accepted.mutable_accepted()->mutable_generation()->set_sequence(2);
     const auto again = relayed.on_frame(2, accepted, start);
     EXPECT_TRUE(std::holds_alternative<open_stream>(again.back()));
--- a/tests/faults/test_history.cpp
+++ b/tests/faults/test_history.cpp
@@ -49,13 +49,13 @@
              make(answer_received, 1)}};
 }
 
-TEST(history, good_ones_violate_nothing)
+TEST(history, valid_histories_violate_nothing)
 {
     EXPECT_TRUE(violations_of(good_stream()).empty());
     EXPECT_TRUE(violations_of(good_call()).empty());
 }
 
-/** A history that breaks one promise, and how. */
+/** A history that violates one guarantee, and the name of the violation. */
 struct forged {
     const char* name;
     history seen;
@@ -117,7 +117,7 @@
     EXPECT_FALSE(violations_of(GetParam().seen).empty());
 }
 
-INSTANTIATE_TEST_SUITE_P(one_per_promise, forged_history,
+INSTANTIATE_TEST_SUITE_P(one_per_guarantee, forged_history,
                          testing::ValuesIn(forged_histories()),
                          [](const auto& param) { return param.param.name; });
 
--- a/tests/faults/test_matrix.cpp
+++ b/tests/faults/test_matrix.cpp
@@ -9,11 +9,11 @@
 {
 
 /**
- * What a caller sees: an answer that is whole and its own, or a refusal that
- * says truthfully whether the work ran. In each cell one or two faults strike
- * when the caller's work comes by a step; two strike together, and a pair of
- * equal ones is the same fault twice. The cause of any failure is in the gate
- * or the relay, since all else is a fake.
+ * Guards against an outcome that violates the guarantees to callers: each gets
+ * the complete answer to its own request, or a refusal that states correctly
+ * whether the work ran. Each cell injects two faults together when the work
+ * reaches a step; a pair of equal faults is the same fault twice. A failure has
+ * its cause in the gate or the relay, since all other parts are fakes.
  */
 struct cell {
     work_shape shape = work_shape::stream;
@@ -56,7 +56,7 @@
 {
 };
 
-TEST_P(fault_matrix, keeps_every_promise)
+TEST_P(fault_matrix, every_guarantee_holds)
 {
     const auto& of = GetParam();
     fault_world world(of.shape);
@@ -74,7 +74,7 @@
 {
 };
 
-TEST_P(fault_free, gives_the_answer)
+TEST_P(fault_free, delivers_the_answer)
 {
     fault_world world(static_cast<work_shape>(GetParam()));
     const auto& seen = world.run();
--- a/tests/faults/test_random.cpp
+++ b/tests/faults/test_random.cpp
@@ -19,12 +19,12 @@
 }
 
 /**
- * What a caller sees: as in the matrix. Up to six faults strike, at one step
- * and at random moments after it, so that they also meet each other's
- * consequences: a retry, a resume, an agent that has just come back. Each
- * failure prints its seed, which alone brings it about again.
+ * Guards the guarantees of the matrix against faults that overlap. Up to six
+ * faults are injected at one step and at random times after it, so that a fault
+ * also hits the recovery from an earlier one: a retry, a resume, a restarted
+ * agent. Each failure prints its seed, which is sufficient to reproduce it.
  */
-TEST(random_faults, keep_every_promise)
+TEST(random_faults, every_guarantee_holds)
 {
     for (int i = 0; i < run_count(); ++i) {
         const auto seed = first_seed + static_cast<std::uint64_t>(i);
--- a/tests/faults/virtual_time.hpp
+++ b/tests/faults/virtual_time.hpp
@@ -11,7 +11,7 @@
 namespace cyclamenrun::faults
 {
 
-/** Runs what is due in order of time, without waiting. */
+/** A simulated clock that runs scheduled tasks in order, without waiting. */
 class virtual_time
 {
 public:
@@ -26,7 +26,7 @@
         due_.emplace(std::pair(now_ + pause, ++count_), std::move(work));
     }
 
-    /** Runs until nothing is due or `end` is reached. */
+    /** Runs all tasks that are due by `end`, then sets the time to `end`. */
     void run_until(time_point end)
     {
         while (!due_.empty() && due_.begin()->first.first <= end) {
