--- a/tests/faults/fake_link.hpp
+++ b/tests/faults/fake_link.hpp
@@ -21,20 +21,21 @@
 
     void send(std::function<void()> message)
     {
-        if (stuck()) {
+        if (blocked()) {
             // Delivered in order with the connection's other messages, after
             // the connection recovers.
-            time_.after(time_left(stuck_until_, time_.now()) + milliseconds(2),
+            time_.after(time_left(blocked_until_, time_.now()) +
+                            milliseconds(2),
                         std::move(message));
             return;
         }
         if (stalled()) {
-            held_.push_back(std::move(message));
+            queued_.push_back(std::move(message));
             return;
         }
         time_.after(milliseconds(1), [this, message = std::move(message)] {
             if (stalled())
-                held_.push_back(message);
+                queued_.push_back(message);
             else
                 message();
         });
@@ -44,9 +45,9 @@
      * Blocks the connection for `pause`. A new connection, made by reconnect(),
      * carries messages at once; they overtake those still in transit.
      */
-    void stick(milliseconds pause) { stuck_until_ = time_.now() + pause; }
-    void reconnect() { stuck_until_ = time_point{}; }
-    bool stuck() const { return time_.now() < stuck_until_; }
+    void block(milliseconds pause) { blocked_until_ = time_.now() + pause; }
+    void reconnect() { blocked_until_ = time_point{}; }
+    bool blocked() const { return time_.now() < blocked_until_; }
 
     bool stalled() const { return stalls_ > 0; }
     void stall() { ++stalls_; }
@@ -55,7 +56,7 @@
         if (--stalls_ > 0)
             return;
         std::vector<std::function<void()>> late;
-        late.swap(held_);
+        late.swap(queued_);
         for (auto& message : late)
             time_.after(milliseconds(1), std::move(message));
     }
@@ -63,8 +64,8 @@
 private:
     virtual_time& time_;
     int stalls_ = 0;
-    time_point stuck_until_{};
-    std::vector<std::function<void()>> held_;
+    time_point blocked_until_{};
+    std::vector<std::function<void()>> queued_;
 };
 
 } // namespace cyclamenrun::faults
--- a/tests/faults/fake_upstream.cpp
+++ b/tests/faults/fake_upstream.cpp
@@ -9,10 +9,10 @@
 {
 
 constexpr milliseconds step_time{10};
-constexpr milliseconds loss_noticed_after{20};
+constexpr milliseconds loss_detection_delay{20};
 constexpr milliseconds restart_time{400};
 
-std::uint64_t draw_run()
+std::uint64_t next_run_id()
 {
     static std::uint64_t last = 0;
     return ++last;
@@ -36,8 +36,8 @@
 }
 
 fake_upstream::fake_upstream(std::string name, virtual_time& time,
-                             history& seen, moment_hook on_moment)
-    : name_(std::move(name)), time_(time), seen_(seen),
+                             history& observed, moment_hook on_moment)
+    : name_(std::move(name)), time_(time), history_(observed),
       on_moment_(std::move(on_moment))
 {
 }
@@ -49,7 +49,7 @@
         running.owner = nullptr;
     if (gate_ == nullptr)
         return;
-    ++lives_;
+    ++incarnations_;
     // A new agent cancels generations that it did not start; calls run to
     // their end.
     std::erase_if(runs_, [](const auto& known) {
@@ -66,7 +66,7 @@
                           time_.now());
         return;
     }
-    const auto id = draw_run();
+    const auto id = next_run_id();
     runs_[id] = {order, 0, gate_};
     record(event_kind::run_begun, id, runs_[id], 0);
     on_moment_(run_moment::begun, order.request_id);
@@ -87,7 +87,7 @@
         return;
     alive_ = false;
     runs_.clear();
-    time_.after(loss_noticed_after, [this] {
+    time_.after(loss_detection_delay, [this] {
         if (gate_ != nullptr)
             gate_->engine_lost(time_.now());
     });
@@ -128,11 +128,11 @@
     const auto request_id = running.order.request_id;
     const auto work = running.order.work;
     auto* const owner = running.owner;
-    if (running.made == 0)
+    if (running.tokens_made == 0)
         on_moment_(run_moment::prompt_processed, request_id);
     if (!runs_.contains(id))
         return;
-    const auto index = running.made++;
+    const auto index = running.tokens_made++;
     record(event_kind::run_token, id, running, index);
     const bool last = index + 1 == tokens;
     if (last)
@@ -169,8 +169,8 @@
     runs_.erase(found);
     if (owner == nullptr)
         return;
-    if (loses_answers_) {
-        loses_answers_ = false;
+    if (loses_next_answer_) {
+        loses_next_answer_ = false;
         owner->run_failed(work, outcome_unknown(refusal_reason::upstream_lost),
                           time_.now());
         return;
@@ -181,15 +181,15 @@
 void fake_upstream::record(event_kind kind, std::uint64_t id,
                            const run& running, std::uint64_t index)
 {
-    event seen;
-    seen.kind = kind;
-    seen.at_ms = time_.now_ms();
-    seen.work = work_of_body(running.order.body);
-    seen.exchange = exchange_of(running.order.request_id);
-    seen.upstream = life();
-    seen.run = id;
-    seen.index = index;
-    seen_.events.push_back(seen);
+    event observed;
+    observed.kind = kind;
+    observed.at_ms = time_.now_ms();
+    observed.work = work_of_body(running.order.body);
+    observed.exchange = exchange_of(running.order.request_id);
+    observed.upstream = incarnation_name();
+    observed.run = id;
+    observed.index = index;
+    history_.events.push_back(observed);
 }
 
 } // namespace cyclamenrun::faults
--- a/tests/faults/fake_upstream.hpp
+++ b/tests/faults/fake_upstream.hpp
@@ -32,7 +32,7 @@
     using moment_hook =
         std::function<void(run_moment moment, const std::string& request_id)>;
 
-    fake_upstream(std::string name, virtual_time& time, history& seen,
+    fake_upstream(std::string name, virtual_time& time, history& observed,
                   moment_hook on_moment);
 
     /** Sets the gate that receives events; null while the agent is down. */
@@ -45,16 +45,19 @@
     /** Stops progress for `pause`: memory is full, or the process is slow. */
     void pause(milliseconds pause);
     /** Loses the answer of the next call that completes, after its effect. */
-    void lose_answers() { loses_answers_ = true; }
+    void lose_next_answer() { loses_next_answer_ = true; }
     /** Identifies the upstream during one incarnation of its agent. */
-    std::string life() const { return name_ + '#' + std::to_string(lives_); }
+    std::string incarnation_name() const
+    {
+        return name_ + '#' + std::to_string(incarnations_);
+    }
 
     static constexpr std::uint64_t tokens = 12;
 
 private:
     struct run {
         run_order order;
-        std::uint64_t made = 0;
+        std::uint64_t tokens_made = 0;
         gate* owner = nullptr;
     };
 
@@ -67,13 +70,13 @@
 
     std::string name_;
     virtual_time& time_;
-    history& seen_;
+    history& history_;
     moment_hook on_moment_;
     gate* gate_ = nullptr;
     std::map<std::uint64_t, run> runs_;
-    int lives_ = 0;
+    int incarnations_ = 0;
     bool alive_ = true;
-    bool loses_answers_ = false;
+    bool loses_next_answer_ = false;
     time_point paused_until_{};
 };
 
--- a/tests/faults/fault_world.cpp
+++ b/tests/faults/fault_world.cpp
@@ -22,8 +22,8 @@
 constexpr milliseconds cut_time{6'000};
 constexpr milliseconds reclaim_notice{30};
 constexpr milliseconds deadline{20'000};
-constexpr milliseconds whole_run{60'000};
-constexpr std::uint64_t window = 64;
+constexpr milliseconds simulated_time{60'000};
+constexpr std::uint64_t replay_window = 64;
 const std::string link_key = "0123456789abcdef0123456789abcdef";
 
 std::size_t index_of(const std::string& upstream)
@@ -36,22 +36,22 @@
 fault_world::fault_world(work_shape shape)
     : shape_(shape), marks_(64, std::chrono::hours(1))
 {
-    seen_.shape = shape;
+    history_.shape = shape;
     for (std::size_t i = 0; i < agent_count; ++i) {
         auto& node = agents_.emplace_back();
         node.name = "vm-" + std::to_string(i);
         node.upstream = std::make_unique<fake_upstream>(
-            node.name, time_, seen_,
+            node.name, time_, history_,
             [this, i](run_moment moment, const std::string&) {
-                works_at_ = i;
+                running_agent_ = i;
                 constexpr std::array steps{
                     step::begun,      step::prompt_processed, step::first_token,
                     step::mid_stream, step::last_token,       step::effect};
-                come_by(steps.at(static_cast<std::size_t>(moment)));
+                reach_step(steps.at(static_cast<std::size_t>(moment)));
             });
     }
     for (std::size_t i = 0; i < entry_count * agent_count; ++i)
-        wires_.push_back(std::make_unique<wire>(time_));
+        link_pairs_.push_back(std::make_unique<link_pair>(time_));
     for (std::size_t i = 0; i < agent_count; ++i)
         start_agent(i);
     tick_agents();
@@ -59,21 +59,23 @@
 
 fault_world::~fault_world() = default;
 
-void fault_world::strike(step at, std::vector<timed_fault> faults)
+void fault_world::schedule_faults(step at, std::vector<timed_fault> faults)
 {
-    strike_at_ = at;
-    strikes_ = std::move(faults);
+    fault_step_ = at;
+    scheduled_faults_ = std::move(faults);
     // More than two faults may exhaust the attempts of a request.
-    const bool few = strikes_.size() <= 2;
-    seen_.nothing_is_lost =
-        few && std::all_of(strikes_.begin(), strikes_.end(),
-                           [this](const timed_fault& each) {
-                               return costs_nothing(each.what, shape_);
-                           });
-    seen_.caller_stays = std::none_of(
-        strikes_.begin(), strikes_.end(), [](const timed_fault& each) {
-            return each.what == fault::caller_gone;
-        });
+    const bool few_faults = scheduled_faults_.size() <= 2;
+    history_.answer_is_required =
+        few_faults &&
+        std::all_of(scheduled_faults_.begin(), scheduled_faults_.end(),
+                    [this](const timed_fault& each) {
+                        return preserves_answer(each.what, shape_);
+                    });
+    history_.caller_stays =
+        std::none_of(scheduled_faults_.begin(), scheduled_faults_.end(),
+                     [](const timed_fault& each) {
+                         return each.what == fault::caller_gone;
+                     });
 }
 
 const history& fault_world::run()
@@ -84,8 +86,8 @@
             {node.name, node.incarnation, "team", "service", 600'000});
     }
     send_request(0, std::nullopt);
-    time_.run_until(time_.now() + whole_run);
-    return seen_;
+    time_.run_until(time_.now() + simulated_time);
+    return history_;
 }
 
 // ---- agents
@@ -101,7 +103,7 @@
     settings.started_at = time_.now();
     settings.link_key = link_key;
     settings.resume_grace = milliseconds(5'000);
-    settings.replay_window_tokens = window;
+    settings.replay_window_tokens = replay_window;
     gate_hooks hooks;
     hooks.start = [this, index](const run_order& order) {
         agents_[index].upstream->start(order);
@@ -111,30 +113,30 @@
     };
     hooks.wake = [this, index](reader_id reader) { wake(index, reader); };
     hooks.news = [this, index] {
-        for (const auto& mark : agents_[index].its_gate->marks_since(0))
+        for (const auto& mark : agents_[index].agent_gate->marks_since(0))
             marks_.merge(mark, time_.now());
     };
-    node.its_gate = std::make_unique<gate>(settings, hooks);
-    node.upstream->attach(node.its_gate.get());
+    node.agent_gate = std::make_unique<gate>(settings, hooks);
+    node.upstream->attach(node.agent_gate.get());
 }
 
 void fault_world::kill_agent(std::size_t index)
 {
     auto& node = agents_[index];
-    if (!node.its_gate)
+    if (!node.agent_gate)
         return;
     node.upstream->attach(nullptr);
-    node.dead.push_back(std::move(node.its_gate));
+    node.stopped_gates.push_back(std::move(node.agent_gate));
     for (const auto& open : streams_) {
         if (open->agent != index || open->agent_closed)
             continue;
         open->agent_closed = true;
-        wire_of(open->entry, index).to_entry.send([this, open] {
-            lose(open, true);
+        link_pair_of(open->entry, index).to_entry.send([this, open] {
+            handle_stream_lost(open, true);
         });
     }
     time_.after(restart_time, [this, index] {
-        if (!agents_[index].its_gate)
+        if (!agents_[index].agent_gate)
             start_agent(index);
     });
 }
@@ -142,15 +144,15 @@
 void fault_world::tick_agents()
 {
     for (auto& node : agents_) {
-        if (!node.its_gate || frozen(node))
+        if (!node.agent_gate || frozen(node))
             continue;
-        node.its_gate->tick(time_.now());
+        node.agent_gate->tick(time_.now());
         marks_.clear_loss(node.incarnation, time_.now());
         for (const auto& open : streams_) {
             if (&agents_[open->agent] == &node && open->attached)
                 pull(open);
         }
-        if (node.leaving && node.its_gate->drained(time_.now()))
+        if (node.leaving && node.agent_gate->drained(time_.now()))
             kill_agent(index_of(node.name));
     }
     time_.after(tick, [this] { tick_agents(); });
@@ -163,12 +165,12 @@
     // The upstream's process is not frozen, but the agent reads no output.
     node.upstream->pause(pause);
     for (std::size_t entry = 0; entry < entry_count; ++entry) {
-        auto& line = wire_of(entry, index);
-        line.to_agent.stall();
-        line.to_entry.stall();
-        time_.after(pause, [&line] {
-            line.to_agent.resume();
-            line.to_entry.resume();
+        auto& links = link_pair_of(entry, index);
+        links.to_agent.stall();
+        links.to_entry.stall();
+        time_.after(pause, [&links] {
+            links.to_agent.resume();
+            links.to_entry.resume();
         });
     }
 }
@@ -226,53 +228,56 @@
 
 void fault_world::arm_timer(std::uint64_t id)
 {
-    const auto& its = sessions_.at(id);
-    if (its.its_relay->done())
+    const auto& current = sessions_.at(id);
+    if (current.session_relay->done())
         return;
-    const auto pause = time_left(its.its_relay->next_event(), time_.now());
+    const auto pause =
+        time_left(current.session_relay->next_event(), time_.now());
     time_.after(pause + milliseconds(1), [this, id] {
         auto& later = sessions_.at(id);
-        if (!entry_runs(later.entry) || later.its_relay->done())
+        if (!entry_runs(later.entry) || later.session_relay->done())
             return;
         const auto& frozen_until = entry_frozen_until_.at(later.entry);
         if (frozen_until && time_.now() < *frozen_until)
             return;
-        if (time_.now() >= later.its_relay->next_event())
-            perform(id, later.its_relay->on_time(time_.now()));
+        if (time_.now() >= later.session_relay->next_event())
+            perform(id, later.session_relay->on_time(time_.now()));
     });
 }
 
 void fault_world::perform(std::uint64_t id, const open_stream& action)
 {
-    auto& its = sessions_.at(id);
+    auto& current = sessions_.at(id);
     const auto open = std::make_shared<stream>();
-    open->entry = its.entry;
+    open->entry = current.entry;
     open->agent = index_of(action.upstream);
     open->session = id;
     open->number = action.stream;
-    open->held = caller_slow_;
+    open->caller_paused = caller_slow_;
     streams_.push_back(open);
     if (action.path == "/dispatch") {
-        works_at_ = open->agent;
-        come_by(step::chosen);
+        running_agent_ = open->agent;
+        reach_step(step::chosen);
     }
-    auto& line = wire_of(open->entry, open->agent);
-    if (!agents_[open->agent].its_gate) {
+    auto& links = link_pair_of(open->entry, open->agent);
+    if (!agents_[open->agent].agent_gate) {
         // The agent is down and refuses the connection.
-        time_.after(milliseconds(2), [this, open] { lose(open, false); });
+        time_.after(milliseconds(2),
+                    [this, open] { handle_stream_lost(open, false); });
         return;
     }
     // A dispatch uses an open connection. A resume follows the loss of the
     // agent, so it needs a new connection, which fails over a stalled link.
-    if (line.to_agent.stalled() && action.path == "/resume") {
-        time_.after(connect_time, [this, open] { lose(open, false); });
+    if (links.to_agent.stalled() && action.path == "/resume") {
+        time_.after(connect_time,
+                    [this, open] { handle_stream_lost(open, false); });
         return;
     }
-    line.to_agent.send([this, open, path = action.path, frame = action.frame] {
+    links.to_agent.send([this, open, path = action.path, frame = action.frame] {
         deliver(open, path, frame);
     });
     if (action.path == "/dispatch")
-        come_by(step::dispatch_sent);
+        reach_step(step::dispatch_sent);
     watch_keepalive(open);
 }
 
@@ -282,7 +287,7 @@
         if (open->session != id || open->number != action.stream)
             continue;
         open->entry_closed = true;
-        wire_of(open->entry, open->agent).to_agent.send([this, open] {
+        link_pair_of(open->entry, open->agent).to_agent.send([this, open] {
             close_agent_side(open);
         });
     }
@@ -290,64 +295,65 @@
 
 void fault_world::perform(std::uint64_t id, const send_message& action)
 {
-    auto& its = sessions_.at(id);
+    auto& current = sessions_.at(id);
     // The entry died before the caller's socket had delivered the answer.
-    if (action.path == "/acknowledge" && its.over && !entry_runs(its.entry))
+    if (action.path == "/acknowledge" && current.finished &&
+        !entry_runs(current.entry))
         return;
     const auto agent = index_of(action.upstream);
-    wire_of(its.entry, agent)
+    link_pair_of(current.entry, agent)
         .to_agent.send([this, agent, path = action.path, frame = action.frame] {
-            auto* its_gate = agents_[agent].its_gate.get();
-            if (its_gate == nullptr)
+            auto* agent_gate = agents_[agent].agent_gate.get();
+            if (agent_gate == nullptr)
                 return;
             link::Cancel cancel;
             link::Acknowledge acknowledge;
             if (path == "/cancel" && cancel.ParseFromString(frame))
-                its_gate->cancel(cancel, time_.now());
+                agent_gate->cancel(cancel, time_.now());
             if (path == "/acknowledge" && acknowledge.ParseFromString(frame)) {
-                its_gate->acknowledge(acknowledge, time_.now());
-                come_by(step::acknowledged);
+                agent_gate->acknowledge(acknowledge, time_.now());
+                reach_step(step::acknowledged);
             }
         });
 }
 
 void fault_world::perform(std::uint64_t id, const write_tokens& action)
 {
-    auto& its = sessions_.at(id);
-    if (its.over)
+    auto& current = sessions_.at(id);
+    if (current.finished)
         return;
     record_tokens(id, action.texts);
-    caller_has_ = action.first;
-    caller_has_->index += action.texts.size() - 1;
+    last_received_ = action.first;
+    last_received_->index += action.texts.size() - 1;
 }
 
 void fault_world::perform(std::uint64_t id, const write_end& action)
 {
-    if (sessions_.at(id).over)
+    if (sessions_.at(id).finished)
         return;
     record_tokens(id, action.whole);
     record(event_kind::end_received, id, 0, action.token_count);
-    sessions_.at(id).over = true;
-    come_by(step::answered);
+    sessions_.at(id).finished = true;
+    reach_step(step::answered);
 }
 
 void fault_world::perform(std::uint64_t id, const write_answer& action)
 {
-    if (sessions_.at(id).over)
+    if (sessions_.at(id).finished)
         return;
     record(event_kind::answer_received, id, std::stoull(action.answer.body));
-    sessions_.at(id).over = true;
-    come_by(step::answered);
+    sessions_.at(id).finished = true;
+    reach_step(step::answered);
 }
 
 void fault_world::perform(std::uint64_t id, const write_refusal& action)
 {
-    if (sessions_.at(id).over)
+    if (sessions_.at(id).finished)
         return;
     record(event_kind::refused, id);
-    seen_.events.back().refused = action.why.kind;
-    seen_.events.back().reason = action.why.reason;
-    sessions_.at(id).over = true;
+    history_.events.back().refused = action.why.kind;
+    history_.events.back().reason = action.why.reason;
+    sessions_.at(id).finished = true;
 }
 
 void fault_world::kill_entry(std::size_t entry)
@@ -359,13 +365,14 @@
         if (open->entry != entry || open->entry_closed)
             continue;
         open->entry_closed = true;
-        wire_of(entry, open->agent).to_agent.send([this, open] {
+        link_pair_of(entry, open->agent).to_agent.send([this, open] {
             close_agent_side(open);
         });
     }
-    for (auto& [id, its] : sessions_) {
-        if (its.entry == entry && !its.over)
-            time_.after(milliseconds(1), [this, id = id] { caller_lost(id); });
+    for (auto& [id, current] : sessions_) {
+        if (current.entry == entry && !current.finished)
+            time_.after(milliseconds(1),
+                        [this, id = id] { handle_caller_lost(id); });
     }
 }
 
@@ -373,17 +380,17 @@
 {
     entry_frozen_until_.at(entry) = time_.now() + pause;
     for (std::size_t agent = 0; agent < agent_count; ++agent) {
-        auto& line = wire_of(entry, agent);
-        line.to_agent.stall();
-        line.to_entry.stall();
-        time_.after(pause, [&line] {
-            line.to_agent.resume();
-            line.to_entry.resume();
+        auto& links = link_pair_of(entry, agent);
+        links.to_agent.stall();
+        links.to_entry.stall();
+        time_.after(pause, [&links] {
+            links.to_agent.resume();
+            links.to_entry.resume();
         });
     }
     time_.after(pause + milliseconds(5), [this, entry] {
-        for (auto& [id, its] : sessions_) {
-            if (its.entry == entry)
+        for (auto& [id, current] : sessions_) {
+            if (current.entry == entry)
                 arm_timer(id);
         }
     });
@@ -391,18 +398,19 @@
 
 // ---- streams
 
-fault_world::wire& fault_world::wire_of(std::size_t entry, std::size_t agent)
+fault_world::link_pair& fault_world::link_pair_of(std::size_t entry,
+                                                  std::size_t agent)
 {
-    return *wires_.at(entry * agent_count + agent);
+    return *link_pairs_.at(entry * agent_count + agent);
 }
 
 void fault_world::deliver(const stream_pointer& open, const std::string& path,
                           const std::string& frame)
 {
     auto& node = agents_[open->agent];
-    if (!node.its_gate) {
-        wire_of(open->entry, open->agent).to_entry.send([this, open] {
-            lose(open, true);
+    if (!node.agent_gate) {
+        link_pair_of(open->entry, open->agent).to_entry.send([this, open] {
+            handle_stream_lost(open, true);
         });
         return;
     }
@@ -413,12 +421,12 @@
         link::Dispatch dispatch;
         dispatch.ParseFromString(frame);
         request_id = dispatch.request_id();
-        reader = node.its_gate->submit(dispatch, time_.now());
+        reader = node.agent_gate->submit(dispatch, time_.now());
     } else {
         link::Resume resume;
         resume.ParseFromString(frame);
         request_id = resume.request_id();
-        reader = node.its_gate->resume(resume, time_.now());
+        reader = node.agent_gate->resume(resume, time_.now());
     }
     if (!reader) {
         link::AgentFrame refused;
@@ -428,8 +436,8 @@
         why.set_reason(static_cast<std::uint32_t>(reader.error().reason));
         open->agent_closed = true;
         to_relay(open, refused);
-        wire_of(open->entry, open->agent).to_entry.send([this, open] {
-            lose(open, true);
+        link_pair_of(open->entry, open->agent).to_entry.send([this, open] {
+            handle_stream_lost(open, true);
         });
         return;
     }
@@ -441,17 +449,17 @@
 void fault_world::pull(const stream_pointer& open)
 {
     auto& node = agents_[open->agent];
-    if (!open->attached || open->agent_closed || open->held || !node.its_gate ||
-        node.incarnation != open->incarnation)
+    if (!open->attached || open->agent_closed || open->caller_paused ||
+        !node.agent_gate || node.incarnation != open->incarnation)
         return;
-    const auto pulled = node.its_gate->pull(open->reader, 16, time_.now());
+    const auto pulled = node.agent_gate->pull(open->reader, 16, time_.now());
     for (const auto& frame : pulled.frames)
         to_relay(open, frame);
     if (!pulled.end)
         return;
     close_agent_side(open);
-    wire_of(open->entry, open->agent).to_entry.send([this, open] {
-        lose(open, true);
+    link_pair_of(open->entry, open->agent).to_entry.send([this, open] {
+        handle_stream_lost(open, true);
     });
 }
 
@@ -467,38 +475,39 @@
 void fault_world::to_relay(const stream_pointer& open,
                            const link::AgentFrame& frame)
 {
-    if (std::exchange(open->drops_next, false))
+    if (std::exchange(open->drop_next_frame, false))
         return;
-    if (std::exchange(open->swaps_next, false)) {
-        open->swapped = frame;
+    if (std::exchange(open->swap_next_frame, false)) {
+        open->swapped_frame = frame;
         return;
     }
     send_frame(open, frame);
-    if (const auto late = std::exchange(open->swapped, std::nullopt))
+    if (const auto late = std::exchange(open->swapped_frame, std::nullopt))
         send_frame(open, *late);
 }
 
 void fault_world::send_frame(const stream_pointer& open,
                              const link::AgentFrame& frame)
 {
-    wire_of(open->entry, open->agent).to_entry.send([this, open, frame] {
+    link_pair_of(open->entry, open->agent).to_entry.send([this, open, frame] {
         if (open->entry_closed || !entry_runs(open->entry))
             return;
-        auto& its = sessions_.at(open->session);
-        perform(open->session,
-                its.its_relay->on_frame(open->number, frame, time_.now()));
+        auto& current = sessions_.at(open->session);
+        perform(open->session, current.session_relay->on_frame(
+                                   open->number, frame, time_.now()));
     });
 }
 
-void fault_world::lose(const stream_pointer& open, bool request_may_have_left)
+void fault_world::handle_stream_lost(const stream_pointer& open,
+                                     bool request_may_have_left)
 {
     if (open->entry_closed || !entry_runs(open->entry))
         return;
     open->entry_closed = true;
-    auto& its = sessions_.at(open->session);
+    auto& current = sessions_.at(open->session);
     perform(open->session,
-            its.its_relay->on_stream_lost(open->number, request_may_have_left,
-                                          time_.now()));
+            current.session_relay->on_stream_lost(
+                open->number, request_may_have_left, time_.now()));
 }
 
 void fault_world::close_agent_side(const stream_pointer& open)
@@ -507,9 +516,9 @@
         return;
     open->agent_closed = true;
     auto& node = agents_[open->agent];
-    if (open->attached && node.its_gate &&
+    if (open->attached && node.agent_gate &&
         node.incarnation == open->incarnation)
-        node.its_gate->detach(open->reader, time_.now());
+        node.agent_gate->detach(open->reader, time_.now());
 }
 
 /** Closes a stream at both ends if its link fails for the keepalive time. */
@@ -518,34 +527,37 @@
     time_.after(keepalive, [this, open] {
         if (open->entry_closed && open->agent_closed)
             return;
-        auto& line = wire_of(open->entry, open->agent);
-        const bool stalled = line.to_agent.stalled() ||
-                             line.to_entry.stalled() || line.to_agent.stuck();
+        auto& links = link_pair_of(open->entry, open->agent);
+        const bool stalled = links.to_agent.stalled() ||
+                             links.to_entry.stalled() ||
+                             links.to_agent.blocked();
         if (!stalled) {
             watch_keepalive(open);
             return;
         }
         const auto& frozen_until = entry_frozen_until_.at(open->entry);
-        const bool entry_sleeps = frozen_until && time_.now() < *frozen_until;
+        const bool entry_is_frozen =
+            frozen_until && time_.now() < *frozen_until;
         // The close of the old connection reaches the agent after all messages
         // in transit on it. Messages on a new connection overtake it.
-        const bool was_stuck = line.to_agent.stuck();
-        if (was_stuck) {
-            line.to_agent.send([this, open] { close_agent_side(open); });
-            line.to_agent.reconnect();
+        const bool was_blocked = links.to_agent.blocked();
+        if (was_blocked) {
+            links.to_agent.send([this, open] { close_agent_side(open); });
+            links.to_agent.reconnect();
         }
-        if (!entry_sleeps)
-            lose(open, true);
-        if (was_stuck) {
-            line.to_entry.send([this, open] { lose(open, true); });
+        if (!entry_is_frozen)
+            handle_stream_lost(open, true);
+        if (was_blocked) {
+            links.to_entry.send(
+                [this, open] { handle_stream_lost(open, true); });
             return;
         }
         if (!frozen(agents_[open->agent]))
             close_agent_side(open);
         // A frozen process notices the close when it resumes, after the
         // messages that arrived before.
-        line.to_agent.send([this, open] { close_agent_side(open); });
-        line.to_entry.send([this, open] { lose(open, true); });
+        links.to_agent.send([this, open] { close_agent_side(open); });
+        links.to_entry.send([this, open] { handle_stream_lost(open, true); });
     });
 }
 
@@ -555,14 +567,14 @@
                                std::optional<stream_position> resume_after)
 {
     const auto id = ++last_session_;
-    auto& its = sessions_[id];
-    its.entry = entry;
-    its.exchange = "x" + std::to_string(id);
-    served_by_ = entry;
+    auto& current = sessions_[id];
+    current.entry = entry;
+    current.exchange = "x" + std::to_string(id);
+    serving_entry_ = entry;
     record(event_kind::exchange_begun, id);
 
     relay_request request;
-    request.id = its.exchange;
+    request.id = current.exchange;
     const bool call =
         shape_ != work_shape::stream && shape_ != work_shape::whole;
     request.kind = call ? link::WORK_KIND_CALL : link::WORK_KIND_GENERATION;
@@ -578,26 +590,26 @@
     request.idempotent = !call || shape_ == work_shape::idempotent_call;
     request.ticket = ticket_;
     request.resume_after = std::move(resume_after);
-    its.its_relay = std::make_unique<relay>(std::move(request),
-                                            relay_settings{}, hooks_for(entry));
-    perform(id, its.its_relay->start(time_.now()));
+    current.session_relay = std::make_unique<relay>(
+        std::move(request), relay_settings{}, hooks_for(entry));
+    perform(id, current.session_relay->start(time_.now()));
 }
 
-void fault_world::caller_lost(std::uint64_t id)
+void fault_world::handle_caller_lost(std::uint64_t id)
 {
-    auto& its = sessions_.at(id);
-    if (its.over)
+    auto& current = sessions_.at(id);
+    if (current.finished)
         return;
-    its.over = true;
+    current.finished = true;
     record(event_kind::caller_left, id);
-    const auto other = 1 - its.entry;
+    const auto other = 1 - current.entry;
     if (caller_left_ || !entry_runs(other) || resends_left_-- == 0)
         return;
-    const bool resumes = shape_ == work_shape::stream && caller_has_;
+    const bool resumes = shape_ == work_shape::stream && last_received_;
     // A non-idempotent call without a ticket is not sent again.
     if (shape_ == work_shape::plain_call)
         return;
-    send_request(other, resumes ? caller_has_ : std::nullopt);
+    send_request(other, resumes ? last_received_ : std::nullopt);
 }
 
 void fault_world::record_tokens(std::uint64_t id,
@@ -613,67 +625,69 @@
 void fault_world::record(event_kind kind, std::uint64_t id, std::uint64_t run,
                          std::uint64_t index)
 {
-    event seen;
-    seen.kind = kind;
-    seen.at_ms = time_.now_ms();
+    event observed;
+    observed.kind = kind;
+    observed.at_ms = time_.now_ms();
     // All exchanges share one work id: a request that is sent again from the
     // start has delivered no token, and a resume continues the tokens that the
     // caller has.
-    seen.work = "work";
-    seen.exchange = sessions_.at(id).exchange;
-    seen.run = run;
-    seen.index = index;
-    seen_.events.push_back(seen);
+    observed.work = "work";
+    observed.exchange = sessions_.at(id).exchange;
+    observed.run = run;
+    observed.index = index;
+    history_.events.push_back(observed);
 }
 
 // ---- faults
 
-void fault_world::come_by(step at)
+void fault_world::reach_step(step at)
 {
-    if (strike_at_ != at)
+    if (fault_step_ != at)
         return;
-    strike_at_.reset();
-    for (const auto& [what, after] : strikes_) {
+    fault_step_.reset();
+    for (const auto& [what, after] : scheduled_faults_) {
         if (after == milliseconds(0))
-            bring_about(what);
+            inject_fault(what);
         else
-            time_.after(after, [this, what = what] { bring_about(what); });
+            time_.after(after, [this, what = what] { inject_fault(what); });
     }
 }
 
-void fault_world::bring_about(fault what)
+void fault_world::inject_fault(fault what)
 {
-    const auto agent = works_at_;
-    const auto entry = served_by_;
+    const auto agent = running_agent_;
+    const auto entry = serving_entry_;
     auto& node = agents_[agent];
-    auto& line = wire_of(entry, agent);
-    const auto soon = [this](auto work) { time_.after(milliseconds(0), work); };
+    auto& links = link_pair_of(entry, agent);
+    const auto defer = [this](auto task) {
+        time_.after(milliseconds(0), task);
+    };
     switch (what) {
     case fault::upstream_dies:
         node.upstream->die();
         break;
     case fault::agent_dies:
-        soon([this, agent] { kill_agent(agent); });
+        defer([this, agent] { kill_agent(agent); });
         break;
     case fault::entry_dies:
-        soon([this, entry] { kill_entry(entry); });
+        defer([this, entry] { kill_entry(entry); });
         break;
     case fault::reclaimed:
     case fault::agent_stops:
-        soon([this, agent, what] {
+        defer([this, agent, what] {
             auto& leaving = agents_[agent];
-            if (!leaving.its_gate)
+            if (!leaving.agent_gate)
                 return;
-            event seen;
-            seen.kind = event_kind::drain_begun;
-            seen.upstream = leaving.upstream->life();
-            seen_.events.push_back(seen);
+            event observed;
+            observed.kind = event_kind::drain_begun;
+            observed.upstream = leaving.upstream->incarnation_name();
+            history_.events.push_back(observed);
             leaving.leaving = true;
             if (what == fault::agent_stops)
-                leaving.its_gate->drain(time_.now());
+                leaving.agent_gate->drain(time_.now());
             else
-                leaving.its_gate->reclaim(time_.now() + reclaim_notice,
-                                          time_.now());
+                leaving.agent_gate->reclaim(time_.now() + reclaim_notice,
+                                            time_.now());
         });
         break;
     case fault::entry_stops:
@@ -681,26 +695,26 @@
         // new ones.
         break;
     case fault::link_stalls_to_agent:
-        line.to_agent.stall();
-        time_.after(short_stall, [&line] { line.to_agent.resume(); });
+        links.to_agent.stall();
+        time_.after(short_stall, [&links] { links.to_agent.resume(); });
         break;
     case fault::link_stalls_to_entry:
-        line.to_entry.stall();
-        time_.after(short_stall, [&line] { line.to_entry.resume(); });
+        links.to_entry.stall();
+        time_.after(short_stall, [&links] { links.to_entry.resume(); });
         break;
     case fault::link_cut:
-        line.to_agent.stall();
-        line.to_entry.stall();
-        time_.after(cut_time, [&line] {
-            line.to_agent.resume();
-            line.to_entry.resume();
+        links.to_agent.stall();
+        links.to_entry.stall();
+        time_.after(cut_time, [&links] {
+            links.to_agent.resume();
+            links.to_entry.resume();
         });
         break;
     case fault::answer_late:
         node.upstream->pause(milliseconds(2'000));
         break;
     case fault::answer_lost:
-        node.upstream->lose_answers();
+        node.upstream->lose_next_answer();
         break;
     case fault::answer_of_another:
         for (const auto& open : streams_) {
@@ -717,12 +731,12 @@
         for (const auto& open : streams_) {
             if (open->entry_closed || open->agent != agent)
                 continue;
-            open->drops_next = what == fault::answer_with_gap;
-            open->swaps_next = what == fault::answer_out_of_order;
+            open->drop_next_frame = what == fault::answer_with_gap;
+            open->swap_next_frame = what == fault::answer_out_of_order;
         }
         break;
     case fault::connection_stuck:
-        line.to_agent.stick(cut_time);
+        links.to_agent.block(cut_time);
         break;
     case fault::agent_frozen:
         freeze_agent(agent, long_freeze);
@@ -734,38 +748,38 @@
         node.upstream->pause(milliseconds(300));
         break;
     case fault::caller_gone:
-        soon([this, entry] {
+        defer([this, entry] {
             caller_left_ = true;
-            for (auto& [id, its] : sessions_) {
-                if (its.entry != entry || its.over)
+            for (auto& [id, current] : sessions_) {
+                if (current.entry != entry || current.finished)
                     continue;
-                its.over = true;
+                current.finished = true;
                 record(event_kind::caller_left, id);
-                perform(id, its.its_relay->on_caller_gone(time_.now()));
+                perform(id, current.session_relay->on_caller_gone(time_.now()));
             }
         });
         break;
     case fault::caller_slow:
         caller_slow_ = true;
         for (const auto& open : streams_)
-            open->held = true;
+            open->caller_paused = true;
         time_.after(milliseconds(1'500), [this] {
             caller_slow_ = false;
             for (const auto& open : streams_) {
-                open->held = false;
+                open->caller_paused = false;
                 pull(open);
             }
         });
         break;
     case fault::caller_resends:
         // The caller resends its request at the other entry without waiting.
-        soon([this, entry] {
+        defer([this, entry] {
             const auto id = last_session_;
-            if (sessions_.at(id).over || !entry_runs(1 - entry))
+            if (sessions_.at(id).finished || !entry_runs(1 - entry))
                 return;
-            caller_lost(id);
-            perform(id,
-                    sessions_.at(id).its_relay->on_caller_gone(time_.now()));
+            handle_caller_lost(id);
+            perform(id, sessions_.at(id).session_relay->on_caller_gone(
+                            time_.now()));
         });
         break;
     }
--- a/tests/faults/fault_world.hpp
+++ b/tests/faults/fault_world.hpp
@@ -31,25 +31,28 @@
     ~fault_world();
 
     /** Injects these faults, in order, when the work reaches step `at`. */
-    void strike(step at, std::vector<timed_fault> faults);
-    /** Runs the caller's work until it has an outcome or time is up. */
+    void schedule_faults(step at, std::vector<timed_fault> faults);
+    /** Sends the caller's work and runs the simulation for 60 s. */
     const history& run();
 
 private:
     struct agent_node {
         std::string name;
         std::uint64_t incarnation = 0;
-        std::unique_ptr<gate> its_gate;
+        std::unique_ptr<gate> agent_gate;
         std::unique_ptr<fake_upstream> upstream;
         std::optional<time_point> frozen_until;
         bool leaving = false;
-        std::vector<std::unique_ptr<gate>>
-            dead; // late events may still refer to these
+        /** Late events may still refer to these. */
+        std::vector<std::unique_ptr<gate>> stopped_gates;
     };
-    struct wire {
+    /** Both directions of the link between an entry and an agent. */
+    struct link_pair {
         fake_link to_agent;
         fake_link to_entry;
-        explicit wire(virtual_time& time) : to_agent(time), to_entry(time) {}
+        explicit link_pair(virtual_time& time) : to_agent(time), to_entry(time)
+        {
+        }
     };
     /** One stream between an entry's relay and an agent's gate. */
     struct stream {
@@ -62,18 +65,19 @@
         bool attached = false;
         bool agent_closed = false;
         bool entry_closed = false;
-        bool held = false; // the caller reads nothing: no flow control window
-        bool drops_next = false;
-        bool swaps_next = false;
-        std::optional<link::AgentFrame> swapped;
+        /** The caller reads nothing, so the flow control window is closed. */
+        bool caller_paused = false;
+        bool drop_next_frame = false;
+        bool swap_next_frame = false;
+        std::optional<link::AgentFrame> swapped_frame;
     };
     using stream_pointer = std::shared_ptr<stream>;
     /** One HTTP request of the caller, served by one entry. */
     struct session {
         std::size_t entry = 0;
         std::string exchange;
-        std::unique_ptr<relay> its_relay;
-        bool over = false; // caller has an outcome or left
+        std::unique_ptr<relay> session_relay;
+        bool finished = false; // the caller has an outcome or left
         bool acknowledged = false;
     };
 
@@ -107,45 +111,46 @@
     void wake(std::size_t agent, reader_id reader);
     void to_relay(const stream_pointer& open, const link::AgentFrame& frame);
     void send_frame(const stream_pointer& open, const link::AgentFrame& frame);
-    void lose(const stream_pointer& open, bool request_may_have_left);
+    void handle_stream_lost(const stream_pointer& open,
+                            bool request_may_have_left);
     void close_agent_side(const stream_pointer& open);
     void watch_keepalive(const stream_pointer& open);
-    wire& wire_of(std::size_t entry, std::size_t agent);
+    link_pair& link_pair_of(std::size_t entry, std::size_t agent);
 
     // The caller.
     void send_request(std::size_t entry,
                       std::optional<stream_position> resume_after);
-    void caller_lost(std::uint64_t session);
+    void handle_caller_lost(std::uint64_t session);
     void record_tokens(std::uint64_t session,
                        const std::vector<std::string>& texts);
     void record(event_kind kind, std::uint64_t session, std::uint64_t run = 0,
                 std::uint64_t index = 0);
 
     // Faults.
-    void come_by(step at);
-    void bring_about(fault what);
+    void reach_step(step at);
+    void inject_fault(fault what);
 
     work_shape shape_;
-    history seen_;
+    history history_;
     virtual_time time_;
     std::vector<agent_node> agents_;
-    std::vector<std::unique_ptr<wire>> wires_;
+    std::vector<std::unique_ptr<link_pair>> link_pairs_;
     std::array<bool, 2> entry_alive_{true, true};
     std::array<std::optional<time_point>, 2> entry_frozen_until_{};
     std::vector<stream_pointer> streams_;
     std::map<std::uint64_t, session> sessions_;
     std::uint64_t last_session_ = 0;
     std::uint64_t last_incarnation_ = 0;
-    std::optional<stream_position> caller_has_;
+    std::optional<stream_position> last_received_;
     std::optional<link::Ticket> ticket_;
-    std::size_t served_by_ = 0;
-    std::size_t works_at_ = 0;
+    std::size_t serving_entry_ = 0;
+    std::size_t running_agent_ = 0;
     int resends_left_ = 4;
     bool caller_left_ = false;
     bool caller_slow_ = false;
     poison_register marks_;
-    std::optional<step> strike_at_;
-    std::vector<timed_fault> strikes_;
+    std::optional<step> fault_step_;
+    std::vector<timed_fault> scheduled_faults_;
 };
 
 } // namespace cyclamenrun::faults
--- a/tests/faults/history.cpp
+++ b/tests/faults/history.cpp
@@ -14,12 +14,12 @@
 class checker
 {
 public:
-    explicit checker(const history& seen) : seen_(seen) {}
+    explicit checker(const history& observed) : history_(observed) {}
 
     std::vector<std::string> run()
     {
-        for (const auto& seen : seen_.events)
-            take(seen);
+        for (const auto& observed : history_.events)
+            check_event(observed);
         check_ends();
         return violations_;
     }
@@ -31,139 +31,141 @@
         bool ended = false;
     };
 
-    void take(const event& seen)
+    void check_event(const event& observed)
     {
-        switch (seen.kind) {
+        switch (observed.kind) {
         case event_kind::exchange_begun:
-            open_.insert(seen.exchange);
+            open_.insert(observed.exchange);
             break;
         case event_kind::run_begun:
-            run_begun(seen);
+            run_begun(observed);
             break;
         case event_kind::run_token:
-            tokens_made_[seen.run] = seen.index + 1;
+            tokens_made_[observed.run] = observed.index + 1;
             break;
         case event_kind::run_ended:
-            ended_runs_.insert(seen.run);
+            ended_runs_.insert(observed.run);
             break;
         case event_kind::drain_begun:
-            draining_.insert(seen.upstream);
+            draining_.insert(observed.upstream);
             break;
         case event_kind::token_received:
-            token_received(seen);
+            token_received(observed);
             break;
         case event_kind::end_received:
-            end_received(seen);
+            end_received(observed);
             break;
         case event_kind::answer_received:
-            answer_received(seen);
+            answer_received(observed);
             break;
         case event_kind::refused:
-            refused(seen);
+            refused(observed);
             break;
         case event_kind::caller_left:
-            open_.erase(seen.exchange);
+            open_.erase(observed.exchange);
             break;
         }
     }
 
-    void run_begun(const event& seen)
+    void run_begun(const event& observed)
     {
-        works_of_runs_[seen.run] = seen.work;
-        ++runs_of_works_[seen.work];
-        const bool may_repeat = seen_.shape != work_shape::plain_call &&
-                                seen_.shape != work_shape::ticket_call;
-        if (!may_repeat && runs_of_works_[seen.work] > 1)
+        work_of_run_[observed.run] = observed.work;
+        ++run_count_of_work_[observed.work];
+        const bool may_repeat = history_.shape != work_shape::plain_call &&
+                                history_.shape != work_shape::ticket_call;
+        if (!may_repeat && run_count_of_work_[observed.work] > 1)
             report("a non-idempotent call ran twice");
-        if (told_not_run_.contains(seen.exchange))
+        if (refused_not_run_.contains(observed.exchange))
             report("a request ran after its caller received not_run");
-        runs_of_exchanges_.insert(seen.exchange);
-        if (draining_.contains(seen.upstream))
+        exchanges_that_ran_.insert(observed.exchange);
+        if (draining_.contains(observed.upstream))
             report("new work ran at an upstream whose agent is draining");
     }
 
-    void token_received(const event& seen)
+    void token_received(const event& observed)
     {
-        auto& got = deliveries_[seen.work];
-        if (works_of_runs_[seen.run] != seen.work)
+        auto& delivered = deliveries_[observed.work];
+        if (work_of_run_[observed.run] != observed.work)
             report("a caller received a token of another request's answer");
-        if (got.next == 0)
-            got.run = seen.run;
-        if (got.run != seen.run)
+        if (delivered.next == 0)
+            delivered.run = observed.run;
+        if (delivered.run != observed.run)
             report("tokens of two generations were spliced");
-        if (got.next != seen.index)
+        if (delivered.next != observed.index)
             report("a token was lost, duplicated or out of order");
-        if (got.ended)
+        if (delivered.ended)
             report("a caller received a token after the end");
-        got.next = seen.index + 1;
+        delivered.next = observed.index + 1;
     }
 
-    void end_received(const event& seen)
+    void end_received(const event& observed)
     {
-        open_.erase(seen.exchange);
-        auto& got = deliveries_[seen.work];
-        if (got.next != tokens_made_[got.run] || !ended_runs_.contains(got.run))
+        open_.erase(observed.exchange);
+        auto& delivered = deliveries_[observed.work];
+        if (delivered.next != tokens_made_[delivered.run] ||
+            !ended_runs_.contains(delivered.run))
             report("an incomplete answer was reported as complete");
-        got.ended = true;
+        delivered.ended = true;
     }
 
-    void answer_received(const event& seen)
+    void answer_received(const event& observed)
     {
-        open_.erase(seen.exchange);
-        if (works_of_runs_[seen.run] != seen.work)
+        open_.erase(observed.exchange);
+        if (work_of_run_[observed.run] != observed.work)
             report("a caller received the answer to another call");
-        if (!ended_runs_.contains(seen.run))
+        if (!ended_runs_.contains(observed.run))
             report("a caller received an answer before its call ended");
     }
 
-    void refused(const event& seen)
+    void refused(const event& observed)
     {
-        open_.erase(seen.exchange);
+        open_.erase(observed.exchange);
         // A ticket is bound to its agent. If its first use comes while the
         // agent is draining, the call is refused as not_run, and the caller
         // needs a ticket for another agent.
-        const bool needs_new_ticket = seen_.shape == work_shape::ticket_call &&
-                                      seen.refused == refusal_kind::not_run &&
-                                      seen.reason == refusal_reason::draining;
-        if (seen_.nothing_is_lost && !needs_new_ticket)
+        const bool needs_new_ticket =
+            history_.shape == work_shape::ticket_call &&
+            observed.refused == refusal_kind::not_run &&
+            observed.reason == refusal_reason::draining;
+        if (history_.answer_is_required && !needs_new_ticket)
             report("a caller was refused although no answer may be lost: " +
-                   std::string(name_of(seen.reason)));
-        if (seen.refused != refusal_kind::not_run)
+                   std::string(name_of(observed.reason)));
+        if (observed.refused != refusal_kind::not_run)
             return;
-        told_not_run_.insert(seen.exchange);
-        if (runs_of_exchanges_.contains(seen.exchange))
+        refused_not_run_.insert(observed.exchange);
+        if (exchanges_that_ran_.contains(observed.exchange))
             report("a caller received not_run, but its request had run");
-        if (seen_.shape == work_shape::ticket_call &&
-            runs_of_works_[seen.work] > 0)
+        if (history_.shape == work_shape::ticket_call &&
+            run_count_of_work_[observed.work] > 0)
             report("a caller received not_run, but its ticket's call had run");
     }
 
     void check_ends()
     {
-        if (seen_.caller_stays && !open_.empty())
+        if (history_.caller_stays && !open_.empty())
             report("an exchange has no outcome");
     }
 
     void report(const std::string& what) { violations_.push_back(what); }
 
-    const history& seen_;
+    const history& history_;
     std::vector<std::string> violations_;
     std::set<std::string> open_;
-    std::set<std::string> told_not_run_;
-    std::set<std::string> runs_of_exchanges_;
+    std::set<std::string> refused_not_run_;
+    std::set<std::string> exchanges_that_ran_;
     std::set<std::string> draining_;
     std::set<std::uint64_t> ended_runs_;
-    std::map<std::uint64_t, std::string> works_of_runs_;
-    std::map<std::string, int> runs_of_works_;
+    std::map<std::uint64_t, std::string> work_of_run_;
+    std::map<std::string, int> run_count_of_work_;
     std::map<std::uint64_t, std::uint64_t> tokens_made_;
     std::map<std::string, delivery> deliveries_;
 };
 
 } // namespace
 
-std::vector<std::string> violations_of(const history& seen)
+std::vector<std::string> violations_of(const history& observed)
 {
-    return checker(seen).run();
+    return checker(observed).run();
 }
 
 } // namespace cyclamenrun::faults
--- a/tests/faults/history.hpp
+++ b/tests/faults/history.hpp
@@ -48,15 +48,15 @@
 
 struct history {
     work_shape shape = work_shape::stream;
-    /** Whether every caller must get its answer: see costs_nothing(). */
-    bool nothing_is_lost = false;
+    /** Whether every caller must get its answer: see preserves_answer(). */
+    bool answer_is_required = false;
     /** Whether the caller stays, so that each exchange must have an outcome. */
     bool caller_stays = true;
     std::vector<event> events;
 };
 
 /** Returns one message for each violated guarantee. */
-std::vector<std::string> violations_of(const history& seen);
+std::vector<std::string> violations_of(const history& observed);
 
 } // namespace cyclamenrun::faults
 
--- a/tests/faults/test_faults_page.cpp
+++ b/tests/faults/test_faults_page.cpp
@@ -28,10 +28,10 @@
 }
 
 /** The last outcome that the caller observed. */
-std::string outcome_of(const history& seen)
+std::string outcome_of(const history& observed)
 {
     std::string outcome = "nothing";
-    for (const auto& each : seen.events) {
+    for (const auto& each : observed.events) {
         switch (each.kind) {
         case event_kind::end_received:
         case event_kind::answer_received:
@@ -54,9 +54,9 @@
 std::string cell_text(work_shape shape, step at, fault what)
 {
     fault_world world(shape);
-    world.strike(at, {{what, {}}});
-    const auto& seen = world.run();
-    return violations_of(seen).empty() ? outcome_of(seen) : "VIOLATED";
+    world.schedule_faults(at, {{what, {}}});
+    const auto& observed = world.run();
+    return violations_of(observed).empty() ? outcome_of(observed) : "VIOLATED";
 }
 
 std::string table_of(std::size_t index)
@@ -104,12 +104,13 @@
     ASSERT_NE(begin, std::string::npos);
     ASSERT_NE(end, std::string::npos);
     const auto from = begin + begin_mark.size();
-    const auto told = page.substr(from, end - from);
-    const auto given = "\n" + tables();
+    const auto documented = page.substr(from, end - from);
+    const auto generated = "\n" + tables();
     if (std::getenv("CYCLAMENRUN_WRITE_DOCS") != nullptr)
-        std::ofstream(page_path()) << page.replace(from, told.size(), given);
+        std::ofstream(page_path())
+            << page.replace(from, documented.size(), generated);
     else
-        EXPECT_EQ(told, given);
+        EXPECT_EQ(documented, generated);
 }
 
 } // namespace
--- a/tests/faults/test_guards.cpp
+++ b/tests/faults/test_guards.cpp
@@ -27,8 +27,8 @@
         hooks.stop = [this](work_id work) { stopped.push_back(work); };
         hooks.wake = [](reader_id) {};
         hooks.news = [] {};
-        made = std::make_unique<gate>(settings, hooks);
-        made->engine_ready(0, start);
+        tested_gate = std::make_unique<gate>(settings, hooks);
+        tested_gate->engine_ready(0, start);
     }
 
     static link::Dispatch generation(const std::string& id)
@@ -61,7 +61,7 @@
     std::optional<link::Ticket> ticket;
     std::vector<work_id> started;
     std::vector<work_id> stopped;
-    std::unique_ptr<gate> made;
+    std::unique_ptr<gate> tested_gate;
 };
 
 /**
@@ -71,8 +71,8 @@
  */
 TEST_F(gate_fixture, a_second_copy_of_a_dispatch_does_not_run)
 {
-    ASSERT_TRUE(made->submit(generation("r.1"), start));
-    const auto copy = made->submit(generation("r.1"), start);
+    ASSERT_TRUE(tested_gate->submit(generation("r.1"), start));
+    const auto copy = tested_gate->submit(generation("r.1"), start);
     ASSERT_FALSE(copy);
     EXPECT_EQ(copy.error().kind, refusal_kind::outcome_unknown);
     EXPECT_EQ(started.size(), 1U);
@@ -85,12 +85,12 @@
  */
 TEST_F(gate_fixture, work_without_a_reader_is_cancelled_after_the_grace_period)
 {
-    const auto reader = made->submit(generation("r.1"), start);
+    const auto reader = tested_gate->submit(generation("r.1"), start);
     ASSERT_TRUE(reader);
-    made->detach(*reader, start);
-    made->tick(start + settings.resume_grace - milliseconds(1));
+    tested_gate->detach(*reader, start);
+    tested_gate->tick(start + settings.resume_grace - milliseconds(1));
     EXPECT_TRUE(stopped.empty());
-    made->tick(start + settings.resume_grace);
+    tested_gate->tick(start + settings.resume_grace);
     EXPECT_EQ(stopped, started);
 }
 
@@ -102,34 +102,35 @@
 TEST_F(gate_fixture, a_ticket_stays_valid_if_its_call_did_not_run)
 {
     settings.admission.max_running = 1;
-    ASSERT_TRUE(made->submit(ticket_call("r.1", "team"), start));
-    made->run_failed(started.at(0), not_run(refusal_reason::no_upstream),
-                     start);
-    ASSERT_TRUE(made->submit(ticket_call("r.2", "team"), start));
+    ASSERT_TRUE(tested_gate->submit(ticket_call("r.1", "team"), start));
+    tested_gate->run_failed(started.at(0), not_run(refusal_reason::no_upstream),
+                            start);
+    ASSERT_TRUE(tested_gate->submit(ticket_call("r.2", "team"), start));
     EXPECT_EQ(started.size(), 2U);
 }
 
 TEST_F(gate_fixture, invalid_or_expired_tickets_run_nothing)
 {
-    const auto other_team = made->submit(ticket_call("r.1", "other"), start);
+    const auto other_team =
+        tested_gate->submit(ticket_call("r.1", "other"), start);
     ASSERT_FALSE(other_team);
     EXPECT_EQ(other_team.error().kind, refusal_kind::not_run);
 
     auto forged = ticket_call("r.2", "team");
     forged.mutable_ticket()->set_expiry_ms(99'999'999);
-    const auto refused = made->submit(forged, start);
+    const auto refused = tested_gate->submit(forged, start);
     ASSERT_FALSE(refused);
     EXPECT_EQ(refused.error().reason, refusal_reason::ticket_invalid);
 
     auto dead = ticket_call("r.3", "team");
     *dead.mutable_ticket() =
         ticket_authority(link_key).mint({"vm-1", 4, "team", "service", 10'000});
-    const auto unknown = made->submit(dead, start);
+    const auto unknown = tested_gate->submit(dead, start);
     ASSERT_FALSE(unknown);
     EXPECT_EQ(unknown.error().kind, refusal_kind::outcome_unknown);
 
-    const auto late = made->submit(ticket_call("r.4", "team"),
-                                   start + std::chrono::seconds(11));
+    const auto late = tested_gate->submit(ticket_call("r.4", "team"),
+                                          start + std::chrono::seconds(11));
     ASSERT_FALSE(late);
     EXPECT_EQ(late.error().reason, refusal_reason::ticket_expired);
     EXPECT_TRUE(started.empty());
@@ -143,9 +144,9 @@
  */
 TEST_F(gate_fixture, an_invalid_resume_is_refused)
 {
-    const auto reader = made->submit(generation("r.1"), start);
-    made->token_made(started.at(0), "token", start);
-    const auto frames = made->pull(*reader, 1000, start).frames;
+    const auto reader = tested_gate->submit(generation("r.1"), start);
+    tested_gate->token_made(started.at(0), "token", start);
+    const auto frames = tested_gate->pull(*reader, 1000, start).frames;
     link::Resume resume;
     resume.set_request_id("x.0");
     *resume.mutable_generation() = frames.at(0).accepted().generation();
@@ -156,7 +157,7 @@
         tried.set_next_index(next);
         auto& id = *tried.mutable_generation();
         id.set_secret(id.secret() + secret_offset);
-        const auto answer = made->resume(tried, start);
+        const auto answer = tested_gate->resume(tried, start);
         return answer ? refusal_reason{} : answer.error().reason;
     };
     EXPECT_EQ(refused_as("other", 1, 0), refusal_reason::generation_unknown);
@@ -174,23 +175,23 @@
 {
     auto innocent = generation("i.1");
     innocent.set_fingerprint(8);
-    ASSERT_TRUE(made->submit(generation("p.1"), start));
-    ASSERT_TRUE(made->submit(innocent, start));
-    made->engine_lost(start);
-    made->engine_ready(0, start);
+    ASSERT_TRUE(tested_gate->submit(generation("p.1"), start));
+    ASSERT_TRUE(tested_gate->submit(innocent, start));
+    tested_gate->engine_lost(start);
+    tested_gate->engine_ready(0, start);
 
     innocent.set_request_id("i.2");
-    ASSERT_TRUE(made->submit(innocent, start));
-    made->finished(started.back(), "stop", start);
-    ASSERT_TRUE(made->submit(generation("p.2"), start));
-    made->engine_lost(start);
-    made->engine_ready(0, start);
+    ASSERT_TRUE(tested_gate->submit(innocent, start));
+    tested_gate->finished(started.back(), "stop", start);
+    ASSERT_TRUE(tested_gate->submit(generation("p.2"), start));
+    tested_gate->engine_lost(start);
+    tested_gate->engine_ready(0, start);
 
-    const auto third = made->submit(generation("p.3"), start);
+    const auto third = tested_gate->submit(generation("p.3"), start);
     ASSERT_FALSE(third);
     EXPECT_EQ(third.error().reason, refusal_reason::poison);
     innocent.set_request_id("i.3");
-    EXPECT_TRUE(made->submit(innocent, start));
+    EXPECT_TRUE(tested_gate->submit(innocent, start));
 }
 
 /**
--- a/tests/faults/test_history.cpp
+++ b/tests/faults/test_history.cpp
@@ -29,7 +29,7 @@
 
 using enum event_kind;
 
-history good_stream()
+history valid_stream()
 {
     return {work_shape::stream,
             false,
@@ -40,7 +40,7 @@
              make(end_received)}};
 }
 
-history good_call()
+history valid_call()
 {
     return {work_shape::ticket_call,
             false,
@@ -51,60 +51,61 @@
 
 TEST(history, valid_histories_violate_nothing)
 {
-    EXPECT_TRUE(violations_of(good_stream()).empty());
-    EXPECT_TRUE(violations_of(good_call()).empty());
+    EXPECT_TRUE(violations_of(valid_stream()).empty());
+    EXPECT_TRUE(violations_of(valid_call()).empty());
 }
 
 /** A history that violates one guarantee, and the name of the violation. */
 struct forged {
     const char* name;
-    history seen;
+    history observed;
 };
 
-forged forge(const char* name, history seen,
+forged forge(const char* name, history observed,
              const std::function<void(std::vector<event>&)>& change)
 {
-    change(seen.events);
-    return {name, std::move(seen)};
+    change(observed.events);
+    return {name, std::move(observed)};
 }
 
 std::vector<forged> forged_histories()
 {
     std::vector<forged> all;
-    const auto add = [&](const char* name, history seen, auto change) {
-        all.push_back(forge(name, std::move(seen), change));
+    const auto add = [&](const char* name, history observed, auto change) {
+        all.push_back(forge(name, std::move(observed), change));
     };
-    add("lost_token", good_stream(), [](auto& e) { e.erase(e.begin() + 3); });
-    add("doubled_token", good_stream(),
+    add("lost_token", valid_stream(), [](auto& e) { e.erase(e.begin() + 3); });
+    add("doubled_token", valid_stream(),
         [](auto& e) { e.insert(e.begin() + 4, e[3]); });
-    add("spliced", good_stream(), [](auto& e) {
+    add("spliced", valid_stream(), [](auto& e) {
         e[5].run = 2;
         e.insert(e.begin(), make(run_begun, 2));
     });
-    add("token_of_another", good_stream(),
+    add("token_of_another", valid_stream(),
         [](auto& e) { e[1].work = "other"; });
-    add("cut_short_but_called_complete", good_stream(),
+    add("cut_short_but_called_complete", valid_stream(),
         [](auto& e) { e.erase(e.begin() + 5); });
-    add("complete_before_its_end", good_stream(),
+    add("complete_before_its_end", valid_stream(),
         [](auto& e) { std::swap(e[6], e[7]); });
-    add("token_after_end", good_stream(),
+    add("token_after_end", valid_stream(),
         [](auto& e) { e.push_back(make(token_received, 1, 2)); });
-    add("answer_of_another", good_call(), [](auto& e) { e[1].work = "other"; });
-    add("ran_twice", good_call(),
+    add("answer_of_another", valid_call(),
+        [](auto& e) { e[1].work = "other"; });
+    add("ran_twice", valid_call(),
         [](auto& e) { e.insert(e.begin() + 2, make(run_begun, 2)); });
-    add("not_run_but_ran", good_call(),
+    add("not_run_but_ran", valid_call(),
         [](auto& e) { e[3] = make_refusal(refusal_kind::not_run); });
-    add("not_run_then_ran", good_call(), [](auto& e) {
+    add("not_run_then_ran", valid_call(), [](auto& e) {
         e.erase(e.begin() + 3);
         e.insert(e.begin() + 1, make_refusal(refusal_kind::not_run));
     });
-    add("ran_at_a_leaving_upstream", good_call(),
+    add("ran_at_a_leaving_upstream", valid_call(),
         [](auto& e) { e.insert(e.begin(), make(drain_begun)); });
-    add("no_outcome", good_call(), [](auto& e) { e.pop_back(); });
-    add("refused_though_nothing_was_lost", good_call(), [](auto& e) {
+    add("no_outcome", valid_call(), [](auto& e) { e.pop_back(); });
+    add("refused_though_nothing_was_lost", valid_call(), [](auto& e) {
         e = {make(exchange_begun), make_refusal(refusal_kind::not_run)};
     });
-    all.back().seen.nothing_is_lost = true;
+    all.back().observed.answer_is_required = true;
     return all;
 }
 
@@ -114,7 +115,7 @@
 
 TEST_P(forged_history, is_rejected)
 {
-    EXPECT_FALSE(violations_of(GetParam().seen).empty());
+    EXPECT_FALSE(violations_of(GetParam().observed).empty());
 }
 
 INSTANTIATE_TEST_SUITE_P(one_per_guarantee, forged_history,
--- a/tests/faults/test_matrix.cpp
+++ b/tests/faults/test_matrix.cpp
@@ -22,17 +22,18 @@
     fault second = fault::upstream_dies;
 };
 
-std::string name_of(const cell& of)
+std::string name_of(const cell& tested)
 {
-    return std::string(shape_names.at(static_cast<std::size_t>(of.shape))) +
+    return std::string(shape_names.at(static_cast<std::size_t>(tested.shape))) +
            "__" +
-           std::string(step_table.at(static_cast<std::size_t>(of.at)).name) +
+           std::string(
+               step_table.at(static_cast<std::size_t>(tested.at)).name) +
            "__" +
            std::string(
-               fault_table.at(static_cast<std::size_t>(of.first)).name) +
+               fault_table.at(static_cast<std::size_t>(tested.first)).name) +
            "__" +
            std::string(
-               fault_table.at(static_cast<std::size_t>(of.second)).name);
+               fault_table.at(static_cast<std::size_t>(tested.second)).name);
 }
 
 std::vector<cell> all_cells()
@@ -58,9 +59,9 @@
 
 TEST_P(fault_matrix, every_guarantee_holds)
 {
-    const auto& of = GetParam();
-    fault_world world(of.shape);
-    world.strike(of.at, {{of.first, {}}, {of.second, {}}});
+    const auto& tested = GetParam();
+    fault_world world(tested.shape);
+    world.schedule_faults(tested.at, {{tested.first, {}}, {tested.second, {}}});
     for (const auto& violation : violations_of(world.run()))
         ADD_FAILURE() << violation;
 }
@@ -77,10 +78,10 @@
 TEST_P(fault_free, delivers_the_answer)
 {
     fault_world world(static_cast<work_shape>(GetParam()));
-    const auto& seen = world.run();
-    EXPECT_TRUE(violations_of(seen).empty());
+    const auto& observed = world.run();
+    EXPECT_TRUE(violations_of(observed).empty());
     const bool answered = std::any_of(
-        seen.events.begin(), seen.events.end(), [](const event& each) {
+        observed.events.begin(), observed.events.end(), [](const event& each) {
             return each.kind == event_kind::end_received ||
                    each.kind == event_kind::answer_received;
         });
--- a/tests/faults/test_random.cpp
+++ b/tests/faults/test_random.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-constexpr int runs_by_default = 400;
+constexpr int default_run_count = 400;
 constexpr std::uint64_t first_seed = 20261202;
 
 int run_count()
 {
-    const char* asked = std::getenv("CYCLAMENRUN_SOAK_RUNS");
-    return asked == nullptr ? runs_by_default : std::atoi(asked);
+    const char* configured = std::getenv("CYCLAMENRUN_SOAK_RUNS");
+    return configured == nullptr ? default_run_count : std::atoi(configured);
 }
 
 /**
@@ -43,7 +43,7 @@
             faults.push_back({fault_table.at(draw(fault_table.size())).what,
                               milliseconds(draw(2) * draw(7'000))});
         fault_world world(shape);
-        world.strike(at, faults);
+        world.schedule_faults(at, faults);
         for (const auto& violation : violations_of(world.run()))
             ADD_FAILURE() << violation << "; seed " << seed;
     }
--- a/tests/faults/virtual_time.hpp
+++ b/tests/faults/virtual_time.hpp
@@ -21,20 +21,20 @@
         return std::chrono::duration_cast<milliseconds>(now_ - start_).count();
     }
 
-    void after(milliseconds pause, std::function<void()> work)
+    void after(milliseconds pause, std::function<void()> task)
     {
-        due_.emplace(std::pair(now_ + pause, ++count_), std::move(work));
+        tasks_.emplace(std::pair(now_ + pause, ++count_), std::move(task));
     }
 
     /** Runs all tasks that are due by `end`, then sets the time to `end`. */
     void run_until(time_point end)
     {
-        while (!due_.empty() && due_.begin()->first.first <= end) {
-            const auto next = due_.begin();
+        while (!tasks_.empty() && tasks_.begin()->first.first <= end) {
+            const auto next = tasks_.begin();
             now_ = next->first.first;
-            const auto work = std::move(next->second);
-            due_.erase(next);
-            work();
+            const auto task = std::move(next->second);
+            tasks_.erase(next);
+            task();
         }
         now_ = end;
     }
@@ -43,7 +43,8 @@
     time_point start_{std::chrono::hours(1)};
     time_point now_ = start_;
     std::uint64_t count_ = 0;
-    std::map<std::pair<time_point, std::uint64_t>, std::function<void()>> due_;
+    std::map<std::pair<time_point, std::uint64_t>, std::function<void()>>
+        tasks_;
 };
 
 } // namespace cyclamenrun::faults
