--- a/src/libcyclamenrun/outcomes/gate.cpp
+++ b/src/libcyclamenrun/outcomes/gate.cpp
@@ -173,7 +173,7 @@
         sessions_.remove(work);
         return tl::unexpected(queued.error());
     }
-    if (dispatch.has_ticket() && !tickets_.record_use(dispatch, work, now)) {
+    if (dispatch.has_ticket() && !tickets_.enter(dispatch, work, now)) {
         admission_.remove(work, now);
         sessions_.remove(work);
         return tl::unexpected(not_run(refusal_reason::queue_full,
--- a/src/libcyclamenrun/outcomes/ticket_book.cpp
+++ b/src/libcyclamenrun/outcomes/ticket_book.cpp
@@ -55,8 +55,8 @@
     return std::nullopt;
 }
 
-bool ticket_book::record_use(const link::Dispatch& dispatch, std::uint64_t work,
-                             time_point now)
+bool ticket_book::enter(const link::Dispatch& dispatch, std::uint64_t work,
+                        time_point now)
 {
     if (uses_.size() >= capacity_)
         std::erase_if(uses_, [now](const auto& known) {
