--- a/src/libcyclamenrun/outcomes/ticket_authority.cpp
+++ b/src/libcyclamenrun/outcomes/ticket_authority.cpp
@@ -14,16 +14,16 @@
 namespace
 {
 
-constexpr std::size_t longest_ticket_text = 1024;
+constexpr std::size_t max_ticket_text_bytes = 1024;
 constexpr std::string_view base64_digits =
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/=";
 
-refusal bad_ticket(std::string detail)
+refusal invalid_ticket(std::string detail)
 {
     return not_run(refusal_reason::ticket_invalid, std::move(detail));
 }
 
-/** Length before text, so that no two field lists give the same bytes. */
+/** Prefixes the field with its length: different field lists never collide. */
 void append_field(std::string& bytes, std::string_view field)
 {
     bytes += std::to_string(field.size());
@@ -31,7 +31,7 @@
     bytes += field;
 }
 
-/** Empty for what does not decode; the decoder reports that by throwing. */
+/** Returns an empty string if `text` is not valid base64. */
 std::string decode_base64(std::string_view text)
 {
     std::istringstream encoded{std::string(text)};
@@ -63,7 +63,7 @@
     return ticket;
 }
 
-bool ticket_authority::genuine(const link::Ticket& ticket) const
+bool ticket_authority::has_valid_signature(const link::Ticket& ticket) const
 {
     return constant_time_equal(ticket.mac(), signature(ticket));
 }
@@ -80,14 +80,15 @@
 
 outcome<link::Ticket> ticket_authority::from_text(std::string_view text)
 {
-    if (text.empty() || text.size() > longest_ticket_text)
-        return tl::unexpected(bad_ticket("ticket has the wrong length"));
+    if (text.empty() || text.size() > max_ticket_text_bytes)
+        return tl::unexpected(invalid_ticket("ticket is empty or too long"));
     if (text.find_first_not_of(base64_digits) != std::string_view::npos)
-        return tl::unexpected(bad_ticket("ticket is not base64"));
+        return tl::unexpected(
+            invalid_ticket("ticket contains a character outside base64"));
     const auto bytes = decode_base64(text);
     link::Ticket ticket;
     if (!ticket.ParseFromString(bytes) || ticket.upstream().empty())
-        return tl::unexpected(bad_ticket("ticket does not parse"));
+        return tl::unexpected(invalid_ticket("ticket cannot be decoded"));
     return ticket;
 }
 
--- a/src/libcyclamenrun/outcomes/ticket_book.cpp
+++ b/src/libcyclamenrun/outcomes/ticket_book.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-/** No ticket lives longer; a larger expiry would be a forged one. */
-constexpr std::uint64_t longest_expiry_ms = std::uint64_t{1} << 42U;
+/** Exceeds the expiry of any issued ticket; a larger one is refused. */
+constexpr std::uint64_t max_expiry_ms = std::uint64_t{1} << 42U;
 
 } // namespace
 
@@ -25,19 +25,22 @@
 ticket_book::check(const link::Dispatch& dispatch, time_point now) const
 {
     const auto& ticket = dispatch.ticket();
-    if (!authority_.genuine(ticket) || ticket.expiry_ms() > longest_expiry_ms)
+    if (!authority_.has_valid_signature(ticket) ||
+        ticket.expiry_ms() > max_expiry_ms)
         return tl::unexpected(
-            not_run(refusal_reason::ticket_invalid, "ticket is not genuine"));
+            not_run(refusal_reason::ticket_invalid,
+                    "ticket has an invalid signature or expiry"));
     if (ticket.team() != dispatch.team() ||
         ticket.service() != dispatch.service())
-        return tl::unexpected(not_run(refusal_reason::ticket_invalid,
-                                      "ticket of another team or service"));
-    // An earlier incarnation may have run the call and forgotten it with its
-    // memory, so neither "not run" nor a second run would be right.
-    if (ticket.upstream() != upstream_ || ticket.incarnation() != incarnation_)
         return tl::unexpected(
-            outcome_unknown(refusal_reason::wrong_incarnation,
-                            "the agent that this ticket names is gone"));
+            not_run(refusal_reason::ticket_invalid,
+                    "ticket was issued for another team or service"));
+    // An earlier incarnation may have run the call and its records are lost, so
+    // neither a not_run refusal nor a second run would be correct.
+    if (ticket.upstream() != upstream_ || ticket.incarnation() != incarnation_)
+        return tl::unexpected(outcome_unknown(
+            refusal_reason::wrong_incarnation,
+            "ticket was issued for another upstream or incarnation"));
 
     const auto known = uses_.find(ticket.nonce());
     if (known != uses_.end()) {
@@ -66,7 +69,7 @@
     return true;
 }
 
-void ticket_book::withdraw(const link::Dispatch& dispatch)
+void ticket_book::remove_use(const link::Dispatch& dispatch)
 {
     uses_.erase(dispatch.ticket().nonce());
 }
--- a/tests/faults/fake_link.hpp
+++ b/tests/faults/fake_link.hpp
@@ -10,9 +10,9 @@
 {
 
 /**
- * One direction between an entry and an agent: in order, one millisecond
- * long. While it is stalled messages wait, as they do in the sockets of a
- * peer that is frozen or behind a full link, and arrive late.
+ * One direction of a link between an entry and an agent. Delivers messages in
+ * order with 1 ms of latency. While it is stalled, messages are queued, as in
+ * the sockets of a frozen peer or a congested link, and arrive late.
  */
 class fake_link
 {
@@ -21,31 +21,33 @@
 
     void send(std::function<void()> message)
     {
-        if (stuck()) {
-            // In order with the rest of its connection, long after.
-            time_.after(time_left(stuck_until_, time_.now()) + milliseconds(2),
+        if (blocked()) {
+            // Delivered in order with the connection's other messages, after
+            // the connection recovers.
+            time_.after(time_left(blocked_until_, time_.now()) +
+                            milliseconds(2),
                         std::move(message));
             return;
         }
         if (stalled()) {
-            held_.push_back(std::move(message));
+            queued_.push_back(std::move(message));
             return;
         }
         time_.after(milliseconds(1), [this, message = std::move(message)] {
             if (stalled())
-                held_.push_back(message);
+                queued_.push_back(message);
             else
                 message();
         });
     }
 
     /**
-     * The connection carries nothing until then; a new one, made by
-     * reconnect(), does, and overtakes what is still on its way.
+     * Blocks the connection for `pause`. A new connection, made by reconnect(),
+     * carries messages at once; they overtake those still in transit.
      */
-    void stick(milliseconds pause) { stuck_until_ = time_.now() + pause; }
-    void reconnect() { stuck_until_ = time_point{}; }
-    bool stuck() const { return time_.now() < stuck_until_; }
+    void block(milliseconds pause) { blocked_until_ = time_.now() + pause; }
+    void reconnect() { blocked_until_ = time_point{}; }
+    bool blocked() const { return time_.now() < blocked_until_; }
 
     bool stalled() const { return stalls_ > 0; }
     void stall() { ++stalls_; }
@@ -54,7 +56,7 @@
         if (--stalls_ > 0)
             return;
         std::vector<std::function<void()>> late;
-        late.swap(held_);
+        late.swap(queued_);
         for (auto& message : late)
             time_.after(milliseconds(1), std::move(message));
     }
@@ -62,8 +64,8 @@
 private:
     virtual_time& time_;
     int stalls_ = 0;
-    time_point stuck_until_{};
-    std::vector<std::function<void()>> held_;
+    time_point blocked_until_{};
+    std::vector<std::function<void()>> queued_;
 };
 
 } // namespace cyclamenrun::faults
--- a/tests/faults/fault_world.hpp
+++ b/tests/faults/fault_world.hpp
@@ -20,9 +20,9 @@
 {
 
 /**
- * Two entries, three agents with their upstreams and one caller, in virtual
- * time. The gates and relays are the ones that the daemons run; links,
- * upstreams and the caller are fakes, and the fakes write the history.
+ * A simulation, in virtual time, of two entries, three agents with their
+ * upstreams, and one caller. Gates and relays are the production classes. The
+ * links, the upstreams and the caller are fakes, which record the history.
  */
 class fault_world
 {
@@ -30,25 +30,29 @@
     explicit fault_world(work_shape shape);
     ~fault_world();
 
-    /** Brings these about, in order, when the caller's work comes by. */
-    void strike(step at, std::vector<timed_fault> faults);
-    /** Runs the caller's work to whatever end it comes to. */
+    /** Injects these faults, in order, when the work reaches step `at`. */
+    void schedule_faults(step at, std::vector<timed_fault> faults);
+    /** Sends the caller's work and runs the simulation for 60 s. */
     const history& run();
 
 private:
     struct agent_node {
         std::string name;
         std::uint64_t incarnation = 0;
-        std::unique_ptr<gate> its_gate;
+        std::unique_ptr<gate> agent_gate;
         std::unique_ptr<fake_upstream> upstream;
         std::optional<time_point> frozen_until;
         bool leaving = false;
-        std::vector<std::unique_ptr<gate>> dead; // late events may name them
+        /** Late events may still refer to these. */
+        std::vector<std::unique_ptr<gate>> stopped_gates;
     };
-    struct wire {
+    /** Both directions of the link between an entry and an agent. */
+    struct link_pair {
         fake_link to_agent;
         fake_link to_entry;
-        explicit wire(virtual_time& time) : to_agent(time), to_entry(time) {}
+        explicit link_pair(virtual_time& time) : to_agent(time), to_entry(time)
+        {
+        }
     };
     /** One stream between an entry's relay and an agent's gate. */
     struct stream {
@@ -61,18 +65,19 @@
         bool attached = false;
         bool agent_closed = false;
         bool entry_closed = false;
-        bool held = false; // the caller takes nothing: no window
-        bool drops_next = false;
-        bool swaps_next = false;
-        std::optional<link::AgentFrame> swapped;
+        /** The caller reads nothing, so the flow control window is closed. */
+        bool caller_paused = false;
+        bool drop_next_frame = false;
+        bool swap_next_frame = false;
+        std::optional<link::AgentFrame> swapped_frame;
     };
     using stream_pointer = std::shared_ptr<stream>;
     /** One HTTP request of the caller, served by one entry. */
     struct session {
         std::size_t entry = 0;
         std::string exchange;
-        std::unique_ptr<relay> its_relay;
-        bool over = false; // for the caller
+        std::unique_ptr<relay> session_relay;
+        bool finished = false; // the caller has an outcome or left
         bool acknowledged = false;
     };
 
@@ -84,7 +89,7 @@
     bool frozen(const agent_node& node) const;
     std::size_t current_agent() const;
 
-    // Entries and what they send.
+    // Entries and their messages.
     relay_hooks hooks_for(std::size_t entry);
     void perform(std::uint64_t session, const relay_actions& actions);
     void perform(std::uint64_t session, const open_stream& action);
@@ -106,45 +111,46 @@
     void wake(std::size_t agent, reader_id reader);
     void to_relay(const stream_pointer& open, const link::AgentFrame& frame);
     void send_frame(const stream_pointer& open, const link::AgentFrame& frame);
-    void lose(const stream_pointer& open, bool request_may_have_left);
+    void handle_stream_lost(const stream_pointer& open,
+                            bool request_may_have_left);
     void close_agent_side(const stream_pointer& open);
     void watch_keepalive(const stream_pointer& open);
-    wire& wire_of(std::size_t entry, std::size_t agent);
+    link_pair& link_pair_of(std::size_t entry, std::size_t agent);
 
     // The caller.
     void send_request(std::size_t entry,
                       std::optional<stream_position> resume_after);
-    void caller_lost(std::uint64_t session);
+    void handle_caller_lost(std::uint64_t session);
     void record_tokens(std::uint64_t session,
                        const std::vector<std::string>& texts);
     void record(event_kind kind, std::uint64_t session, std::uint64_t run = 0,
                 std::uint64_t index = 0);
 
     // Faults.
-    void come_by(step at);
-    void bring_about(fault what);
+    void reach_step(step at);
+    void inject_fault(fault what);
 
     work_shape shape_;
-    history seen_;
+    history history_;
     virtual_time time_;
     std::vector<agent_node> agents_;
-    std::vector<std::unique_ptr<wire>> wires_;
+    std::vector<std::unique_ptr<link_pair>> link_pairs_;
     std::array<bool, 2> entry_alive_{true, true};
     std::array<std::optional<time_point>, 2> entry_frozen_until_{};
     std::vector<stream_pointer> streams_;
     std::map<std::uint64_t, session> sessions_;
     std::uint64_t last_session_ = 0;
     std::uint64_t last_incarnation_ = 0;
-    std::optional<stream_position> caller_has_;
+    std::optional<stream_position> last_received_;
     std::optional<link::Ticket> ticket_;
-    std::size_t served_by_ = 0;
-    std::size_t works_at_ = 0;
+    std::size_t serving_entry_ = 0;
+    std::size_t running_agent_ = 0;
     int resends_left_ = 4;
     bool caller_left_ = false;
     bool caller_slow_ = false;
     poison_register marks_;
-    std::optional<step> strike_at_;
-    std::vector<timed_fault> strikes_;
+    std::optional<step> fault_step_;
+    std::vector<timed_fault> scheduled_faults_;
 };
 
 } // namespace cyclamenrun::faults
--- a/tests/faults/test_guards.cpp
+++ b/tests/faults/test_guards.cpp
@@ -12,7 +12,7 @@
 const std::string link_key = "0123456789abcdef0123456789abcdef";
 const time_point start{std::chrono::hours(1)};
 
-/** A gate whose upstream does just what the test says. */
+/** A gate with an upstream that the test controls. */
 struct gate_fixture : testing::Test {
     gate_fixture()
     {
@@ -27,8 +27,8 @@
         hooks.stop = [this](work_id work) { stopped.push_back(work); };
         hooks.wake = [](reader_id) {};
         hooks.news = [] {};
-        made = std::make_unique<gate>(settings, hooks);
-        made->engine_ready(0, start);
+        tested_gate = std::make_unique<gate>(settings, hooks);
+        tested_gate->engine_ready(0, start);
     }
 
     static link::Dispatch generation(const std::string& id)
@@ -61,88 +61,92 @@
     std::optional<link::Ticket> ticket;
     std::vector<work_id> started;
     std::vector<work_id> stopped;
-    std::unique_ptr<gate> made;
+    std::unique_ptr<gate> tested_gate;
 };
 
 /**
- * A dispatch arrives twice under one request id, as a duplicated frame would.
- * The second copy must not run, nor may its sender be told that nothing ran.
+ * Guards against running a dispatch twice. A duplicated frame delivers it again
+ * with the same request id. The copy must not run, and its refusal must not
+ * state not_run.
  */
 TEST_F(gate_fixture, a_second_copy_of_a_dispatch_does_not_run)
 {
-    ASSERT_TRUE(made->submit(generation("r.1"), start));
-    const auto copy = made->submit(generation("r.1"), start);
+    ASSERT_TRUE(tested_gate->submit(generation("r.1"), start));
+    const auto copy = tested_gate->submit(generation("r.1"), start);
     ASSERT_FALSE(copy);
     EXPECT_EQ(copy.error().kind, refusal_kind::outcome_unknown);
     EXPECT_EQ(started.size(), 1U);
 }
 
 /**
- * A caller closes in mid stream and never comes back. Its generation runs on
- * for the grace in which a resume would find it, then the engine is told to
- * stop, so that nobody's tokens take up its memory.
+ * Guards against engine memory held by an abandoned generation. The caller
+ * disconnects in mid-stream and does not resume. The generation runs for the
+ * resume grace period, then the gate stops it.
  */
-TEST_F(gate_fixture, work_whose_caller_stays_away_is_cancelled_after_a_grace)
+TEST_F(gate_fixture, work_without_a_reader_is_cancelled_after_the_grace_period)
 {
-    const auto reader = made->submit(generation("r.1"), start);
+    const auto reader = tested_gate->submit(generation("r.1"), start);
     ASSERT_TRUE(reader);
-    made->detach(*reader, start);
-    made->tick(start + settings.resume_grace - milliseconds(1));
+    tested_gate->detach(*reader, start);
+    tested_gate->tick(start + settings.resume_grace - milliseconds(1));
     EXPECT_TRUE(stopped.empty());
-    made->tick(start + settings.resume_grace);
+    tested_gate->tick(start + settings.resume_grace);
     EXPECT_EQ(stopped, started);
 }
 
 /**
- * A ticketed call is refused as not run, since the agent is leaving. The
- * caller sends it again with the same ticket: that is no second use.
+ * Guards against a ticket that is used up by a call that did not run. The call
+ * is refused as not_run, since no upstream runs it, and the caller sends it
+ * again with the same ticket. The gate must not treat that as a second use.
  */
-TEST_F(gate_fixture, a_ticket_whose_call_was_not_run_is_still_good)
+TEST_F(gate_fixture, a_ticket_stays_valid_if_its_call_did_not_run)
 {
     settings.admission.max_running = 1;
-    ASSERT_TRUE(made->submit(ticket_call("r.1", "team"), start));
-    made->run_failed(started.at(0), not_run(refusal_reason::no_upstream),
-                     start);
-    ASSERT_TRUE(made->submit(ticket_call("r.2", "team"), start));
+    ASSERT_TRUE(tested_gate->submit(ticket_call("r.1", "team"), start));
+    tested_gate->run_failed(started.at(0), not_run(refusal_reason::no_upstream),
+                            start);
+    ASSERT_TRUE(tested_gate->submit(ticket_call("r.2", "team"), start));
     EXPECT_EQ(started.size(), 2U);
 }
 
-TEST_F(gate_fixture, tickets_that_are_not_the_callers_own_run_nothing)
+TEST_F(gate_fixture, invalid_or_expired_tickets_run_nothing)
 {
-    const auto other_team = made->submit(ticket_call("r.1", "other"), start);
+    const auto other_team =
+        tested_gate->submit(ticket_call("r.1", "other"), start);
     ASSERT_FALSE(other_team);
     EXPECT_EQ(other_team.error().kind, refusal_kind::not_run);
 
     auto forged = ticket_call("r.2", "team");
     forged.mutable_ticket()->set_expiry_ms(99'999'999);
-    const auto refused = made->submit(forged, start);
+    const auto refused = tested_gate->submit(forged, start);
     ASSERT_FALSE(refused);
     EXPECT_EQ(refused.error().reason, refusal_reason::ticket_invalid);
 
     auto dead = ticket_call("r.3", "team");
     *dead.mutable_ticket() =
         ticket_authority(link_key).mint({"vm-1", 4, "team", "service", 10'000});
-    const auto unknown = made->submit(dead, start);
+    const auto unknown = tested_gate->submit(dead, start);
     ASSERT_FALSE(unknown);
     EXPECT_EQ(unknown.error().kind, refusal_kind::outcome_unknown);
 
-    const auto late = made->submit(ticket_call("r.4", "team"),
-                                   start + std::chrono::seconds(11));
+    const auto late = tested_gate->submit(ticket_call("r.4", "team"),
+                                          start + std::chrono::seconds(11));
     ASSERT_FALSE(late);
     EXPECT_EQ(late.error().reason, refusal_reason::ticket_expired);
     EXPECT_TRUE(started.empty());
 }
 
 /**
- * Somebody resumes with an id that is not theirs, ahead of what was made, or
- * guessed. Each gets a typed refusal, and none learns whether another team's
- * generation exists.
+ * Guards against resuming another team's generation or probing for one. A
+ * resume names the wrong team, a guessed secret, or an index that was not
+ * produced yet. Each gets a typed refusal, and the first two are the same as
+ * for a generation that does not exist.
  */
-TEST_F(gate_fixture, a_resume_with_a_wrong_position_gets_nothing)
+TEST_F(gate_fixture, an_invalid_resume_is_refused)
 {
-    const auto reader = made->submit(generation("r.1"), start);
-    made->token_made(started.at(0), "token", start);
-    const auto frames = made->pull(*reader, 1000, start).frames;
+    const auto reader = tested_gate->submit(generation("r.1"), start);
+    tested_gate->token_made(started.at(0), "token", start);
+    const auto frames = tested_gate->pull(*reader, 1000, start).frames;
     link::Resume resume;
     resume.set_request_id("x.0");
     *resume.mutable_generation() = frames.at(0).accepted().generation();
@@ -153,7 +157,7 @@
         tried.set_next_index(next);
         auto& id = *tried.mutable_generation();
         id.set_secret(id.secret() + secret_offset);
-        const auto answer = made->resume(tried, start);
+        const auto answer = tested_gate->resume(tried, start);
         return answer ? refusal_reason{} : answer.error().reason;
     };
     EXPECT_EQ(refused_as("other", 1, 0), refusal_reason::generation_unknown);
@@ -163,37 +167,37 @@
 }
 
 /**
- * An engine crashes whenever it runs one request, and its caller sends it
- * again each time. After the second loss it is refused by type; what ran
- * beside it the first time is cleared when it ends well alone.
+ * Guards against a request that crashes every engine it runs on while its
+ * caller keeps resending it. After the second loss it is refused as poison. A
+ * request that ran beside it at the first loss is cleared once it completes.
  */
 TEST_F(gate_fixture, a_request_that_crashes_two_engines_is_refused)
 {
     auto innocent = generation("i.1");
     innocent.set_fingerprint(8);
-    ASSERT_TRUE(made->submit(generation("p.1"), start));
-    ASSERT_TRUE(made->submit(innocent, start));
-    made->engine_lost(start);
-    made->engine_ready(0, start);
+    ASSERT_TRUE(tested_gate->submit(generation("p.1"), start));
+    ASSERT_TRUE(tested_gate->submit(innocent, start));
+    tested_gate->engine_lost(start);
+    tested_gate->engine_ready(0, start);
 
     innocent.set_request_id("i.2");
-    ASSERT_TRUE(made->submit(innocent, start));
-    made->finished(started.back(), "stop", start);
-    ASSERT_TRUE(made->submit(generation("p.2"), start));
-    made->engine_lost(start);
-    made->engine_ready(0, start);
+    ASSERT_TRUE(tested_gate->submit(innocent, start));
+    tested_gate->finished(started.back(), "stop", start);
+    ASSERT_TRUE(tested_gate->submit(generation("p.2"), start));
+    tested_gate->engine_lost(start);
+    tested_gate->engine_ready(0, start);
 
-    const auto third = made->submit(generation("p.3"), start);
+    const auto third = tested_gate->submit(generation("p.3"), start);
     ASSERT_FALSE(third);
     EXPECT_EQ(third.error().reason, refusal_reason::poison);
     innocent.set_request_id("i.3");
-    EXPECT_TRUE(made->submit(innocent, start));
+    EXPECT_TRUE(tested_gate->submit(innocent, start));
 }
 
 /**
- * A link breaks in mid stream and is made again, and what comes on it is the
- * start of another generation. The caller has tokens of the first one, so it
- * gets a typed failure rather than a splice of the two.
+ * Guards against splicing two generations. A link breaks in mid-stream, and the
+ * stream that resumes it delivers another generation. The caller already has
+ * tokens of the first one, so it must get a typed failure.
  */
 TEST(relay_guards, tokens_of_another_generation_are_never_spliced_in)
 {
@@ -221,7 +225,7 @@
     relayed.on_frame(1, tokens, start);
     relayed.on_stream_lost(1, true, start);
 
-    // It is asked for once more, on yet another stream, and then given up.
+    // The relay resumes once more on a third stream, then fails the request.
     accepted.mutable_accepted()->mutable_generation()->set_sequence(2);
     const auto again = relayed.on_frame(2, accepted, start);
     EXPECT_TRUE(std::holds_alternative<open_stream>(again.back()));
--- a/tests/faults/test_matrix.cpp
+++ b/tests/faults/test_matrix.cpp
@@ -9,11 +9,11 @@
 {
 
 /**
- * What a caller sees: an answer that is whole and its own, or a refusal that
- * says truthfully whether the work ran. In each cell one or two faults strike
- * when the caller's work comes by a step; two strike together, and a pair of
- * equal ones is the same fault twice. The cause of any failure is in the gate
- * or the relay, since all else is a fake.
+ * Guards against an outcome that violates the guarantees to callers: each gets
+ * the complete answer to its own request, or a refusal that states correctly
+ * whether the work ran. Each cell injects two faults together when the work
+ * reaches a step; a pair of equal faults is the same fault twice. A failure has
+ * its cause in the gate or the relay, since all other parts are fakes.
  */
 struct cell {
     work_shape shape = work_shape::stream;
@@ -22,17 +22,18 @@
     fault second = fault::upstream_dies;
 };
 
-std::string name_of(const cell& of)
+std::string name_of(const cell& tested)
 {
-    return std::string(shape_names.at(static_cast<std::size_t>(of.shape))) +
+    return std::string(shape_names.at(static_cast<std::size_t>(tested.shape))) +
            "__" +
-           std::string(step_table.at(static_cast<std::size_t>(of.at)).name) +
+           std::string(
+               step_table.at(static_cast<std::size_t>(tested.at)).name) +
            "__" +
            std::string(
-               fault_table.at(static_cast<std::size_t>(of.first)).name) +
+               fault_table.at(static_cast<std::size_t>(tested.first)).name) +
            "__" +
            std::string(
-               fault_table.at(static_cast<std::size_t>(of.second)).name);
+               fault_table.at(static_cast<std::size_t>(tested.second)).name);
 }
 
 std::vector<cell> all_cells()
@@ -56,11 +57,11 @@
 {
 };
 
-TEST_P(fault_matrix, keeps_every_promise)
+TEST_P(fault_matrix, every_guarantee_holds)
 {
-    const auto& of = GetParam();
-    fault_world world(of.shape);
-    world.strike(of.at, {{of.first, {}}, {of.second, {}}});
+    const auto& tested = GetParam();
+    fault_world world(tested.shape);
+    world.schedule_faults(tested.at, {{tested.first, {}}, {tested.second, {}}});
     for (const auto& violation : violations_of(world.run()))
         ADD_FAILURE() << violation;
 }
@@ -74,13 +75,13 @@
 {
 };
 
-TEST_P(fault_free, gives_the_answer)
+TEST_P(fault_free, delivers_the_answer)
 {
     fault_world world(static_cast<work_shape>(GetParam()));
-    const auto& seen = world.run();
-    EXPECT_TRUE(violations_of(seen).empty());
+    const auto& observed = world.run();
+    EXPECT_TRUE(violations_of(observed).empty());
     const bool answered = std::any_of(
-        seen.events.begin(), seen.events.end(), [](const event& each) {
+        observed.events.begin(), observed.events.end(), [](const event& each) {
             return each.kind == event_kind::end_received ||
                    each.kind == event_kind::answer_received;
         });
--- a/tests/faults/test_random.cpp
+++ b/tests/faults/test_random.cpp
@@ -9,22 +9,22 @@
 namespace
 {
 
-constexpr int runs_by_default = 400;
+constexpr int default_run_count = 400;
 constexpr std::uint64_t first_seed = 20261202;
 
 int run_count()
 {
-    const char* asked = std::getenv("CYCLAMENRUN_SOAK_RUNS");
-    return asked == nullptr ? runs_by_default : std::atoi(asked);
+    const char* configured = std::getenv("CYCLAMENRUN_SOAK_RUNS");
+    return configured == nullptr ? default_run_count : std::atoi(configured);
 }
 
 /**
- * What a caller sees: as in the matrix. Up to six faults strike, at one step
- * and at random moments after it, so that they also meet each other's
- * consequences: a retry, a resume, an agent that has just come back. Each
- * failure prints its seed, which alone brings it about again.
+ * Guards the guarantees of the matrix against faults that overlap. Up to six
+ * faults are injected at one step and at random times after it, so that a fault
+ * also hits the recovery from an earlier one: a retry, a resume, a restarted
+ * agent. Each failure prints its seed, which is sufficient to reproduce it.
  */
-TEST(random_faults, keep_every_promise)
+TEST(random_faults, every_guarantee_holds)
 {
     for (int i = 0; i < run_count(); ++i) {
         const auto seed = first_seed + static_cast<std::uint64_t>(i);
@@ -43,7 +43,7 @@
             faults.push_back({fault_table.at(draw(fault_table.size())).what,
                               milliseconds(draw(2) * draw(7'000))});
         fault_world world(shape);
-        world.strike(at, faults);
+        world.schedule_faults(at, faults);
         for (const auto& violation : violations_of(world.run()))
             ADD_FAILURE() << violation << "; seed " << seed;
     }
