--- a/src/libcyclamenrun/links/agent_links.cpp
+++ b/src/libcyclamenrun/links/agent_links.cpp
@@ -13,14 +13,14 @@
 namespace
 {
 
-/** Between tries to reach an agent that did not answer. */
+/** Delay before a failed heartbeat is sent again. */
 constexpr milliseconds retry_pause{500};
 
 } // namespace
 
 /**
- * Kept alive by each callback under way, so that one which comes late finds
- * its state, and `closed` in it.
+ * State shared with the callbacks. Each pending callback keeps it alive, so
+ * that a callback that runs after close() finds `closed_` set.
  */
 class agent_links::shared_state
     : public std::enable_shared_from_this<shared_state>
@@ -49,9 +49,9 @@
     const std::shared_ptr<link_reactor>&
     reactor_of(const std::string& address) const;
 
-    // Guards against the end of a loop on its own thread, where a callback
-    // may be the last to hold this state: the loop would wait for itself,
-    // and the process abort at the end of a planned stop.
+    // Holds reactors and not loops: a callback on a loop's thread may release
+    // the last reference to this state, and a loop that is destroyed on its
+    // own thread would join itself and abort the process during shutdown.
     std::vector<std::shared_ptr<link_reactor>> reactors_;
     std::string link_key_;
     link_limits limits_;
--- a/src/libcyclamenrun/links/agent_links.hpp
+++ b/src/libcyclamenrun/links/agent_links.hpp
@@ -20,7 +20,7 @@
 class link_client;
 class link_loop;
 
-/** Where an agent is reached. */
+/** Address of an agent and the upstream it serves. */
 struct agent_address {
     std::string upstream;
     std::string address; ///< IP:PORT
@@ -28,7 +28,10 @@
     bool operator==(const agent_address&) const = default;
 };
 
-/** What the links tell the entry; called on loop threads. */
+/**
+ * Callbacks of agent_links, called on loop threads: `request` builds a
+ * heartbeat, `reply` and `failure` receive its result.
+ */
 struct agent_links_hooks {
     std::function<link::Heartbeat(const std::string& upstream)> request;
     std::function<void(const std::string& upstream,
@@ -39,10 +42,10 @@
 };
 
 /**
- * An entry's links to agents. Keeps a heartbeat going with each agent that is
- * watched: the agent holds the answer back until it has news, so a quiet link
- * carries one small exchange an interval. Other agents are linked when
- * something is opened to them.
+ * An entry's links to agents. Exchanges heartbeats with each watched agent.
+ * The agent delays its reply until its state changes, so a link without
+ * changes carries one small exchange per interval. Connections to other
+ * agents are made when a stream is opened.
  */
 class agent_links
 {
@@ -54,14 +57,14 @@
     agent_links& operator=(const agent_links&) = delete;
     ~agent_links();
 
-    /** Keeps heartbeats with these agents and no others. */
+    /** Replaces the set of agents that heartbeats are exchanged with. */
     void watch(const std::vector<agent_address>& agents);
 
     std::shared_ptr<client_stream> open(const agent_address& agent,
                                         const std::string& path,
                                         const std::string& frame,
                                         client_handlers handlers);
-    /** Sends one message; what comes of it matters to nobody. */
+    /** Sends one message and ignores its answer and any failure. */
     void send(const agent_address& agent, const std::string& path,
               const std::string& frame);
     void close();
--- a/src/libcyclamenrun/links/agent_question.hpp
+++ b/src/libcyclamenrun/links/agent_question.hpp
@@ -14,16 +14,19 @@
 {
 
 /**
- * One message to an agent whose one answer a thread waits for. Kept alive by
- * the link's callbacks, which may come after the wait has ended.
+ * A request to an agent with one answer that a thread waits for. The link's
+ * callbacks keep the object alive, as they may run after wait() has returned.
  */
 class agent_question : public std::enable_shared_from_this<agent_question>
 {
 public:
     client_handlers handlers();
-    /** The stream that carries it; null if none could be opened. */
+    /** Sets the stream of the request; null if none could be opened. */
     void asked_by(std::shared_ptr<client_stream> stream);
-    /** Empty if the agent did not answer by then; the stream is dropped. */
+    /**
+     * Waits for the answer. Returns nothing if the stream fails or the
+     * deadline passes first; in the latter case the stream is cancelled.
+     */
     std::optional<std::string> wait(time_point deadline);
 
 private:
--- a/src/libcyclamenrun/links/client_stream.cpp
+++ b/src/libcyclamenrun/links/client_stream.cpp
@@ -80,11 +80,11 @@
 void client_stream::hold(std::size_t bytes)
 {
     held_ += bytes;
-    // Failure: a frame larger than the window stands still for ever, since
-    // its first part fills the window and can't be consumed without the
-    // rest. nghttp2 gives window back in halves, so from half a window on
-    // the bytes are given back before the frame is whole; the bound on frames
-    // bounds the memory in place of the window.
+    // A frame larger than the flow control window would never arrive: its
+    // first part fills the window and can't be consumed without the rest.
+    // nghttp2 returns window credit in halves of the window, so the credit of
+    // frames larger than half a window is returned before they are complete.
+    // Memory is then bounded by max_frame_bytes, not by the window.
     const auto size = decoder_.frame_size();
     if (!size || *size + frame_prefix_bytes <= large_frame_)
         return;
--- a/src/libcyclamenrun/links/client_stream.hpp
+++ b/src/libcyclamenrun/links/client_stream.hpp
@@ -19,35 +19,36 @@
 
 /** How a stream ended. */
 struct stream_end {
-    /** The peer ended its answer after a whole frame. */
+    /** The peer ended its answer after a complete frame. */
     bool clean = false;
-    /** Only if not clean. */
+    /** Valid only if `clean` is false. */
     link_failure failure = link_failure::connection_lost;
     /**
-     * False only if no byte of the request was handed to the socket, or if
-     * the peer has said that it did not look at it. Then it surely has not
-     * run and never will.
+     * False only if no byte of the request was written to the socket, or if
+     * the peer reported that it did not process the request. The request has
+     * then not run and never will.
      */
     bool request_may_have_left = false;
 };
 
-/** Called on the loop's thread with no lock held. */
+/** Callbacks of a stream, called on the loop's thread with no lock held. */
 struct client_handlers {
     std::function<void(std::string frame)> on_frame;
-    /** Exactly once, after the last on_frame. */
+    /** Called exactly once, after the last on_frame. */
     std::function<void(stream_end)> on_end;
 };
 
-/** A request to a peer; any thread may call it. */
+/** A request to a peer. Thread-safe. */
 class client_stream : public std::enable_shared_from_this<client_stream>
 {
 public:
     /**
-     * Lets the peer send as much again. The sum of `bytes` is to be that of
-     * the frames received; a peer whose frames stay unconsumed is held.
+     * Returns flow control credit, so that the peer may send `bytes` more.
+     * The caller passes the size of each frame once it has processed it; the
+     * peer stops sending while its frames are not consumed.
      */
     void consumed(std::size_t bytes);
-    /** Gives the answer up. A few frames may still come before the end. */
+    /** Cancels the request. Some frames may still arrive before on_end. */
     void cancel();
 
 private:
@@ -69,7 +70,7 @@
     const std::shared_ptr<link_reactor> reactor_;
     std::atomic<std::size_t> consumed_ = 0;
 
-    // All below is for the loop's thread only.
+    // The members below are used on the loop's thread only.
     std::weak_ptr<link_client_connection> connection_;
     std::int32_t id_ = 0;
     std::string path_;
@@ -78,13 +79,16 @@
     client_handlers handlers_;
     link_frame_decoder decoder_;
     std::size_t large_frame_;
-    /** Of the frame that has begun: window not given back yet. */
+    /** Bytes of the partial frame whose window credit is not returned yet. */
     std::size_t held_ = 0;
-    /** Of the frame that has begun: window given back before its end. */
+    /** Bytes of the partial frame whose window credit is already returned. */
     std::size_t early_ = 0;
-    /** Given back early for frames whose consumed() is still to come. */
+    /**
+     * Bytes of delivered frames whose credit was returned early; consumed()
+     * subtracts them from the credit that it returns.
+     */
     std::size_t debt_ = 0;
-    /** Where the request began in the connection's output. */
+    /** Position in the connection's output at which the request begins. */
     std::optional<std::uint64_t> sent_at_;
     bool answer_ended_ = false;
     bool ended_ = false;
--- a/src/libcyclamenrun/links/link_client.cpp
+++ b/src/libcyclamenrun/links/link_client.cpp
@@ -53,7 +53,7 @@
                           std::move(handlers), limits_));
     const bool posted = reactor_->post(
         [self = shared_from_this(), stream] { self->start(stream); });
-    // The loop has ended for good: nothing else can tell the caller.
+    // The loop has ended, so no callback will report the end of the stream.
     if (!posted)
         stream->end({.failure = link_failure::connection_lost});
     return stream;
@@ -104,7 +104,7 @@
         return;
     }
     const auto weak = weak_from_this();
-    // Only compared, never used: it may be gone by then.
+    // Only compared, never dereferenced: the connection may be destroyed.
     const auto address = std::make_shared<const link_client_connection*>();
     link_client_connection::hooks hooks;
     hooks.ready = [weak, address] {
--- a/src/libcyclamenrun/links/link_client.hpp
+++ b/src/libcyclamenrun/links/link_client.hpp
@@ -16,9 +16,9 @@
 class link_loop;
 
 /**
- * The end of a link that asks: the entry's, to one peer. It connects when a
- * stream is opened and no connection stands. Any thread may call it. When the
- * last owner lets go, open streams run to their end.
+ * The client end of a link: an entry's connection to one peer. It connects
+ * when a stream is opened and there is no connection. Thread-safe. Streams
+ * that are open when the client is destroyed continue to their end.
  */
 class link_client : public std::enable_shared_from_this<link_client>
 {
@@ -26,7 +26,7 @@
     static std::shared_ptr<link_client>
     create(link_loop& loop, const Poco::Net::SocketAddress& address,
            std::string link_key, const link_limits& limits);
-    /** For owners that must not keep the loop itself. */
+    /** For owners that must not keep the link_loop alive. */
     static std::shared_ptr<link_client>
     create(std::shared_ptr<link_reactor> reactor,
            const Poco::Net::SocketAddress& address, std::string link_key,
@@ -40,9 +40,9 @@
                                         const std::string& request_frame,
                                         client_handlers handlers);
 
-    /** Whether a connection stands on which the peer has proved the key. */
+    /** Whether there is a connection whose peer is authenticated. */
     bool connected() const { return connected_; }
-    /** Cancels all streams, for good. */
+    /** Cancels all streams; streams opened later are cancelled at once. */
     void close();
 
 private:
@@ -60,7 +60,7 @@
     const link_limits limits_;
     std::atomic<bool> connected_ = false;
 
-    // For the loop's thread only.
+    // The members below are used on the loop's thread only.
     std::shared_ptr<link_client_connection> connection_;
     bool closed_ = false;
 };
--- a/src/libcyclamenrun/links/link_client_connection.cpp
+++ b/src/libcyclamenrun/links/link_client_connection.cpp
@@ -15,10 +15,10 @@
 
 constexpr std::string_view authority = "cyclamenrun";
 
-/** Of a peer that has not proved the key: a nonce and a proof. */
+/** Bound on answers before authentication: a nonce and a proof. */
 constexpr std::size_t handshake_frame_bytes = 64;
 
-/** Connections are replaced before their stream numbers run out. */
+/** A connection is replaced when its stream ids reach this value. */
 constexpr std::uint32_t last_stream = 0x7fff0000;
 
 link_failure failure_of(std::uint32_t error_code)
@@ -34,7 +34,7 @@
     }
 }
 
-/** Whether the code says that the peer did not look at the request. */
+/** Whether the code means that the peer did not process the request. */
 bool proves_not_run(std::uint32_t error_code)
 {
     return error_code == NGHTTP2_REFUSED_STREAM ||
@@ -72,7 +72,7 @@
 {
     std::string request;
     append_frame(request, frame);
-    // The connection owns the stream, so `this` lives as long as it.
+    // The connection owns the stream, so `this` outlives the handler.
     client_handlers handlers;
     handlers.on_frame = [this, answered](const std::string& answer) {
         (this->*answered)(answer);
--- a/src/libcyclamenrun/links/link_client_connection.hpp
+++ b/src/libcyclamenrun/links/link_client_connection.hpp
@@ -14,15 +14,18 @@
 namespace cyclamenrun
 {
 
-/** The entry's end of a link. */
+/** The client end of a link, as the entry has it. */
 class link_client_connection final : public link_connection
 {
 public:
-    /** What a client wants to hear of its connection. */
+    /** Callbacks to the link_client that owns the connection. */
     struct hooks {
-        /** Both sides have proved the key. */
+        /** Both ends are authenticated. */
         std::function<void()> ready;
-        /** Takes no new streams any more; at least once. */
+        /**
+         * The connection accepts no new streams. Called at least once, and
+         * possibly more often.
+         */
         std::function<void()> gone;
     };
 
@@ -36,10 +39,10 @@
     void open(const std::shared_ptr<client_stream>& stream);
     void cancel(const std::shared_ptr<client_stream>& stream);
     void give_back_window(std::int32_t stream, std::size_t bytes);
-    /** Streams of the owner, those that wait for the handshake included. */
+    /** Number of the owner's streams, with those awaiting the handshake. */
     std::size_t streams() const;
     bool takes_streams() const;
-    /** Closes once no stream is left. */
+    /** Closes the connection once its last stream has ended. */
     void retire();
     /** Ends all streams and closes. */
     void cancel_all();
--- a/src/libcyclamenrun/links/link_connection.cpp
+++ b/src/libcyclamenrun/links/link_connection.cpp
@@ -13,7 +13,10 @@
 namespace
 {
 
-/** Rounds of fill and send in one turn, so that others get their turn. */
+/**
+ * Rounds of fill and send per loop iteration; bounded so that one connection
+ * can't starve the others.
+ */
 constexpr int sends_a_turn = 4;
 
 int socket_number(const Poco::Net::Socket& socket)
@@ -209,7 +212,7 @@
 
 void link_connection::timer_fired(time_point when)
 {
-    // A timer that an earlier one has overtaken is left to run out.
+    // Ignores a timer that was replaced by an earlier one.
     if (closed_ || timer_ != when)
         return;
     timer_.reset();
@@ -222,8 +225,8 @@
         nghttp2_submit_ping(session_, NGHTTP2_FLAG_NONE, nullptr);
         flush_later();
     }
-    // This process may itself have been paused past the deadline: then the
-    // peer's answer lies in the socket already, and the peer is alive.
+    // If this process was paused past the deadline, the peer's answer may be
+    // unread in the socket, and the peer is alive.
     if (step == keepalive_step::give_up && socket_.available() == 0)
         fail(link_failure::timed_out);
     check_keepalive();
--- a/src/libcyclamenrun/links/link_connection.hpp
+++ b/src/libcyclamenrun/links/link_connection.hpp
@@ -20,21 +20,24 @@
 namespace cyclamenrun
 {
 
-/** Header bytes of one stream; our own need a tenth of it. */
+/**
+ * Bound on the header bytes of one stream. The project's own requests need a
+ * tenth of it.
+ */
 constexpr std::uint32_t max_header_bytes = 2048;
 
-/** What a stream has to send just now. */
+/** Result of reading a stream's data to send. */
 struct link_chunk {
     std::size_t size = 0;
     bool end = false;
-    /** The stream is gone or broken: reset it. */
+    /** The stream does not exist or has failed and must be reset. */
     bool broken = false;
 };
 
 /**
- * One HTTP/2 connection between two of our processes: the socket, the nghttp2
- * session and the keepalive, without the roles of client and server. It lives
- * on its loop's thread and is kept alive by the loop until it closes.
+ * Base class of the HTTP/2 connections between two cyclamenrun processes:
+ * the socket, the nghttp2 session and the keepalive. Used on its loop's
+ * thread only; the loop keeps it alive until it closes.
  */
 class link_connection : public link_watcher,
                         public std::enable_shared_from_this<link_connection>
@@ -46,18 +49,21 @@
     void flush() final;
     void loop_stopping() final;
 
-    /** Closes at the end of this turn; the first reason counts. */
+    /**
+     * Closes the connection at the end of this loop iteration. Only the
+     * reason of the first call is kept.
+     */
     void fail(link_failure failure);
-    /** Nothing that still arrives counts any more. */
+    /** Whether received data is to be ignored. */
     bool closing() const { return closed_ || failure_; }
 
-    // Called from within nghttp2; they must not close the connection.
+    // Called by nghttp2 callbacks; must not close the connection.
 
     virtual void stream_opened(std::int32_t stream) = 0;
     virtual void header_received(std::int32_t stream, std::string_view name,
                                  std::string_view value) = 0;
     virtual void data_received(std::int32_t stream, std::string_view data) = 0;
-    /** The peer has sent all that it will send on the stream. */
+    /** The peer has ended its direction of the stream. */
     virtual void stream_half_closed(std::int32_t stream) = 0;
     virtual void stream_closed(std::int32_t stream,
                                std::uint32_t error_code) = 0;
@@ -70,16 +76,18 @@
                     const link_limits& limits,
                     const Poco::Net::StreamSocket& socket);
 
-    /** Takes over the session of the role and sends the first SETTINGS. */
+    /** Takes ownership of `session` and sends the first SETTINGS frame. */
     void begin(nghttp2_session* session, bool connecting);
 
-    /** The socket is connected. */
     virtual void connected() = 0;
-    /** Called once, after the socket has closed. */
+    /** Called once, after the socket was closed. */
     virtual void closed(link_failure failure) = 0;
-    /** Whether the keepalive is to look often. */
+    /**
+     * Whether the keepalive uses the short interval: there are open streams,
+     * other than heartbeats.
+     */
     virtual bool busy() const = 0;
-    /** Looks at the role's own deadlines. */
+    /** Checks the deadlines of the derived class. */
     virtual void check_deadlines(time_point now) = 0;
 
     nghttp2_session* session() const { return session_; }
@@ -91,13 +99,13 @@
     }
     const link_output& output() const { return output_; }
 
-    /** Sends what the session has, at the end of this turn. */
+    /** Sends the session's output at the end of this loop iteration. */
     void flush_later();
-    /** Makes the timer look at the deadlines by `when`. */
+    /** Schedules a check of the deadlines at `when` or earlier. */
     void check_by(time_point when);
-    /** The keepalive's next look, after a change of busy(). */
+    /** Schedules the next keepalive check; to be called when busy() changes. */
     void check_keepalive();
-    /** Gives back window of the stream, never more than was used. */
+    /** Returns flow control credit of a stream, at most what was used. */
     void give_back(std::int32_t stream, std::size_t bytes);
     void reset_stream(std::int32_t stream, std::uint32_t error_code);
 
--- a/src/libcyclamenrun/links/link_failure.hpp
+++ b/src/libcyclamenrun/links/link_failure.hpp
@@ -7,7 +7,7 @@
 namespace cyclamenrun
 {
 
-/** Why a stream between two of our processes ended early. */
+/** Why a stream between two cyclamenrun processes failed. */
 enum class link_failure : std::uint8_t {
     connect_failed,
     unauthenticated,
--- a/src/libcyclamenrun/links/link_frame.hpp
+++ b/src/libcyclamenrun/links/link_frame.hpp
@@ -8,10 +8,13 @@
 namespace cyclamenrun
 {
 
-/** Bytes of the big-endian length before each frame. */
+/** Size of the big-endian length that precedes each frame. */
 constexpr std::size_t frame_prefix_bytes = 4;
 
-/** Appends `payload` behind its length; payloads stay below 4 GiB. */
+/**
+ * Appends the length of `payload` and then `payload`, which must be smaller
+ * than 4 GiB.
+ */
 void append_frame(std::string& out, std::string_view payload);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/links/link_frame_decoder.hpp
+++ b/src/libcyclamenrun/links/link_frame_decoder.hpp
@@ -13,12 +13,12 @@
 {
 
 enum class frame_error : std::uint8_t {
-    too_large, ///< The length before the frame is over the bound.
+    too_large, ///< The length prefix exceeds the bound.
 };
 
 /**
- * Cuts a stream of bytes back into frames. It never holds more than one
- * frame, and refuses a length over the bound before it keeps a byte of it.
+ * Splits a byte stream into frames. It buffers at most one frame, and rejects
+ * a length that exceeds the bound before it buffers any byte of that frame.
  */
 class link_frame_decoder
 {
@@ -29,16 +29,16 @@
     }
 
     /**
-     * Takes bytes off the front of `input` up to the end of the next frame.
-     * Empty when `input` is used up before that.
+     * Removes the bytes up to the end of the next frame from `input` and
+     * returns the frame. Returns nothing if `input` ends before the frame.
      */
     tl::expected<std::optional<std::string>, frame_error>
     next(std::string_view& input);
 
-    /** Whether a frame has begun and not ended. */
+    /** Whether a frame was received in part. */
     bool mid_frame() const { return prefix_size_ > 0; }
 
-    /** Size of the frame that has begun, once its length is known. */
+    /** Size of the partial frame; empty until its length is received. */
     std::optional<std::size_t> frame_size() const;
 
 private:
--- a/src/libcyclamenrun/links/link_handshake.hpp
+++ b/src/libcyclamenrun/links/link_handshake.hpp
@@ -8,11 +8,11 @@
 {
 
 /**
- * How the two ends of a connection prove the shared key to each other: the
- * client sends its nonce to `/hello`, the server answers with its own and a
- * proof over both, and the client sends its proof to `/prove`. Fresh nonces
- * make a recorded proof worthless; the role in each proof keeps one side's
- * from being sent back as the other's.
+ * Mutual authentication of the two ends of a connection by a shared key. The
+ * client sends its nonce to `/hello`, the server answers with its own nonce
+ * and an HMAC over both, and the client sends its HMAC to `/prove`. Fresh
+ * nonces prevent the replay of a recorded proof. Each proof includes the role
+ * of its sender, so that it can't be reflected to the sender.
  */
 constexpr std::string_view hello_path = "/hello";
 constexpr std::string_view prove_path = "/prove";
--- a/src/libcyclamenrun/links/link_keepalive.hpp
+++ b/src/libcyclamenrun/links/link_keepalive.hpp
@@ -13,20 +13,23 @@
 enum class keepalive_step : std::uint8_t { wait, ping, give_up };
 
 /**
- * Decides when a silent peer is asked for a sign of life and when it is given
- * up. It finds a frozen process and a stalled link, which TCP alone would
- * hold open for minutes.
+ * Decides when a PING is sent to a peer and when the peer has timed out. This
+ * detects a frozen process or a stalled link within seconds; TCP alone would
+ * keep the connection open for minutes.
  */
 class link_keepalive
 {
 public:
     link_keepalive(const link_limits& limits, time_point now);
 
-    /** Any byte from the peer is a sign of life. */
+    /** Records that data was received from the peer, of any kind. */
     void received(time_point now);
-    /** What is to be done now; a ping is taken as sent. */
+    /**
+     * Returns the action due at `now`. If it is `ping`, the caller must send
+     * a PING, whose answer is then awaited.
+     */
     keepalive_step step(time_point now, bool busy);
-    /** When to call step() next if nothing arrives. */
+    /** Time of the next call of step() if no data is received. */
     time_point next_check(bool busy) const;
 
 private:
--- a/src/libcyclamenrun/links/link_limits.hpp
+++ b/src/libcyclamenrun/links/link_limits.hpp
@@ -10,36 +10,36 @@
 namespace cyclamenrun
 {
 
-/** Bounds of a link between two of our processes; sizes are in bytes. */
+/** Limits and timeouts of links between cyclamenrun processes. */
 struct link_limits {
     std::size_t max_frame_bytes = std::size_t{4} << 20;
-    /** Streams open at once on a connection, waiting ones included. */
+    /** Concurrent streams of a connection, with those not sent yet. */
     std::uint32_t max_streams = 4096;
-    /** Connections that a server keeps. */
+    /** Authenticated connections of a server. */
     std::size_t max_connections = 2048;
-    /** Connections at a server that have not proved the key yet. */
+    /** Connections of a server that are not authenticated yet. */
     std::size_t max_unauthenticated = 64;
-    /** What a peer may send on a stream before consumed() is called. */
+    /** Bytes that a peer may send on a stream before they are consumed. */
     std::uint32_t stream_window = 16U << 10;
-    /** What a peer may send on a connection in one round trip. */
+    /** Bytes that a peer may send on a connection in one round trip. */
     std::uint32_t connection_window = 4U << 20;
-    /** What waits in the process for the socket to take it. */
+    /** Output bytes buffered until the socket accepts them. */
     std::size_t send_buffer_bytes = 256U << 10;
-    /** For a connection to be made and both sides to prove the key. */
+    /** Timeout for the connection and the handshake together. */
     milliseconds handshake_time{3000};
     /**
-     * An answer at this path may be long in coming, so a stream there does
-     * not count as open: a link that only waits for news would otherwise
-     * carry a PING a second.
+     * Path of long-polling requests. Streams to it don't make a connection
+     * busy: a link with nothing but a pending heartbeat would otherwise carry
+     * a PING each second.
      */
     std::string patient_path = "/heartbeat";
-    /** Silence after which a peer with open streams gets a PING. */
+    /** Time without received data until a PING is sent; streams are open. */
     milliseconds busy_ping_after{1000};
-    /** Silence after which a peer without streams gets a PING. */
+    /** Time without received data until a PING is sent; no stream is open. */
     milliseconds idle_ping_after{15000};
-    /** How long the answer to a PING may take. */
+    /** Timeout for the answer to a PING. */
     milliseconds ping_time{2000};
-    /** A client closes a connection that had no stream for so long. */
+    /** Time without streams after which a client closes a connection. */
     milliseconds idle_time{600000};
 };
 
--- a/src/libcyclamenrun/links/link_listener.cpp
+++ b/src/libcyclamenrun/links/link_listener.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Rest after a failed accept. */
+/** Delay before the next accept after a failed one. */
 constexpr milliseconds accept_pause{100};
 
 } // namespace
@@ -71,8 +71,8 @@
         socket.setNoDelay(true);
         add(socket);
     } catch (const Poco::Exception&) {
-        // Without a free descriptor the socket stays readable, and the loop
-        // would spin on it: look away for a while.
+        // When the process is out of file descriptors, the socket stays
+        // readable and the loop would spin; stop polling it for a while.
         pause();
     }
 }
--- a/src/libcyclamenrun/links/link_listener.hpp
+++ b/src/libcyclamenrun/links/link_listener.hpp
@@ -11,9 +11,10 @@
 {
 
 /**
- * Accepts a server's connections and bounds them. Unknown peers have their
- * own, small bound: when it is reached the oldest goes, so that a crowd of
- * silent connections can't keep a true peer out.
+ * Accepts a server's connections and limits their number. Connections that
+ * are not authenticated have a separate, small limit; when it is reached, the
+ * oldest of them is closed, so that many idle connections can't lock out a
+ * peer that has the key.
  */
 class link_listener final : public link_watcher,
                             public std::enable_shared_from_this<link_listener>
@@ -23,7 +24,7 @@
                   std::shared_ptr<const link_server_shared> shared,
                   const Poco::Net::ServerSocket& socket);
 
-    // On the loop's thread.
+    // To be called on the loop's thread.
 
     void start();
     void stop_accepting();
--- a/src/libcyclamenrun/links/link_loop.hpp
+++ b/src/libcyclamenrun/links/link_loop.hpp
@@ -13,10 +13,11 @@
 class link_reactor;
 
 /**
- * One thread that serves many links. Several loops share the load of a
- * process: each connection stays on its loop, so its state needs no lock.
+ * A thread that serves many links. A process has several loops to spread its
+ * load. Each connection stays on one loop, so its state needs no lock.
  *
- * The end of a loop closes everything on it; end it from another thread.
+ * The destructor closes all connections of the loop; it must not run on the
+ * loop's own thread, which it joins.
  */
 class link_loop
 {
@@ -26,9 +27,9 @@
     link_loop& operator=(const link_loop&) = delete;
     ~link_loop();
 
-    /** Runs `work` on the loop's thread; from any thread. */
+    /** Runs `work` on the loop's thread. Thread-safe. */
     void post(std::function<void()> work);
-    /** As post(), not before `when`. */
+    /** Runs `work` on the loop's thread at `when` or later. Thread-safe. */
     void post_at(time_point when, std::function<void()> work);
 
     const std::shared_ptr<link_reactor>& reactor() const { return reactor_; }
--- a/src/libcyclamenrun/links/link_output.cpp
+++ b/src/libcyclamenrun/links/link_output.cpp
@@ -6,7 +6,7 @@
 namespace
 {
 
-/** A buffer that a burst made larger than this is given back. */
+/** An empty buffer whose capacity exceeds this size is freed. */
 constexpr std::size_t kept_capacity = std::size_t{16} << 10;
 
 } // namespace
--- a/src/libcyclamenrun/links/link_output.hpp
+++ b/src/libcyclamenrun/links/link_output.hpp
@@ -10,8 +10,9 @@
 {
 
 /**
- * Bytes that wait for the socket. Positions count from the start of the
- * connection, so that it can be told whether a byte was handed over.
+ * Output of a connection that is not written to the socket yet. Positions
+ * count bytes from the start of the connection, so that a caller can tell
+ * whether a given byte was written.
  */
 class link_output
 {
@@ -23,9 +24,9 @@
     }
     void handed_over(std::size_t count);
 
-    /** Position of the next byte that append() takes. */
+    /** Position of the next byte to be appended. */
     std::uint64_t end() const { return sent_ + buffer_.size() - offset_; }
-    /** Position of the first byte that the socket has not taken. */
+    /** Position of the first byte that is not written to the socket. */
     std::uint64_t sent() const { return sent_; }
 
 private:
--- a/src/libcyclamenrun/links/link_reactor.cpp
+++ b/src/libcyclamenrun/links/link_reactor.cpp
@@ -68,8 +68,8 @@
     if (stopped_)
         return false;
     tasks_.push_back(std::move(work));
-    // The loop looks at the queue before it sleeps, so its own thread needs
-    // no wake-up, and one wake-up serves all posts until it has run.
+    // The loop checks the queue before it blocks, so a post on its own thread
+    // needs no wake-up. One wake-up serves all posts until the queue is run.
     if (wake_up_pending_ || on_loop_thread())
         return true;
     wake_up_pending_ = true;
@@ -148,8 +148,8 @@
     now_ = steady_now();
     for (int i = 0; i < count; ++i)
         handle_event(events.at(i).data.u64, events.at(i).events);
-    // After the sockets: data that waited while this process was paused
-    // counts before any deadline that passed meanwhile.
+    // Timers run after the sockets, so that data that arrived while this
+    // process was paused is read before a passed deadline is handled.
     run_timers();
     run_tasks();
     flush_watchers();
@@ -161,8 +161,8 @@
         clear_wake_up();
         return;
     }
-    // An id is never used twice, so an event of a socket that was closed
-    // earlier in this turn finds nothing, even if its number lives on.
+    // Ids are never reused, so an event of a socket that was closed earlier in
+    // this iteration is ignored, even if its descriptor was reused.
     const auto found = watches_.find(id);
     if (found == watches_.end())
         return;
--- a/src/libcyclamenrun/links/link_reactor.hpp
+++ b/src/libcyclamenrun/links/link_reactor.hpp
@@ -19,9 +19,9 @@
 {
 
 /**
- * What a link_loop runs: sockets, tasks and timers on one thread. Everything
- * made on a loop shares it, so that a late call after the loop's end finds a
- * stopped reactor in place of freed memory.
+ * Event loop of a link_loop: sockets, tasks and timers on one thread. All
+ * objects of the loop share ownership, so that a call after the end of the
+ * loop reaches a stopped reactor and not freed memory.
  */
 class link_reactor
 {
@@ -34,29 +34,29 @@
     link_reactor& operator=(const link_reactor&) = delete;
     ~link_reactor();
 
-    /** Serves until stop(); then closes every socket and empties the queue. */
+    /** Runs until stop(), then closes all sockets and runs the queued tasks. */
     void run();
 
-    // From any thread.
+    // Thread-safe.
 
     void stop();
-    /** False once the loop has ended: the task is dropped. */
+    /** Returns false, and drops the task, if the loop has ended. */
     bool post(task work);
     bool post_at(time_point when, task work);
     bool on_loop_thread() const;
 
-    // On the loop's thread only.
+    // To be called on the loop's thread only.
 
     watch_id watch(int socket, std::shared_ptr<link_watcher> watcher,
                    bool write_interest);
     void set_interest(watch_id id, bool read, bool write);
     void unwatch(watch_id id);
-    /** Asks for flush() once, after all other work of this turn. */
+    /** Calls the watcher's flush() at the end of this loop iteration. */
     void flush_later(std::shared_ptr<link_watcher> watcher);
     bool stopping() const { return stopping_; }
-    /** Time at the start of this turn. */
+    /** Time at the start of this loop iteration. */
     time_point now() const { return now_; }
-    /** Room for one read, shared by all sockets of the loop. */
+    /** Buffer for one read, shared by all sockets of the loop. */
     std::span<char> read_buffer() { return read_buffer_; }
 
 private:
--- a/src/libcyclamenrun/links/link_server.hpp
+++ b/src/libcyclamenrun/links/link_server.hpp
@@ -16,14 +16,14 @@
 class link_loop;
 
 /**
- * The end of links that answers: the agent's. It serves only peers that have
- * proved the link key. Its end closes all connections and waits until no
- * callback runs any more, unless it ends on the loop's own thread.
+ * The server end of links, as the agent has it. It serves only peers that
+ * have authenticated by the link key. The destructor closes all connections
+ * and, unless it runs on the loop's own thread, waits for running callbacks.
  */
 class link_server
 {
 public:
-    /** Port 0 takes a free one. Throws Poco::Exception if it can't listen. */
+    /** Port 0 selects a free port. Throws Poco::Exception if bind fails. */
     link_server(link_loop& loop, const Poco::Net::SocketAddress& address,
                 std::string link_key, const link_limits& limits,
                 request_handler handler);
@@ -32,7 +32,7 @@
     ~link_server();
 
     Poco::Net::SocketAddress address() const { return address_; }
-    /** Takes no new connections; those that stand are served on. */
+    /** Accepts no new connections; existing ones are still served. */
     void stop_accepting();
 
 private:
--- a/src/libcyclamenrun/links/link_server_connection.cpp
+++ b/src/libcyclamenrun/links/link_server_connection.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** Streams of a peer that has not proved the key: /hello and /prove. */
+/** Streams of a peer before authentication: /hello and /prove. */
 constexpr std::size_t handshake_streams = 2;
 
 } // namespace
@@ -85,8 +85,8 @@
     const auto found = find(stream);
     if (!found || found->take_data(data))
         return;
-    // The handler has not run: the client learns by this code that its
-    // request was too large or malformed, and that it had no effect.
+    // The handler was not called. This code tells the client that its request
+    // was too large or malformed and had no effect.
     streams_.erase(stream);
     reset_stream(stream, NGHTTP2_ENHANCE_YOUR_CALM);
 }
@@ -163,8 +163,8 @@
 
 void link_server_connection::resume_answer(std::int32_t stream)
 {
-    // It says "invalid" for a stream that was not waiting: then the data is
-    // on its way to be pulled already.
+    // nghttp2 returns an error if the stream's data is not deferred; nghttp2
+    // then reads the data without being resumed.
     nghttp2_session_resume_data(session(), stream);
     flush_later();
 }
--- a/src/libcyclamenrun/links/link_server_connection.hpp
+++ b/src/libcyclamenrun/links/link_server_connection.hpp
@@ -13,21 +13,21 @@
 namespace cyclamenrun
 {
 
-/** Called on the loop's thread with each request; must not block. */
+/** Handles a request; called on the loop's thread and must not block. */
 using request_handler = std::function<void(std::shared_ptr<server_stream>)>;
 
-/** What a server and all of its connections share. */
+/** Constants that a server shares with all its connections. */
 struct link_server_shared {
     std::string link_key;
     link_limits limits;
     request_handler handler;
 };
 
-/** The agent's end of a link. */
+/** The server end of a link, as the agent has it. */
 class link_server_connection final : public link_connection
 {
 public:
-    /** What a server wants to hear of its connections. */
+    /** Callbacks to the listener that owns the connection. */
     struct hooks {
         std::function<void()> authenticated;
         std::function<void()> closed;
@@ -40,7 +40,7 @@
 
     void start();
 
-    // For the connection's streams.
+    // Called by the connection's streams.
 
     void start_answer(std::int32_t stream);
     void resume_answer(std::int32_t stream);
--- a/src/libcyclamenrun/links/link_session.cpp
+++ b/src/libcyclamenrun/links/link_session.cpp
@@ -50,8 +50,8 @@
     link_connection& connection = connection_of(user_data);
     if (connection.closing())
         return NGHTTP2_ERR_CALLBACK_FAILURE;
-    // The connection's window is given back at once, so that a stream whose
-    // reader is slow holds only its own window and never the other streams.
+    // Returns the connection's flow control credit at once, so that a slow
+    // reader blocks only its own stream and never the other streams.
     nghttp2_session_consume_connection(session, size);
     connection.data_received(stream, text_of(data, size));
     return 0;
@@ -193,7 +193,7 @@
 nghttp2_nv header(std::string_view name, std::string_view value)
 {
     const auto bytes = [](std::string_view text) {
-        // nghttp2 takes it as not const but only reads it.
+        // The parameter of nghttp2 is not const, but nghttp2 only reads it.
         return reinterpret_cast<std::uint8_t*>(const_cast<char*>(text.data()));
     };
     return {bytes(name), bytes(value), name.size(), value.size(),
--- a/src/libcyclamenrun/links/link_session.hpp
+++ b/src/libcyclamenrun/links/link_session.hpp
@@ -11,14 +11,17 @@
 
 class link_connection;
 
-/** Makes nghttp2 sessions whose events go to a link_connection. */
+/** Makes an nghttp2 session that reports its events to `connection`. */
 nghttp2_session* make_client_session(link_connection& connection);
 nghttp2_session* make_server_session(link_connection& connection);
 
-/** Reads a stream's data by link_connection::read_data(). */
+/** Provider that reads a stream's data by link_connection::read_data(). */
 nghttp2_data_provider data_provider();
 
-/** A header whose name and value outlive the submit that copies them. */
+/**
+ * Makes a header field. It refers to `name` and `value`, which must stay valid
+ * until nghttp2 has copied them in the submit call.
+ */
 nghttp2_nv header(std::string_view name, std::string_view value);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/links/link_watcher.hpp
+++ b/src/libcyclamenrun/links/link_watcher.hpp
@@ -4,7 +4,7 @@
 namespace cyclamenrun
 {
 
-/** Owner of a socket on a loop; all calls come on the loop's thread. */
+/** Owner of a socket of a loop; called on the loop's thread. */
 class link_watcher
 {
 public:
@@ -14,9 +14,9 @@
     virtual ~link_watcher() = default;
 
     virtual void ready(bool readable, bool writable) = 0;
-    /** At the end of a turn in which flush_later() was called. */
+    /** Called at the end of a loop iteration that called flush_later(). */
     virtual void flush() = 0;
-    /** The loop is about to end: close now. */
+    /** The loop is about to end; the watcher must close its socket. */
     virtual void loop_stopping() = 0;
 };
 
--- a/src/libcyclamenrun/links/server_stream.cpp
+++ b/src/libcyclamenrun/links/server_stream.cpp
@@ -66,7 +66,7 @@
 
 void server_stream::woken()
 {
-    // Before the pull: a wake() that comes during it posts again.
+    // Reset before the pull, so that a wake() during the pull posts again.
     wake_posted_ = false;
     const auto connection = connection_.lock();
     if (!closed_ && pull_ && connection)
--- a/src/libcyclamenrun/links/server_stream.hpp
+++ b/src/libcyclamenrun/links/server_stream.hpp
@@ -16,22 +16,25 @@
 
 class link_server_connection;
 
-/** What an answer has ready. Empty and not at its end: wait for wake(). */
+/**
+ * Frames of an answer that are ready. With no frames and `end` false, the
+ * stream pulls again after wake().
+ */
 struct pulled {
     std::vector<std::string> frames;
     bool end = false;
 };
 
 /**
- * Gives the next frames of an answer, about `max_bytes` of them. Called on the
- * loop's thread when the peer has room, so that a slow peer holds its answer
- * back at the source. Must not block.
+ * Returns the next frames of an answer, about `max_bytes` in total. Called on
+ * the loop's thread when the peer can receive, so that a slow peer applies
+ * back pressure to the source of the answer. Must not block.
  */
 using pull_function = std::function<pulled(std::size_t max_bytes)>;
 
 /**
- * A request that a peer has sent, and its answer. Any thread may call it; the
- * callbacks come on the loop's thread with no lock held.
+ * A request from a peer and the answer to it. Thread-safe; the callbacks are
+ * called on the loop's thread with no lock held.
  */
 class server_stream : public std::enable_shared_from_this<server_stream>
 {
@@ -40,22 +43,21 @@
     /** The single frame of the request. */
     const std::string& request() const { return request_; }
     /**
-     * Takes the request out, so that a long answer doesn't hold its memory.
-     * Only from within the request handler, in place of request().
+     * Moves the request out, so that it doesn't occupy memory during a long
+     * answer. Only to be called in the request handler, in place of request().
      */
     std::string take_request() { return std::move(request_); }
-    /** Address of the peer, for logs. */
+    /** Address of the peer, for log events. */
     const std::string& peer() const { return *peer_; }
 
-    /** Answers with what `pull` gives; only the first answer counts. */
+    /** Answers with the frames of `pull`; later answers are ignored. */
     void respond(pull_function pull);
-    /** Answers with one frame. */
     void respond_once(std::string frame);
-    /** Data has come: pull again. */
+    /** Pulls again, as more data is available. */
     void wake();
     /**
-     * Sets what is called once when the stream is over: answered to the end,
-     * reset by the peer or cut with its connection.
+     * Sets a callback that is called once when the stream has ended: the
+     * answer is complete, the peer reset the stream, or the connection closed.
      */
     void on_closed(const std::function<void()>& callback);
 
@@ -79,8 +81,8 @@
     const std::shared_ptr<const std::string> peer_;
     std::atomic<bool> wake_posted_ = false;
 
-    // All below is for the loop's thread only; path and request don't change
-    // any more once the handler has been called.
+    // The members below are used on the loop's thread only, except path_ and
+    // request_, which don't change after the handler has been called.
     const std::weak_ptr<link_server_connection> connection_;
     const std::int32_t id_;
     std::string path_;
