--- a/src/libcyclamenrun/base/bearer_token.cpp
+++ b/src/libcyclamenrun/base/bearer_token.cpp
@@ -28,7 +28,7 @@
     if (value.size() <= scheme.size() ||
         value.size() > scheme.size() + longest_bearer_token)
         return std::nullopt;
-    // The name of the scheme is not case-sensitive.
+    // The scheme name is case-insensitive.
     if (!std::equal(scheme.begin(), scheme.end(), value.begin(),
                     [](char expected, char given) {
                         return same_letter(given, expected);
--- a/src/libcyclamenrun/base/bearer_token.hpp
+++ b/src/libcyclamenrun/base/bearer_token.hpp
@@ -7,12 +7,13 @@
 namespace cyclamenrun
 {
 
-/** Longer keys are refused unhashed. */
+/** Longer keys are rejected without being hashed. */
 inline constexpr std::size_t longest_bearer_token = 256;
 
 /**
- * The key in the value of an `Authorization: Bearer KEY` header; empty when
- * there is none, or one with characters that no key has. A view of `value`.
+ * Returns the key in the value of an `Authorization: Bearer KEY` header, as a
+ * view of `value`. Returns nothing if there is no key or if it contains a
+ * character that is not valid in a key.
  */
 std::optional<std::string_view> parse_bearer_token(std::string_view value);
 
--- a/src/libcyclamenrun/base/boot_clock.hpp
+++ b/src/libcyclamenrun/base/boot_clock.hpp
@@ -8,9 +8,9 @@
 {
 
 /**
- * Time since the VM's start, suspension included. The steady clock stands
- * still while a VM is suspended, so a lease that is kept by it would look
- * young when the VM wakes; one kept by this clock does not.
+ * Time since the VM's boot, including time in suspension. The steady clock
+ * does not advance while a VM is suspended, so a lease measured by it would
+ * still look valid after the VM resumes.
  */
 struct boot_clock {
     using duration = std::chrono::nanoseconds;
--- a/src/libcyclamenrun/base/build_info.hpp
+++ b/src/libcyclamenrun/base/build_info.hpp
@@ -10,7 +10,7 @@
 /** Version of the project, as in CMakeLists.txt. */
 extern const std::string_view build_version;
 
-/** What `--version` prints: program, version, compiler. */
+/** Output of `--version`: program, version and compiler. */
 std::string version_text(std::string_view program);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/base/clock.hpp
+++ b/src/libcyclamenrun/base/clock.hpp
@@ -8,23 +8,23 @@
 {
 
 /**
- * Monotonic time. Decisions take it as an argument and keep deadlines, so
- * that a stepped wall clock changes nothing.
+ * Monotonic time. All deadlines use it, and decisions take the current time
+ * as an argument, so that a step of the wall clock has no effect.
  */
 using time_point = std::chrono::steady_clock::time_point;
 using duration = std::chrono::steady_clock::duration;
 using milliseconds = std::chrono::milliseconds;
 
-/** Reads monotonic time; tests put a virtual clock in its place. */
+/** Returns the current monotonic time; tests pass a virtual clock. */
 using clock_function = std::function<time_point()>;
 
-/** The host's own monotonic clock. */
+/** Reads the monotonic clock of the host. */
 inline time_point steady_now()
 {
     return std::chrono::steady_clock::now();
 }
 
-/** Time left until `deadline`, never below zero. */
+/** Returns the time left until `deadline`, or zero if it has passed. */
 inline milliseconds time_left(time_point deadline, time_point now)
 {
     if (deadline <= now)
--- a/src/libcyclamenrun/base/digest.cpp
+++ b/src/libcyclamenrun/base/digest.cpp
@@ -48,7 +48,7 @@
     std::string bytes(count, '\0');
     if (RAND_bytes(reinterpret_cast<unsigned char*>(bytes.data()),
                    static_cast<int>(count)) != 1)
-        throw std::runtime_error("no randomness to be had");
+        throw std::runtime_error("OpenSSL failed to generate random bytes");
     return bytes;
 }
 
@@ -62,7 +62,7 @@
 
 std::uint64_t hash64(std::string_view bytes, std::uint64_t seed)
 {
-    // FNV-1a, then the finisher of splitmix64 to spread the high bits.
+    // FNV-1a followed by the finalizer of splitmix64 to mix the high bits.
     std::uint64_t hash = 0xcbf29ce484222325U ^ seed;
     for (const unsigned char byte : bytes)
         hash = (hash ^ byte) * 0x100000001b3U;
--- a/src/libcyclamenrun/base/exit_code.hpp
+++ b/src/libcyclamenrun/base/exit_code.hpp
@@ -8,7 +8,7 @@
 namespace cyclamenrun
 {
 
-/** How the programs of the system end. The numbers are a contract. */
+/** Exit codes of all programs. The numbers are a stable interface. */
 enum class exit_code : std::uint8_t {
     ok = 0,
     failed = 1,
@@ -34,7 +34,7 @@
 /** All exit codes in the order of their numbers. */
 std::span<const exit_code_row> exit_code_table();
 
-/** For `return` in main(). */
+/** Converts `code` to the return value of main(). */
 inline int to_status(exit_code code)
 {
     return static_cast<int>(code);
--- a/src/libcyclamenrun/base/generation_id.cpp
+++ b/src/libcyclamenrun/base/generation_id.cpp
@@ -12,7 +12,7 @@
 constexpr char separator = ':';
 constexpr std::size_t longest_upstream = 64;
 
-/** Reads one number up to the separator or the end, and moves past it. */
+/** Parses a number up to the separator or the end, and removes both. */
 std::optional<std::uint64_t> take_number(std::string_view& text, int base)
 {
     const auto field = text.substr(0, text.find(separator));
--- a/src/libcyclamenrun/base/generation_id.hpp
+++ b/src/libcyclamenrun/base/generation_id.hpp
@@ -10,9 +10,10 @@
 {
 
 /**
- * Names one generation for all time: the upstream it runs on, the life of the
- * agent that started it, and a count within that life. The secret keeps
- * others from guessing the id of a generation that is not theirs.
+ * Globally unique id of a generation: the upstream that it runs on, the
+ * incarnation of the agent that started it and a sequence number within that
+ * incarnation. The random secret prevents callers from guessing the ids of
+ * other callers' generations.
  */
 struct generation_id {
     std::string upstream;
@@ -23,21 +24,21 @@
     bool operator==(const generation_id&) const = default;
 };
 
-/** Where a caller stands in a generation: what an SSE `id:` says. */
+/** Position in the token stream of a generation, sent as the SSE `id:`. */
 struct stream_position {
     generation_id generation;
-    std::uint64_t index = 0; ///< of the token the event carried
+    std::uint64_t index = 0; ///< Index of the token in the event.
 
     bool operator==(const stream_position&) const = default;
 };
 
-/** An incarnation, or another 64-bit id, as ids write it. */
+/** Formats an incarnation or another 64-bit id in hexadecimal. */
 std::string hex_of(std::uint64_t number);
 
 std::string to_string(const generation_id& id);
 std::string to_string(const stream_position& position);
 
-/** Empty for anything that to_string() could not have written. */
+/** Parses the output of to_string(); returns nothing for other text. */
 std::optional<stream_position> parse_stream_position(std::string_view text);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/base/hex.hpp
+++ b/src/libcyclamenrun/base/hex.hpp
@@ -8,10 +8,13 @@
 namespace cyclamenrun
 {
 
-/** Two lower-case digits for each byte. */
+/** Formats each byte as two lower-case digits. */
 std::string to_hex(std::string_view bytes);
 
-/** Empty for an odd number of digits or anything that is not a digit. */
+/**
+ * Parses hexadecimal digits of either case. Returns nothing if their number is
+ * odd or if there is any other character.
+ */
 std::optional<std::string> from_hex(std::string_view digits);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/base/ip_endpoint.cpp
+++ b/src/libcyclamenrun/base/ip_endpoint.cpp
@@ -19,7 +19,7 @@
     return port;
 }
 
-/** Takes the brackets off; empty when an IPv6 number stands without them. */
+/** Removes the brackets; returns "" for an IPv6 address without them. */
 std::string host_of(std::string_view text)
 {
     const bool bracketed =
--- a/src/libcyclamenrun/base/json_text.cpp
+++ b/src/libcyclamenrun/base/json_text.cpp
@@ -12,7 +12,7 @@
 
 constexpr int replacement_character = 0xfffd;
 
-/** Drops what is not UTF-8: POCO's converter puts its default in its place. */
+/** Replaces bytes that are not valid UTF-8 with U+FFFD. */
 std::string valid_utf8(std::string_view text)
 {
     const Poco::UTF8Encoding utf8;
--- a/src/libcyclamenrun/base/json_text.hpp
+++ b/src/libcyclamenrun/base/json_text.hpp
@@ -8,8 +8,8 @@
 {
 
 /**
- * Quoted and escaped as a JSON string. Bytes that are not UTF-8 become
- * U+FFFD, so that the result is valid whatever a caller sent.
+ * Returns `text` as a quoted and escaped JSON string. Bytes that are not valid
+ * UTF-8 are replaced with U+FFFD, so that the result is always valid JSON.
  */
 std::string json_quoted(std::string_view text);
 
--- a/src/libcyclamenrun/base/key_hash.hpp
+++ b/src/libcyclamenrun/base/key_hash.hpp
@@ -11,9 +11,9 @@
 {
 
 /**
- * What is kept of a key: SHA-256 over salt and key. Keys are drawn at random
- * by `cyclamenrunctl key new` with 256 bits, so a fast hash is enough; the
- * salt keeps equal hashes from showing that two keys are one.
+ * Salted SHA-256 hash of a key, stored in place of the key. Keys are random
+ * and have 256 bits (`cyclamenrunctl key new`), so a fast hash is sufficient.
+ * The salt hides whether two entries have the same key.
  */
 struct key_hash {
     std::string salt; ///< `salt_size` bytes
@@ -21,7 +21,7 @@
 
     bool operator==(const key_hash&) const = default;
 
-    /** In constant time. */
+    /** Compares in constant time. */
     bool matches(std::string_view key) const;
 
     static constexpr std::size_t salt_size = 16;
@@ -30,13 +30,13 @@
 /** Hashes `key` with a fresh salt. */
 key_hash make_key_hash(const secret& key);
 
-/** `SALT:HASH` in hexadecimal, as settings and configuration files hold it. */
+/** Formats as `SALT:HASH` in hexadecimal, the form used in files. */
 std::string to_string(const key_hash& hash);
 
-/** Empty for anything that to_string() could not have written. */
+/** Parses the output of to_string(); returns nothing for other text. */
 std::optional<key_hash> parse_key_hash(std::string_view text);
 
-/** A new random key, of letters and digits only. */
+/** Generates a random key that consists of letters and digits. */
 secret make_key();
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/base/objective.hpp
+++ b/src/libcyclamenrun/base/objective.hpp
@@ -8,10 +8,10 @@
 namespace cyclamenrun
 {
 
-/** What the decisions of a service weigh most; numbers as in config.proto. */
+/** Goal that a service is optimized for; numbers as in config.proto. */
 enum class objective : std::uint8_t {
-    stall_time = 1,    ///< time in which a caller waits with no token
-    token_latency = 2, ///< tail between tokens, preemptions
+    stall_time = 1,    ///< Time during which callers receive no token.
+    token_latency = 2, ///< Tail latency between tokens, and preemptions.
 };
 
 std::string_view name_of(objective goal);
--- a/src/libcyclamenrun/base/refusal.hpp
+++ b/src/libcyclamenrun/base/refusal.hpp
@@ -12,14 +12,17 @@
 namespace cyclamenrun
 {
 
-/** What a caller may conclude from a refusal. */
+/** Whether the refused work has run. */
 enum class refusal_kind : std::uint8_t {
     not_run = 1,         ///< The work did not run and never will.
     outcome_unknown = 2, ///< The work may have run.
-    failed = 3,          ///< The work ran and did not end well.
+    failed = 3,          ///< The work ran and failed.
 };
 
-/** Why a request was refused. The numbers travel on links: only add. */
+/**
+ * Why a request was refused. The numbers are sent on links, so they must not
+ * change; new ones may be added.
+ */
 enum class refusal_reason : std::uint8_t {
     bad_request = 1,
     unauthenticated = 2,
@@ -52,13 +55,13 @@
     internal = 29,
 };
 
-/** A typed refusal, as callers, links and logs carry it. */
+/** A typed refusal, as sent to callers and on links and written to logs. */
 struct refusal {
     refusal_kind kind = refusal_kind::not_run;
     refusal_reason reason = refusal_reason::internal;
-    /** How long the caller should wait before it tries again. */
+    /** Delay after which the caller may retry. */
     std::optional<milliseconds> retry_after;
-    /** For people; never holds prompt text or keys. */
+    /** Human-readable; never contains prompt text or keys. */
     std::string detail;
 
     bool operator==(const refusal&) const = default;
@@ -69,26 +72,26 @@
 std::optional<refusal_kind> refusal_kind_of(std::uint32_t number);
 std::optional<refusal_reason> refusal_reason_of(std::uint32_t number);
 
-/** The status with which HTTP says this reason. */
+/** Returns the HTTP status code for `reason`. */
 int http_status(refusal_reason reason);
 
 template <typename Value>
 using outcome = tl::expected<Value, refusal>;
 
-/** A refusal of work that is known not to have run. */
+/** Makes a refusal of work that is known not to have run. */
 inline refusal not_run(refusal_reason reason, std::string detail = {},
                        std::optional<milliseconds> retry_after = {})
 {
     return {refusal_kind::not_run, reason, retry_after, std::move(detail)};
 }
 
-/** A refusal of work that may have run. */
+/** Makes a refusal of work that may have run. */
 inline refusal outcome_unknown(refusal_reason reason, std::string detail = {})
 {
     return {refusal_kind::outcome_unknown, reason, {}, std::move(detail)};
 }
 
-/** A refusal of work that ran and did not end well. */
+/** Makes a refusal of work that ran and failed. */
 inline refusal failed(refusal_reason reason, std::string detail = {},
                       std::optional<milliseconds> retry_after = {})
 {
--- a/src/libcyclamenrun/base/secret.hpp
+++ b/src/libcyclamenrun/base/secret.hpp
@@ -9,9 +9,9 @@
 {
 
 /**
- * A key. It prints as `***`, so that a key which ends up in a log event, a
- * dump or a message of a failed test does not show; reading it takes a call
- * that can be searched for.
+ * A key that prints as `***`, so that it is not disclosed when it is written
+ * to a log event, a state dump or the message of a failed test. The key is
+ * read by reveal() only, which makes all uses easy to find.
  */
 class secret
 {
@@ -27,7 +27,7 @@
     std::string bytes_;
 };
 
-/** What stands in the place of a key wherever something is printed. */
+/** Printed in place of a key. */
 inline constexpr std::string_view hidden_secret = "***";
 
 inline std::ostream& operator<<(std::ostream& stream, const secret&)
--- a/src/libcyclamenrun/base/sharded.hpp
+++ b/src/libcyclamenrun/base/sharded.hpp
@@ -13,8 +13,8 @@
 {
 
 /**
- * State split by a key, each part under a lock of its own, so that threads
- * which serve different keys don't wait for each other.
+ * State that is split into shards by the hash of a key. Each shard has its own
+ * lock, which reduces contention between threads that serve different keys.
  */
 template <typename State>
 class sharded
@@ -28,7 +28,7 @@
             shards_.push_back(std::make_unique<shard>(make(i)));
     }
 
-    /** Calls `use` with the key's state, under its lock. */
+    /** Calls `use` with the state of the key's shard, under its lock. */
     template <typename Use>
     auto with(std::string_view key, Use use)
     {
@@ -37,7 +37,7 @@
         return use(*held.state);
     }
 
-    /** Calls `use` with the state of each shard, one after another. */
+    /** Calls `use` with the state of each shard in turn, under its lock. */
     template <typename Use>
     void with_each(Use use)
     {
--- a/src/libcyclamenrun/base/stop_signal.cpp
+++ b/src/libcyclamenrun/base/stop_signal.cpp
@@ -24,7 +24,7 @@
 {
     const auto signals = handled_signals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
-    // A peer that has gone shows as an error of the write, not as a signal.
+    // A write to a disconnected peer returns an error and raises no signal.
     std::signal(SIGPIPE, SIG_IGN);
 }
 
--- a/src/libcyclamenrun/base/stop_signal.hpp
+++ b/src/libcyclamenrun/base/stop_signal.hpp
@@ -5,15 +5,15 @@
 {
 
 /**
- * Waits for SIGTERM, SIGINT or SIGHUP on a thread of the program's choice, so
- * that a planned stop runs as ordinary code. To be made before any other
- * thread, since threads inherit which signals are blocked.
+ * Waits synchronously for SIGTERM, SIGINT or SIGHUP, so that the shutdown does
+ * not run in a signal handler. Must be constructed before any thread is
+ * started, as threads inherit the mask of blocked signals.
  */
 class stop_signal
 {
 public:
     stop_signal();
-    /** Returns the signal's number; SIGHUP asks to read the settings again. */
+    /** Returns the signal number. SIGHUP requests a reload of the settings. */
     int wait() const;
 };
 
--- a/src/libcyclamenrun/base/upstream_kind.hpp
+++ b/src/libcyclamenrun/base/upstream_kind.hpp
@@ -8,7 +8,7 @@
 namespace cyclamenrun
 {
 
-/** What an agent stands beside. */
+/** Kind of the upstream that an agent manages. */
 enum class upstream_kind : std::uint8_t {
     model,       ///< A model engine, which generates tokens.
     application, ///< A plain service, which answers calls.
--- a/src/libcyclamenrun/daemon/daemon_main.cpp
+++ b/src/libcyclamenrun/daemon/daemon_main.cpp
@@ -85,7 +85,8 @@
 void announce_kept_settings()
 {
     log_event(log_severity::warning, log_event_name::settings_unusable,
-              {{log_key::detail, "settings are read at the start only"}});
+              {{log_key::detail,
+                "SIGHUP ignored: the settings are read at startup only"}});
 }
 
 void announce_stopping()
--- a/src/libcyclamenrun/daemon/daemon_main.hpp
+++ b/src/libcyclamenrun/daemon/daemon_main.hpp
@@ -13,19 +13,19 @@
 namespace cyclamenrun
 {
 
-/** What main() of a daemon does besides reading its command line. */
+/** The parts of a daemon's main() that differ between daemons. */
 struct daemon_program {
     std::string name;
     std::string description;
     std::function<std::string()> default_settings;
-    /** Reads the settings, and says how much is to be logged. */
+    /** Reads the settings file and returns the log settings. */
     std::function<settings_outcome<log_settings>(const std::string& file)>
         read_settings;
-    /** Serves until the stop signal, then drains. */
+    /** Serves until a stop signal arrives, then drains. */
     std::function<exit_code(const stop_signal& stop)> serve;
 };
 
-/** How a process with these settings logs: under its own name. */
+/** Returns the log settings with the name of the process filled in. */
 template <typename Settings>
 log_settings log_settings_of(const Settings& settings)
 {
@@ -34,22 +34,22 @@
     return log;
 }
 
-/** The command line that all daemons share; returns the exit status. */
+/** Parses the daemon's command line and runs it; returns the exit status. */
 int daemon_main(const daemon_program& program, int argc, char** argv);
 
-/** SIGHUP came to a process that reads its settings at its start only. */
+/** Logs that SIGHUP is ignored, as the settings are read at startup only. */
 void announce_kept_settings();
 
 /**
- * Serves until told to stop: `Process` has address() and drain(), and
- * reload() if it can read its settings again.
+ * Serves until a stop signal arrives, then drains. `Process` has address() and
+ * drain(), and reload() if it can reload its settings.
  */
 template <typename Process>
 exit_code serve_until_stopped(Process& process, const stop_signal& stop);
 
-/** A listener is open; `name` says for whom. */
+/** Logs that the listener `name` is open. */
 void announce_listener(const std::string& name, const std::string& address);
-/** It serves, at `address` those whom it is for. */
+/** Logs that the process is ready and serves at `address`. */
 void announce_ready(const std::string& address);
 void announce_stopping();
 void announce_stopped();
--- a/src/libcyclamenrun/daemon/state_dump_sections.hpp
+++ b/src/libcyclamenrun/daemon/state_dump_sections.hpp
@@ -12,11 +12,11 @@
 class metrics;
 struct process_settings;
 
-/** Section `process`: name, role, place, version, uptime. */
+/** Adds section `process`: name, role, location, version and uptime. */
 void add_process_section(state_dump& dump, const process_settings& settings,
                          std::string_view role, clock_function now);
 
-/** Section `metrics`: each metric that has samples, with its unit. */
+/** Adds section `metrics`: each metric that has samples, with its unit. */
 void add_metrics_section(state_dump& dump, const metrics& measured,
                          clock_function now);
 
