--- a/tests/links/link_fixture.hpp
+++ b/tests/links/link_fixture.hpp
@@ -17,7 +17,7 @@
 namespace cyclamenrun
 {
 
-/** Far longer than anything here takes; reached only by a fault. */
+/** Timeout that is reached only when a test fails. */
 constexpr std::chrono::seconds generous{20};
 
 inline Poco::Net::SocketAddress any_port()
@@ -25,7 +25,7 @@
     return {"127.0.0.1", 0};
 }
 
-/** What a client received on one stream; waits without polling. */
+/** Records the frames and the ends that a client receives on a stream. */
 class received_answer
 {
 public:
@@ -106,7 +106,7 @@
     std::size_t count_ = 0;
 };
 
-/** Returns once the loop has run all that was posted before. */
+/** Waits until the loop has run all tasks that were posted before. */
 inline void settle(link_loop& loop)
 {
     event_count done;
--- a/tests/links/link_streams.hpp
+++ b/tests/links/link_streams.hpp
@@ -9,7 +9,7 @@
 namespace cyclamenrun
 {
 
-/** A client and a server, each on its own loop. */
+/** Fixture with a client and a server, each on its own loop. */
 class link_streams : public testing::Test
 {
 protected:
@@ -37,7 +37,7 @@
     std::shared_ptr<link_client> client;
 };
 
-/** Answers with the request, reversed. */
+/** Answers with the reversed request. */
 inline void answer_reversed(const std::shared_ptr<server_stream>& stream)
 {
     stream->respond_once(
--- a/tests/links/test_agent_links.cpp
+++ b/tests/links/test_agent_links.cpp
@@ -11,12 +11,10 @@
 namespace
 {
 
-/**
- * An entry that has served all its callers aborts at the very end of its
- * planned stop. The links are closed while a callback is under way on a loop's
- * thread; that callback was the last to hold the loops, so the loop was ended
- * by its own thread, which can't wait for itself.
- */
+// Guards against an abort of the entry at the end of its shutdown. When the
+// links are closed while a callback runs on a loop's thread, that callback may
+// hold the last reference to the links' state. If the state owned the loops,
+// the loop's thread would destroy its own loop and join itself.
 TEST(agent_links, may_end_while_a_callback_is_under_way)
 {
     std::vector<std::shared_ptr<link_loop>> loops{
@@ -29,14 +27,14 @@
     hooks.reply = [](const std::string&, const link::HeartbeatReply&) {};
     hooks.failure = [&](const std::string&, link_failure) {
         under_way = true;
-        // Until nobody but this callback's own links could hold the loop.
+        // Waits until only the links' state could still own the loop.
         while (!links_gone || loop.use_count() > 1)
             std::this_thread::yield();
     };
     std::optional<agent_links> links;
     links.emplace(loops, std::string(32, 'k'), link_limits{}, hooks,
                   steady_now);
-    // Nobody listens at this port, so the failure comes at once.
+    // No process listens on this port, so the failure is immediate.
     links->watch({{"vm-1", "127.0.0.1:1"}});
     while (!under_way)
         std::this_thread::yield();
--- a/tests/links/test_keepalive.cpp
+++ b/tests/links/test_keepalive.cpp
@@ -9,7 +9,8 @@
 
 using namespace std::chrono_literals;
 
-const link_limits limits; // ping after 1 s busy, 15 s idle; answer in 2 s
+const link_limits
+    limits; // PING after 1 s (busy) or 15 s (idle), answer within 2 s
 
 TEST(link_keepalive, a_peer_that_answers_is_kept)
 {
--- a/tests/links/test_link_failures.cpp
+++ b/tests/links/test_link_failures.cpp
@@ -8,8 +8,8 @@
 namespace
 {
 
-// A caller asks, the agent's VM is gone: nobody listens. No byte of the
-// request has left, so the entry may say that it was not run.
+// The agent's VM was removed and its port is closed. No byte of the request is
+// sent, so the entry may report that the request was not run.
 TEST_F(link_streams, a_request_to_nobody_has_not_left)
 {
     Poco::Net::ServerSocket reserved(any_port());
@@ -24,8 +24,8 @@
     EXPECT_FALSE(client->connected());
 }
 
-// A dossier streams and its agent dies. The caller's stream must end exactly
-// once, as lost, and the request counts as one that may have run.
+// An agent dies while it streams answers. Each stream must end exactly once,
+// with connection_lost, and its request must count as possibly run.
 TEST_F(link_streams, a_peer_that_dies_mid_stream_ends_each_stream_once)
 {
     serve(answer_and_stay);
@@ -47,8 +47,8 @@
         EXPECT_EQ(answer.ends(), 1U);
 }
 
-// An agent's process freezes with a dossier half sent: the connection stands
-// and nothing comes. Without a keepalive the caller would wait for minutes.
+// An agent's process freezes in the middle of an answer. The connection stays
+// open without data; without a keepalive the caller would wait for minutes.
 TEST_F(link_streams, a_frozen_peer_is_found_by_the_keepalive)
 {
     limits.busy_ping_after = milliseconds(20);
@@ -66,8 +66,8 @@
     settle(server_loop);
 }
 
-// An entry's process freezes or its link stalls while an answer is held back
-// for it: the agent must learn that nobody reads any more.
+// An entry's process freezes, or its link stalls, while the agent waits to
+// send the rest of an answer. The agent must detect this and close the stream.
 TEST_F(link_streams, a_frozen_client_is_found_by_the_server)
 {
     limits.busy_ping_after = milliseconds(20);
@@ -88,7 +88,7 @@
     ASSERT_TRUE(answer.wait_end());
 }
 
-// The peer accepts and says nothing: frozen before the handshake.
+// The peer accepts the connection and freezes before the handshake.
 TEST_F(link_streams, a_peer_that_never_proves_the_key_is_given_up)
 {
     limits.handshake_time = milliseconds(50);
@@ -123,8 +123,9 @@
     EXPECT_FALSE(how.request_may_have_left);
 }
 
-// Two releases disagree on the bound: the server refuses the request unread,
-// and the client may say that it has not run.
+// Client and server are of different releases with different limits. The
+// server rejects the request without handling it, and the client may report
+// that it has not run.
 TEST_F(link_streams, a_request_over_the_servers_bound_is_known_not_to_have_run)
 {
     event_count handled;
@@ -185,8 +186,9 @@
     EXPECT_EQ(second.wait_end()->failure, link_failure::cancelled);
 }
 
-// A process stops: its loops end with streams open. Each owner of a stream
-// must hear of its end, also one that asks too late.
+// A process shuts down and its loops end while streams are open. The owner of
+// each stream must be notified of its end, also of a stream that is opened
+// after the end of the loop.
 TEST(link_loop, its_end_ends_every_stream_once)
 {
     link_loop server_loop;
--- a/tests/links/test_strangers.cpp
+++ b/tests/links/test_strangers.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::string_view preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-/** A peer that does not speak as ours do. */
+/** A peer that sends raw bytes and does not follow the protocol. */
 class stranger
 {
 public:
@@ -32,11 +32,11 @@
             socket_.sendBytes(bytes.data(), static_cast<int>(bytes.size()),
                               MSG_NOSIGNAL);
         } catch (const Poco::Exception&) {
-            // The server closed first, which wait_closed() will see.
+            // The server has closed the connection; wait_closed() detects that.
         }
     }
 
-    /** Reads to the end; false if the server kept the connection. */
+    /** Reads to the end. Returns false if the server does not close. */
     bool wait_closed()
     {
         std::array<char, 4096> room{};
@@ -94,7 +94,7 @@
 
 TEST_F(link_strangers, random_bytes_are_closed_and_run_nothing)
 {
-    rc::check("after the preface or in its place", [this] {
+    rc::check("with or without the HTTP/2 preface", [this] {
         stranger guest(server->address());
         if (*rc::gen::arbitrary<bool>())
             guest.send(preface);
@@ -105,7 +105,7 @@
     expect_still_serving();
 }
 
-/** Opens a stream for a frame of 32 bytes, as long as a nonce or a proof. */
+/** Submits a request whose frame has the size of a nonce or a proof. */
 void submit_request(nghttp2_session* session, const std::string& path,
                     std::string& frame)
 {
@@ -131,7 +131,7 @@
                            &provider, nullptr);
 }
 
-/** What a stranger that speaks HTTP/2 sends without waiting for answers. */
+/** Returns the bytes of HTTP/2 requests that are sent without a pause. */
 std::string requests_at_once(const std::vector<std::string>& paths)
 {
     nghttp2_session_callbacks* callbacks = nullptr;
@@ -152,8 +152,8 @@
     return wire;
 }
 
-// A process without the key speaks the protocol and skips the handshake, or
-// guesses a proof: nothing of what it sends may reach the handler.
+// A process without the key uses the protocol but skips the handshake or
+// sends a wrong proof. None of its requests may reach the handler.
 TEST_F(link_strangers, a_request_before_a_true_proof_is_refused)
 {
     const std::vector<std::vector<std::string>> attempts{
@@ -171,8 +171,8 @@
     expect_still_serving();
 }
 
-// Someone opens connections and says nothing: the oldest go, so that memory
-// stays bounded and a peer with the key still gets in.
+// A process opens many connections and sends nothing. The oldest ones must be
+// closed, so that memory stays bounded and a peer with the key can connect.
 TEST_F(link_strangers, a_crowd_can_not_keep_a_true_peer_out)
 {
     server.reset();
--- a/tests/links/test_streams.cpp
+++ b/tests/links/test_streams.cpp
@@ -61,9 +61,9 @@
     EXPECT_EQ(answer.frames(), std::vector<std::string>{"done"});
 }
 
-// A caller reads slowly. The entry must not collect its answer in memory, and
-// other callers on the same connection must not wait for it. The window of
-// its stream stays closed until what came is consumed.
+// A caller reads slowly. The entry must not buffer the answer in memory, and
+// other callers on the same connection must not be blocked. The window of the
+// stream stays closed until the received frames are consumed.
 TEST_F(link_streams, a_slow_reader_holds_its_own_answer_and_no_other)
 {
     limits.connection_window = 128U << 10;
@@ -87,7 +87,7 @@
     for (received_answer& answer : slow)
         ASSERT_TRUE(answer.wait_frames(whole_frames));
 
-    // All windows are full; together they are larger than the connection's.
+    // All stream windows are full; their sum exceeds the connection window.
     received_answer quick;
     EXPECT_TRUE(ask(quick, "quick").clean);
     settle(server_loop);
@@ -104,8 +104,9 @@
     server.reset();
 }
 
-// An answer in frames larger than the window would stand still for ever: the
-// first part fills the window and can't be consumed before the rest has come.
+// Guards against answers that stall forever because a frame is larger than the
+// window: its first part fills the window and can't be consumed without the
+// rest.
 TEST_F(link_streams, frames_larger_than_the_window_arrive)
 {
     const std::string large(10 * limits.stream_window, 'x');
@@ -176,7 +177,7 @@
     const auto address = server->address();
     server.reset();
     server.emplace(server_loop, address, "key", limits, answer_reversed);
-    // The first request may still meet the end of the old connection.
+    // The first request may fail as the old connection is being closed.
     received_answer first;
     ask(first, "b");
     received_answer after;
