--- a/src/libcyclamenrun/base/bearer_token.cpp
+++ b/src/libcyclamenrun/base/bearer_token.cpp
@@ -11,7 +11,7 @@
 
 constexpr std::string_view scheme = "bearer ";
 
-bool same_letter(char left, char right)
+bool equals_lower_case(char left, char right)
 {
     return std::tolower(static_cast<unsigned char>(left)) == right;
 }
@@ -26,12 +26,12 @@
 std::optional<std::string_view> parse_bearer_token(std::string_view value)
 {
     if (value.size() <= scheme.size() ||
-        value.size() > scheme.size() + longest_bearer_token)
+        value.size() > scheme.size() + max_bearer_token_bytes)
         return std::nullopt;
     // The scheme name is case-insensitive.
     if (!std::equal(scheme.begin(), scheme.end(), value.begin(),
                     [](char expected, char given) {
-                        return same_letter(given, expected);
+                        return equals_lower_case(given, expected);
                     }))
         return std::nullopt;
     const auto token = value.substr(scheme.size());
--- a/src/libcyclamenrun/base/bearer_token.hpp
+++ b/src/libcyclamenrun/base/bearer_token.hpp
@@ -8,7 +8,7 @@
 {
 
 /** Longer keys are rejected without being hashed. */
-inline constexpr std::size_t longest_bearer_token = 256;
+inline constexpr std::size_t max_bearer_token_bytes = 256;
 
 /**
  * Returns the key in the value of an `Authorization: Bearer KEY` header, as a
--- a/src/libcyclamenrun/base/generation_id.cpp
+++ b/src/libcyclamenrun/base/generation_id.cpp
@@ -10,10 +10,10 @@
 {
 
 constexpr char separator = ':';
-constexpr std::size_t longest_upstream = 64;
+constexpr std::size_t max_upstream_bytes = 64;
 
 /** Parses a number up to the separator or the end, and removes both. */
-std::optional<std::uint64_t> take_number(std::string_view& text, int base)
+std::optional<std::uint64_t> parse_number(std::string_view& text, int base)
 {
     const auto field = text.substr(0, text.find(separator));
     std::uint64_t number = 0;
@@ -50,15 +50,15 @@
 std::optional<stream_position> parse_stream_position(std::string_view text)
 {
     const auto upstream = text.substr(0, text.find(separator));
-    if (upstream.empty() || upstream.size() > longest_upstream ||
+    if (upstream.empty() || upstream.size() > max_upstream_bytes ||
         upstream.size() == text.size() || text.back() == separator)
         return std::nullopt;
     text.remove_prefix(upstream.size() + 1);
 
-    const auto incarnation = take_number(text, 16);
-    const auto sequence = take_number(text, 10);
-    const auto secret = take_number(text, 16);
-    const auto index = take_number(text, 10);
+    const auto incarnation = parse_number(text, 16);
+    const auto sequence = parse_number(text, 10);
+    const auto secret = parse_number(text, 16);
+    const auto index = parse_number(text, 10);
     if (!incarnation || !sequence || !secret || !index || !text.empty())
         return std::nullopt;
     return stream_position{
--- a/src/libcyclamenrun/base/sharded.hpp
+++ b/src/libcyclamenrun/base/sharded.hpp
@@ -32,18 +32,18 @@
     template <typename Use>
     auto with(std::string_view key, Use use)
     {
-        auto& held = *shards_[hash64(key) % shards_.size()];
-        const std::scoped_lock lock(held.mutex);
-        return use(*held.state);
+        auto& entry = *shards_[hash64(key) % shards_.size()];
+        const std::scoped_lock lock(entry.mutex);
+        return use(*entry.state);
     }
 
     /** Calls `use` with the state of each shard in turn, under its lock. */
     template <typename Use>
     void with_each(Use use)
     {
-        for (const auto& held : shards_) {
-            const std::scoped_lock lock(held->mutex);
-            use(*held->state);
+        for (const auto& entry : shards_) {
+            const std::scoped_lock lock(entry->mutex);
+            use(*entry->state);
         }
     }
 
--- a/src/libcyclamenrun/daemon/daemon_main.cpp
+++ b/src/libcyclamenrun/daemon/daemon_main.cpp
@@ -82,7 +82,7 @@
               {{log_key::address, address}});
 }
 
-void announce_kept_settings()
+void announce_reload_ignored()
 {
     log_event(log_severity::warning, log_event_name::settings_unusable,
               {{log_key::detail,
--- a/src/libcyclamenrun/daemon/daemon_main.hpp
+++ b/src/libcyclamenrun/daemon/daemon_main.hpp
@@ -38,7 +38,7 @@
 int daemon_main(const daemon_program& program, int argc, char** argv);
 
 /** Logs that SIGHUP is ignored, as the settings are read at startup only. */
-void announce_kept_settings();
+void announce_reload_ignored();
 
 /**
  * Serves until a stop signal arrives, then drains. `Process` has address() and
@@ -62,7 +62,7 @@
         if constexpr (requires { process.reload(); })
             process.reload();
         else
-            announce_kept_settings();
+            announce_reload_ignored();
     }
     announce_stopping();
     const bool complete = process.drain();
--- a/src/libcyclamenrun/links/agent_links.cpp
+++ b/src/libcyclamenrun/links/agent_links.cpp
@@ -14,7 +14,7 @@
 {
 
 /** Delay before a failed heartbeat is sent again. */
-constexpr milliseconds retry_pause{500};
+constexpr milliseconds heartbeat_retry_delay{500};
 
 } // namespace
 
@@ -42,9 +42,9 @@
     void close();
 
 private:
-    bool watched(const agent_address& agent) const;
-    void beat(const agent_address& agent);
-    void beat_later(const agent_address& agent);
+    bool is_watched(const agent_address& agent) const;
+    void send_heartbeat(const agent_address& agent);
+    void schedule_heartbeat(const agent_address& agent);
     void on_reply(const agent_address& agent, const std::string& frame);
     const std::shared_ptr<link_reactor>&
     reactor_of(const std::string& address) const;
@@ -73,14 +73,14 @@
         for (const auto& agent : agents)
             wanted[agent.upstream] = agent.address;
         for (const auto& [upstream, address] : wanted) {
-            const auto known = watched_.find(upstream);
-            if (known == watched_.end() || known->second != address)
+            const auto found = watched_.find(upstream);
+            if (found == watched_.end() || found->second != address)
                 added.push_back({upstream, address});
         }
         watched_ = std::move(wanted);
     }
     for (const auto& agent : added)
-        beat(agent);
+        send_heartbeat(agent);
 }
 
 std::shared_ptr<link_client>
@@ -110,17 +110,17 @@
         client->close();
 }
 
-bool agent_links::shared_state::watched(const agent_address& agent) const
+bool agent_links::shared_state::is_watched(const agent_address& agent) const
 {
     const std::scoped_lock lock(mutex_);
-    const auto known = watched_.find(agent.upstream);
-    return !closed_ && known != watched_.end() &&
-           known->second == agent.address;
+    const auto found = watched_.find(agent.upstream);
+    return !closed_ && found != watched_.end() &&
+           found->second == agent.address;
 }
 
-void agent_links::shared_state::beat(const agent_address& agent)
+void agent_links::shared_state::send_heartbeat(const agent_address& agent)
 {
-    if (!watched(agent))
+    if (!is_watched(agent))
         return;
     const auto client = client_of(agent.address);
     if (!client)
@@ -132,30 +132,32 @@
     };
     handlers.on_end = [self = shared_from_this(), agent](stream_end end) {
         if (end.clean) {
-            self->beat(agent);
+            self->send_heartbeat(agent);
             return;
         }
-        if (self->watched(agent))
+        if (self->is_watched(agent))
             self->hooks_.failure(agent.upstream, end.failure);
-        self->beat_later(agent);
+        self->schedule_heartbeat(agent);
     };
     client->open("/heartbeat",
                  hooks_.request(agent.upstream).SerializeAsString(),
                  std::move(handlers));
 }
 
-void agent_links::shared_state::beat_later(const agent_address& agent)
+void agent_links::shared_state::schedule_heartbeat(const agent_address& agent)
 {
     reactor_of(agent.address)
-        ->post_at(clock_() + retry_pause,
-                  [self = shared_from_this(), agent] { self->beat(agent); });
+        ->post_at(clock_() + heartbeat_retry_delay,
+                  [self = shared_from_this(), agent] {
+                      self->send_heartbeat(agent);
+                  });
 }
 
 void agent_links::shared_state::on_reply(const agent_address& agent,
                                          const std::string& frame)
 {
     link::HeartbeatReply reply;
-    if (watched(agent) && reply.ParseFromString(frame))
+    if (is_watched(agent) && reply.ParseFromString(frame))
         hooks_.reply(agent.upstream, reply);
 }
 
--- a/src/libcyclamenrun/links/client_stream.cpp
+++ b/src/libcyclamenrun/links/client_stream.cpp
@@ -14,7 +14,8 @@
                              const link_limits& limits)
     : reactor_(std::move(reactor)), path_(std::move(path)),
       request_(std::move(request)), handlers_(std::move(handlers)),
-      decoder_(limits.max_frame_bytes), large_frame_(limits.stream_window / 2)
+      decoder_(limits.max_frame_bytes),
+      large_frame_bytes_(limits.stream_window / 2)
 {
 }
 
@@ -22,7 +23,8 @@
 {
     if (bytes == 0 || consumed_.fetch_add(bytes) != 0)
         return;
-    reactor_->post([self = shared_from_this()] { self->give_back_consumed(); });
+    reactor_->post(
+        [self = shared_from_this()] { self->return_consumed_credit(); });
 }
 
 void client_stream::cancel()
@@ -48,58 +50,58 @@
         handlers.on_end(how);
 }
 
-void client_stream::give_back_consumed()
+void client_stream::return_consumed_credit()
 {
     const std::size_t bytes = consumed_.exchange(0);
-    const std::size_t paid = std::min(bytes, debt_);
-    debt_ -= paid;
-    give_back(bytes - paid);
+    const std::size_t already_returned = std::min(bytes, early_credit_bytes_);
+    early_credit_bytes_ -= already_returned;
+    return_credit(bytes - already_returned);
 }
 
-void client_stream::give_back(std::size_t bytes)
+void client_stream::return_credit(std::size_t bytes)
 {
     const auto connection = connection_.lock();
     if (connection && !ended_)
-        connection->give_back_window(id_, bytes);
+        connection->return_window(id_, bytes);
 }
 
-bool client_stream::take_data(std::string_view data)
+bool client_stream::handle_data(std::string_view data)
 {
     while (!data.empty()) {
         const std::size_t before = data.size();
         auto frame = decoder_.next(data);
         if (!frame)
             return false;
-        hold(before - data.size());
+        account_partial_frame(before - data.size());
         if (*frame)
             deliver(std::move(**frame));
     }
     return true;
 }
 
-void client_stream::hold(std::size_t bytes)
+void client_stream::account_partial_frame(std::size_t bytes)
 {
-    held_ += bytes;
+    unreturned_bytes_ += bytes;
     // A frame larger than the flow control window would never arrive: its
     // first part fills the window and can't be consumed without the rest.
     // nghttp2 returns window credit in halves of the window, so the credit of
     // frames larger than half a window is returned before they are complete.
     // Memory is then bounded by max_frame_bytes, not by the window.
     const auto size = decoder_.frame_size();
-    if (!size || *size + frame_prefix_bytes <= large_frame_)
+    if (!size || *size + frame_prefix_bytes <= large_frame_bytes_)
         return;
-    give_back(held_);
-    early_ += std::exchange(held_, 0);
+    return_credit(unreturned_bytes_);
+    returned_early_bytes_ += std::exchange(unreturned_bytes_, 0);
 }
 
 void client_stream::deliver(std::string frame)
 {
-    if (early_ == 0)
-        give_back(frame_prefix_bytes);
+    if (returned_early_bytes_ == 0)
+        return_credit(frame_prefix_bytes);
     else
-        debt_ += early_ - frame_prefix_bytes;
-    held_ = 0;
-    early_ = 0;
+        early_credit_bytes_ += returned_early_bytes_ - frame_prefix_bytes;
+    unreturned_bytes_ = 0;
+    returned_early_bytes_ = 0;
     if (handlers_.on_frame)
         handlers_.on_frame(std::move(frame));
 }
--- a/src/libcyclamenrun/links/client_stream.hpp
+++ b/src/libcyclamenrun/links/client_stream.hpp
@@ -60,11 +60,11 @@
                   const link_limits& limits);
 
     void end(const stream_end& how);
-    void give_back_consumed();
-    bool take_data(std::string_view data);
-    void hold(std::size_t bytes);
+    void return_consumed_credit();
+    bool handle_data(std::string_view data);
+    void account_partial_frame(std::size_t bytes);
     void deliver(std::string frame);
-    void give_back(std::size_t bytes);
+    void return_credit(std::size_t bytes);
     link_chunk read_request(std::span<char> room);
 
     const std::shared_ptr<link_reactor> reactor_;
@@ -78,16 +78,16 @@
     std::size_t request_offset_ = 0;
     client_handlers handlers_;
     link_frame_decoder decoder_;
-    std::size_t large_frame_;
+    std::size_t large_frame_bytes_;
     /** Bytes of the partial frame whose window credit is not returned yet. */
-    std::size_t held_ = 0;
+    std::size_t unreturned_bytes_ = 0;
     /** Bytes of the partial frame whose window credit is already returned. */
-    std::size_t early_ = 0;
+    std::size_t returned_early_bytes_ = 0;
     /**
      * Bytes of delivered frames whose credit was returned early; consumed()
      * subtracts them from the credit that it returns.
      */
-    std::size_t debt_ = 0;
+    std::size_t early_credit_bytes_ = 0;
     /** Position in the connection's output at which the request begins. */
     std::optional<std::uint64_t> sent_at_;
     bool answer_ended_ = false;
--- a/src/libcyclamenrun/links/link_client.cpp
+++ b/src/libcyclamenrun/links/link_client.cpp
@@ -81,7 +81,7 @@
         stream->end({.failure = link_failure::too_large});
         return;
     }
-    if (!connection_ || !connection_->takes_streams())
+    if (!connection_ || !connection_->accepts_streams())
         connect();
     if (!connection_)
         stream->end({.failure = link_failure::connect_failed});
@@ -112,9 +112,9 @@
         if (self && self->connection_.get() == *address)
             self->connected_ = true;
     };
-    hooks.gone = [weak, address] {
+    hooks.unusable = [weak, address] {
         if (const auto self = weak.lock())
-            self->connection_gone(*address);
+            self->release_connection(*address);
     };
     connection_ = std::make_shared<link_client_connection>(
         reactor_, limits_, socket, link_key_, std::move(hooks));
@@ -122,7 +122,7 @@
     connection_->start();
 }
 
-void link_client::connection_gone(const link_client_connection* connection)
+void link_client::release_connection(const link_client_connection* connection)
 {
     if (connection_.get() != connection)
         return;
--- a/src/libcyclamenrun/links/link_client.hpp
+++ b/src/libcyclamenrun/links/link_client.hpp
@@ -52,7 +52,7 @@
 
     void start(const std::shared_ptr<client_stream>& stream);
     void connect();
-    void connection_gone(const link_client_connection* connection);
+    void release_connection(const link_client_connection* connection);
 
     const std::shared_ptr<link_reactor> reactor_;
     const Poco::Net::SocketAddress address_;
--- a/src/libcyclamenrun/links/link_client_connection.cpp
+++ b/src/libcyclamenrun/links/link_client_connection.cpp
@@ -19,7 +19,7 @@
 constexpr std::size_t handshake_frame_bytes = 64;
 
 /** A connection is replaced when its stream ids reach this value. */
-constexpr std::uint32_t last_stream = 0x7fff0000;
+constexpr std::uint32_t max_stream_id = 0x7fff0000;
 
 link_failure failure_of(std::uint32_t error_code)
 {
@@ -63,19 +63,19 @@
     phase_ = phase::hello;
     nonces_.client = random_bytes(nonce_bytes);
     send_handshake(hello_path, nonces_.client,
-                   &link_client_connection::hello_answered);
+                   &link_client_connection::handle_hello_answer);
 }
 
 void link_client_connection::send_handshake(
     std::string_view path, std::string_view frame,
-    void (link_client_connection::*answered)(std::string_view))
+    void (link_client_connection::*on_answer)(std::string_view))
 {
     std::string request;
     append_frame(request, frame);
     // The connection owns the stream, so `this` outlives the handler.
     client_handlers handlers;
-    handlers.on_frame = [this, answered](const std::string& answer) {
-        (this->*answered)(answer);
+    handlers.on_frame = [this, on_answer](const std::string& answer) {
+        (this->*on_answer)(answer);
     };
     link_limits bounds = limits();
     bounds.max_frame_bytes = handshake_frame_bytes;
@@ -86,7 +86,7 @@
     handshake_stream_ = stream->id_;
 }
 
-void link_client_connection::hello_answered(std::string_view answer)
+void link_client_connection::handle_hello_answer(std::string_view answer)
 {
     if (phase_ != phase::hello || answer.size() < nonce_bytes) {
         fail(link_failure::protocol_error);
@@ -100,10 +100,10 @@
     }
     phase_ = phase::prove;
     send_handshake(prove_path, client_proof(link_key_, nonces_),
-                   &link_client_connection::proof_accepted);
+                   &link_client_connection::handle_proof_answer);
 }
 
-void link_client_connection::proof_accepted(std::string_view /*answer*/)
+void link_client_connection::handle_proof_answer(std::string_view /*answer*/)
 {
     if (phase_ != phase::prove) {
         fail(link_failure::protocol_error);
@@ -163,15 +163,16 @@
     if (node.empty())
         return nullptr;
     if (streams_.empty()) {
-        idle_deadline_ = reactor().now() + limits().idle_time;
-        check_by(idle_deadline_);
+        idle_deadline_ = reactor().now() + limits().idle_timeout;
+        schedule_check(idle_deadline_);
     }
     if (streams_.empty() && retired_)
-        leave();
+        shut_down();
     return node.mapped();
 }
 
-bool link_client_connection::may_have_left(const client_stream& stream) const
+bool link_client_connection::may_have_been_sent(
+    const client_stream& stream) const
 {
     return stream.sent_at_ && output().sent() > *stream.sent_at_;
 }
@@ -182,7 +183,7 @@
     if (std::erase(waiting_, stream) == 0 && remove(stream->id_))
         reset_stream(stream->id_, NGHTTP2_CANCEL);
     stream->end({.failure = link_failure::cancelled,
-                 .request_may_have_left = may_have_left(*stream)});
+                 .request_may_have_left = may_have_been_sent(*stream)});
 }
 
 void link_client_connection::cancel_all()
@@ -190,10 +191,10 @@
     fail(link_failure::cancelled);
 }
 
-void link_client_connection::give_back_window(std::int32_t stream,
-                                              std::size_t bytes)
+void link_client_connection::return_window(std::int32_t stream,
+                                           std::size_t bytes)
 {
-    give_back(stream, bytes);
+    return_stream_credit(stream, bytes);
 }
 
 std::size_t link_client_connection::streams() const
@@ -202,24 +203,24 @@
     return all - streams_.count(handshake_stream_);
 }
 
-bool link_client_connection::takes_streams() const
+bool link_client_connection::accepts_streams() const
 {
-    return !leaving_ &&
-           nghttp2_session_get_next_stream_id(session()) < last_stream;
+    return !shutting_down_ &&
+           nghttp2_session_get_next_stream_id(session()) < max_stream_id;
 }
 
 void link_client_connection::retire()
 {
     retired_ = true;
     if (streams() == 0 || phase_ == phase::connecting)
-        leave();
+        shut_down();
 }
 
-void link_client_connection::leave()
+void link_client_connection::shut_down()
 {
-    if (std::exchange(leaving_, true))
+    if (std::exchange(shutting_down_, true))
         return;
-    hooks_.gone();
+    hooks_.unusable();
     if (phase_ == phase::connecting)
         fail(link_failure::cancelled);
     nghttp2_session_terminate_session(session(), NGHTTP2_NO_ERROR);
@@ -240,12 +241,12 @@
                                            std::string_view data)
 {
     const auto found = find(stream);
-    if (!found || found->take_data(data))
+    if (!found || found->handle_data(data))
         return;
     remove(stream);
     reset_stream(stream, NGHTTP2_CANCEL);
     found->end({.failure = link_failure::too_large,
-                .request_may_have_left = may_have_left(*found)});
+                .request_may_have_left = may_have_been_sent(*found)});
 }
 
 void link_client_connection::stream_half_closed(std::int32_t stream)
@@ -265,7 +266,7 @@
                 !found->decoder_.mid_frame();
     how.failure = failure_of(error_code);
     how.request_may_have_left =
-        may_have_left(*found) && !proves_not_run(error_code);
+        may_have_been_sent(*found) && !proves_not_run(error_code);
     found->end(how);
 }
 
@@ -277,8 +278,8 @@
 
 void link_client_connection::goaway_received()
 {
-    leaving_ = true;
-    hooks_.gone();
+    shutting_down_ = true;
+    hooks_.unusable();
 }
 
 link_chunk link_client_connection::read_data(std::int32_t stream,
@@ -292,20 +293,20 @@
 
 void link_client_connection::closed(link_failure failure)
 {
-    leaving_ = true;
-    hooks_.gone();
+    shutting_down_ = true;
+    hooks_.unusable();
     for (const auto& stream : std::exchange(waiting_, {}))
         stream->end({.failure = failure});
     const auto streams = std::exchange(streams_, {});
     for (const auto& [id, stream] : streams)
         stream->end({.failure = failure,
-                     .request_may_have_left = may_have_left(*stream)});
+                     .request_may_have_left = may_have_been_sent(*stream)});
 }
 
 bool link_client_connection::busy() const
 {
     return std::any_of(streams_.begin(), streams_.end(), [this](auto& each) {
-        return each.second->path_ != limits().patient_path;
+        return each.second->path_ != limits().long_poll_path;
     });
 }
 
@@ -315,11 +316,11 @@
         fail(phase_ == phase::connecting ? link_failure::connect_failed
                                          : link_failure::timed_out);
     } else if (phase_ != phase::open) {
-        check_by(handshake_deadline_);
+        schedule_check(handshake_deadline_);
     } else if (streams_.empty() && now >= idle_deadline_) {
-        leave();
+        shut_down();
     } else if (streams_.empty()) {
-        check_by(idle_deadline_);
+        schedule_check(idle_deadline_);
     }
 }
 
--- a/src/libcyclamenrun/links/link_client_connection.hpp
+++ b/src/libcyclamenrun/links/link_client_connection.hpp
@@ -26,7 +26,7 @@
          * The connection accepts no new streams. Called at least once, and
          * possibly more often.
          */
-        std::function<void()> gone;
+        std::function<void()> unusable;
     };
 
     link_client_connection(std::shared_ptr<link_reactor> reactor,
@@ -38,10 +38,10 @@
 
     void open(const std::shared_ptr<client_stream>& stream);
     void cancel(const std::shared_ptr<client_stream>& stream);
-    void give_back_window(std::int32_t stream, std::size_t bytes);
+    void return_window(std::int32_t stream, std::size_t bytes);
     /** Number of the owner's streams, with those awaiting the handshake. */
     std::size_t streams() const;
-    bool takes_streams() const;
+    bool accepts_streams() const;
     /** Closes the connection once its last stream has ended. */
     void retire();
     /** Ends all streams and closes. */
@@ -71,11 +71,11 @@
     bool submit(const std::shared_ptr<client_stream>& stream);
     void
     send_handshake(std::string_view path, std::string_view frame,
-                   void (link_client_connection::*answered)(std::string_view));
-    void hello_answered(std::string_view answer);
-    void proof_accepted(std::string_view answer);
-    bool may_have_left(const client_stream& stream) const;
-    void leave();
+                   void (link_client_connection::*on_answer)(std::string_view));
+    void handle_hello_answer(std::string_view answer);
+    void handle_proof_answer(std::string_view answer);
+    bool may_have_been_sent(const client_stream& stream) const;
+    void shut_down();
 
     std::string link_key_;
     hooks hooks_;
@@ -84,7 +84,7 @@
     time_point idle_deadline_;
     std::int32_t handshake_stream_ = 0;
     bool retired_ = false;
-    bool leaving_ = false;
+    bool shutting_down_ = false;
     link_nonces nonces_;
     std::vector<std::shared_ptr<client_stream>> waiting_;
     std::unordered_map<std::int32_t, std::shared_ptr<client_stream>> streams_;
--- a/src/libcyclamenrun/links/link_connection.cpp
+++ b/src/libcyclamenrun/links/link_connection.cpp
@@ -17,9 +17,9 @@
  * Rounds of fill and send per loop iteration; bounded so that one connection
  * can't starve the others.
  */
-constexpr int sends_a_turn = 4;
+constexpr int max_sends_per_iteration = 4;
 
-int socket_number(const Poco::Net::Socket& socket)
+int descriptor_of(const Poco::Net::Socket& socket)
 {
     return static_cast<int>(socket.impl()->sockfd());
 }
@@ -56,8 +56,8 @@
     nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0,
                                           window);
     watch_ =
-        reactor_->watch(socket_number(socket_), shared_from_this(), connecting);
-    check_by(reactor_->now() + limits_.handshake_time);
+        reactor_->watch(descriptor_of(socket_), shared_from_this(), connecting);
+    schedule_check(reactor_->now() + limits_.handshake_time);
     flush_later();
 }
 
@@ -121,7 +121,7 @@
 
 bool link_connection::fill_output()
 {
-    while (output_.waiting().size() < limits_.send_buffer_bytes) {
+    while (output_.unsent().size() < limits_.send_buffer_bytes) {
         const std::uint8_t* data = nullptr;
         const auto size = nghttp2_session_mem_send(session_, &data);
         if (size < 0) {
@@ -138,20 +138,20 @@
 
 bool link_connection::send_output()
 {
-    const std::string_view waiting = output_.waiting();
-    if (waiting.empty())
+    const std::string_view unsent = output_.unsent();
+    if (unsent.empty())
         return true;
     int size = 0;
     try {
-        size = socket_.sendBytes(
-            waiting.data(), static_cast<int>(waiting.size()), MSG_NOSIGNAL);
+        size = socket_.sendBytes(unsent.data(), static_cast<int>(unsent.size()),
+                                 MSG_NOSIGNAL);
     } catch (const Poco::Exception&) {
         fail(link_failure::connection_lost);
         return false;
     }
     if (size > 0)
-        output_.handed_over(size);
-    return output_.waiting().empty();
+        output_.record_sent(size);
+    return output_.unsent().empty();
 }
 
 void link_connection::flush()
@@ -163,7 +163,8 @@
         return;
     bool more = true;
     bool sent = true;
-    for (int i = 0; i < sends_a_turn && more && sent && !failure_; ++i) {
+    for (int i = 0; i < max_sends_per_iteration && more && sent && !failure_;
+         ++i) {
         more = fill_output();
         sent = send_output();
     }
@@ -172,9 +173,9 @@
         return;
     }
     reactor_->set_interest(watch_, true, more || !sent);
-    const bool over = nghttp2_session_want_read(session_) == 0 &&
-                      nghttp2_session_want_write(session_) == 0;
-    if (over && output_.waiting().empty())
+    const bool finished = nghttp2_session_want_read(session_) == 0 &&
+                          nghttp2_session_want_write(session_) == 0;
+    if (finished && output_.unsent().empty())
         close_now(link_failure::connection_lost);
 }
 
@@ -194,7 +195,7 @@
     closed(failure);
 }
 
-void link_connection::check_by(time_point when)
+void link_connection::schedule_check(time_point when)
 {
     if (closed_ || (timer_ && *timer_ <= when))
         return;
@@ -207,7 +208,7 @@
 
 void link_connection::check_keepalive()
 {
-    check_by(keepalive_.next_check(busy()));
+    schedule_check(keepalive_.next_check(busy()));
 }
 
 void link_connection::timer_fired(time_point when)
@@ -227,12 +228,13 @@
     }
     // If this process was paused past the deadline, the peer's answer may be
     // unread in the socket, and the peer is alive.
-    if (step == keepalive_step::give_up && socket_.available() == 0)
+    if (step == keepalive_step::disconnect && socket_.available() == 0)
         fail(link_failure::timed_out);
     check_keepalive();
 }
 
-void link_connection::give_back(std::int32_t stream, std::size_t bytes)
+void link_connection::return_stream_credit(std::int32_t stream,
+                                           std::size_t bytes)
 {
     if (closed_ || bytes == 0)
         return;
--- a/src/libcyclamenrun/links/link_connection.hpp
+++ b/src/libcyclamenrun/links/link_connection.hpp
@@ -102,11 +102,11 @@
     /** Sends the session's output at the end of this loop iteration. */
     void flush_later();
     /** Schedules a check of the deadlines at `when` or earlier. */
-    void check_by(time_point when);
+    void schedule_check(time_point when);
     /** Schedules the next keepalive check; to be called when busy() changes. */
     void check_keepalive();
     /** Returns flow control credit of a stream, at most what was used. */
-    void give_back(std::int32_t stream, std::size_t bytes);
+    void return_stream_credit(std::int32_t stream, std::size_t bytes);
     void reset_stream(std::int32_t stream, std::uint32_t error_code);
 
 private:
--- a/src/libcyclamenrun/links/link_frame_decoder.cpp
+++ b/src/libcyclamenrun/links/link_frame_decoder.cpp
@@ -6,7 +6,7 @@
 namespace cyclamenrun
 {
 
-void link_frame_decoder::take_prefix(std::string_view& input)
+void link_frame_decoder::read_prefix(std::string_view& input)
 {
     while (prefix_size_ < frame_prefix_bytes && !input.empty()) {
         size_ = (size_ << 8U) | static_cast<std::uint8_t>(input.front());
@@ -25,7 +25,7 @@
 tl::expected<std::optional<std::string>, frame_error>
 link_frame_decoder::next(std::string_view& input)
 {
-    take_prefix(input);
+    read_prefix(input);
     if (prefix_size_ < frame_prefix_bytes)
         return std::nullopt;
     if (size_ > max_frame_bytes_)
--- a/src/libcyclamenrun/links/link_frame_decoder.hpp
+++ b/src/libcyclamenrun/links/link_frame_decoder.hpp
@@ -42,7 +42,7 @@
     std::optional<std::size_t> frame_size() const;
 
 private:
-    void take_prefix(std::string_view& input);
+    void read_prefix(std::string_view& input);
 
     std::size_t max_frame_bytes_;
     std::uint32_t size_ = 0;
--- a/src/libcyclamenrun/links/link_keepalive.cpp
+++ b/src/libcyclamenrun/links/link_keepalive.cpp
@@ -28,7 +28,7 @@
     if (now < next_check(busy))
         return keepalive_step::wait;
     if (ping_deadline_)
-        return keepalive_step::give_up;
+        return keepalive_step::disconnect;
     ping_deadline_ = now + ping_time_;
     return keepalive_step::ping;
 }
--- a/src/libcyclamenrun/links/link_keepalive.hpp
+++ b/src/libcyclamenrun/links/link_keepalive.hpp
@@ -10,7 +10,7 @@
 namespace cyclamenrun
 {
 
-enum class keepalive_step : std::uint8_t { wait, ping, give_up };
+enum class keepalive_step : std::uint8_t { wait, ping, disconnect };
 
 /**
  * Decides when a PING is sent to a peer and when the peer has timed out. This
--- a/src/libcyclamenrun/links/link_limits.hpp
+++ b/src/libcyclamenrun/links/link_limits.hpp
@@ -32,7 +32,7 @@
      * busy: a link with nothing but a pending heartbeat would otherwise carry
      * a PING each second.
      */
-    std::string patient_path = "/heartbeat";
+    std::string long_poll_path = "/heartbeat";
     /** Time without received data until a PING is sent; streams are open. */
     milliseconds busy_ping_after{1000};
     /** Time without received data until a PING is sent; no stream is open. */
@@ -40,7 +40,7 @@
     /** Timeout for the answer to a PING. */
     milliseconds ping_time{2000};
     /** Time without streams after which a client closes a connection. */
-    milliseconds idle_time{600000};
+    milliseconds idle_timeout{600000};
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/links/link_listener.cpp
+++ b/src/libcyclamenrun/links/link_listener.cpp
@@ -11,7 +11,7 @@
 {
 
 /** Delay before the next accept after a failed one. */
-constexpr milliseconds accept_pause{100};
+constexpr milliseconds accept_retry_delay{100};
 
 } // namespace
 
@@ -26,8 +26,8 @@
 {
     if (reactor_->stopping())
         return;
-    const auto number = static_cast<int>(socket_.impl()->sockfd());
-    watch_ = reactor_->watch(number, shared_from_this(), false);
+    const auto descriptor = static_cast<int>(socket_.impl()->sockfd());
+    watch_ = reactor_->watch(descriptor, shared_from_this(), false);
     accepting_ = true;
 }
 
@@ -43,7 +43,7 @@
 void link_listener::close_all()
 {
     stop_accepting();
-    for (connections* list : {&known_, &unknown_}) {
+    for (connections* list : {&authenticated_, &unauthenticated_}) {
         const connections closing = std::exchange(*list, {});
         for (const auto& [number, connection] : closing)
             connection->loop_stopping();
@@ -73,15 +73,15 @@
     } catch (const Poco::Exception&) {
         // When the process is out of file descriptors, the socket stays
         // readable and the loop would spin; stop polling it for a while.
-        pause();
+        pause_accepting();
     }
 }
 
-void link_listener::pause()
+void link_listener::pause_accepting()
 {
     reactor_->set_interest(watch_, false, false);
     reactor_->post_at(
-        reactor_->now() + accept_pause, [weak = weak_from_this()] {
+        reactor_->now() + accept_retry_delay, [weak = weak_from_this()] {
             const auto self = weak.lock();
             if (self && self->accepting_)
                 self->reactor_->set_interest(self->watch_, true, false);
@@ -90,26 +90,26 @@
 
 void link_listener::add(const Poco::Net::StreamSocket& socket)
 {
-    if (known_.size() >= shared_->limits.max_connections)
+    if (authenticated_.size() >= shared_->limits.max_connections)
         return;
-    if (unknown_.size() >= shared_->limits.max_unauthenticated)
-        unknown_.begin()->second->loop_stopping();
+    if (unauthenticated_.size() >= shared_->limits.max_unauthenticated)
+        unauthenticated_.begin()->second->loop_stopping();
     const std::uint64_t number = next_connection_++;
     const auto weak = weak_from_this();
     link_server_connection::hooks hooks;
     hooks.authenticated = [weak, number] {
         if (const auto self = weak.lock())
-            self->known_.insert(self->unknown_.extract(number));
+            self->authenticated_.insert(self->unauthenticated_.extract(number));
     };
     hooks.closed = [weak, number] {
         if (const auto self = weak.lock()) {
-            self->known_.erase(number);
-            self->unknown_.erase(number);
+            self->authenticated_.erase(number);
+            self->unauthenticated_.erase(number);
         }
     };
     const auto connection = std::make_shared<link_server_connection>(
         reactor_, shared_, socket, std::move(hooks));
-    unknown_[number] = connection;
+    unauthenticated_[number] = connection;
     connection->start();
 }
 
--- a/src/libcyclamenrun/links/link_listener.hpp
+++ b/src/libcyclamenrun/links/link_listener.hpp
@@ -39,7 +39,7 @@
         std::map<std::uint64_t, std::shared_ptr<link_server_connection>>;
 
     void accept_one();
-    void pause();
+    void pause_accepting();
     void add(const Poco::Net::StreamSocket& socket);
 
     std::shared_ptr<link_reactor> reactor_;
@@ -48,8 +48,8 @@
     link_reactor::watch_id watch_ = 0;
     bool accepting_ = false;
     std::uint64_t next_connection_ = 0;
-    connections known_;
-    connections unknown_;
+    connections authenticated_;
+    connections unauthenticated_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/links/link_output.cpp
+++ b/src/libcyclamenrun/links/link_output.cpp
@@ -7,11 +7,11 @@
 {
 
 /** An empty buffer whose capacity exceeds this size is freed. */
-constexpr std::size_t kept_capacity = std::size_t{16} << 10;
+constexpr std::size_t max_kept_capacity_bytes = std::size_t{16} << 10;
 
 } // namespace
 
-void link_output::handed_over(std::size_t count)
+void link_output::record_sent(std::size_t count)
 {
     offset_ += count;
     sent_ += count;
@@ -19,7 +19,7 @@
         return;
     offset_ = 0;
     buffer_.clear();
-    if (buffer_.capacity() > kept_capacity)
+    if (buffer_.capacity() > max_kept_capacity_bytes)
         buffer_.shrink_to_fit();
 }
 
--- a/src/libcyclamenrun/links/link_output.hpp
+++ b/src/libcyclamenrun/links/link_output.hpp
@@ -18,11 +18,11 @@
 {
 public:
     void append(std::string_view bytes) { buffer_.append(bytes); }
-    std::string_view waiting() const
+    std::string_view unsent() const
     {
         return std::string_view(buffer_).substr(offset_);
     }
-    void handed_over(std::size_t count);
+    void record_sent(std::size_t count);
 
     /** Position of the next byte to be appended. */
     std::uint64_t end() const { return sent_ + buffer_.size() - offset_; }
--- a/src/libcyclamenrun/links/link_reactor.cpp
+++ b/src/libcyclamenrun/links/link_reactor.cpp
@@ -16,7 +16,7 @@
 {
 
 constexpr std::size_t read_buffer_bytes = std::size_t{64} << 10;
-constexpr std::size_t events_a_turn = 256;
+constexpr std::size_t max_events_per_iteration = 256;
 constexpr link_reactor::watch_id wake_up_id = 0;
 
 int checked(int result, const char* what)
@@ -136,15 +136,15 @@
 {
     thread_ = std::this_thread::get_id();
     while (!stopping_)
-        turn();
+        run_once();
     finish();
 }
 
-void link_reactor::turn()
+void link_reactor::run_once()
 {
-    std::array<epoll_event, events_a_turn> events{};
-    const int count =
-        epoll_wait(epoll_, events.data(), events_a_turn, wait_milliseconds());
+    std::array<epoll_event, max_events_per_iteration> events{};
+    const int count = epoll_wait(epoll_, events.data(),
+                                 max_events_per_iteration, wait_milliseconds());
     now_ = steady_now();
     for (int i = 0; i < count; ++i)
         handle_event(events.at(i).data.u64, events.at(i).events);
@@ -183,12 +183,12 @@
         return 0;
     if (timers_.empty())
         return -1;
-    const duration left = timers_.begin()->first - steady_now();
-    if (left <= duration::zero())
+    const duration remaining = timers_.begin()->first - steady_now();
+    if (remaining <= duration::zero())
         return 0;
-    const auto whole = std::chrono::ceil<milliseconds>(left).count();
-    constexpr auto longest = std::numeric_limits<int>::max();
-    return static_cast<int>(std::min<std::int64_t>(whole, longest));
+    const auto wait_ms = std::chrono::ceil<milliseconds>(remaining).count();
+    constexpr auto max_wait_ms = std::numeric_limits<int>::max();
+    return static_cast<int>(std::min<std::int64_t>(wait_ms, max_wait_ms));
 }
 
 void link_reactor::clear_wake_up() const
--- a/src/libcyclamenrun/links/link_reactor.hpp
+++ b/src/libcyclamenrun/links/link_reactor.hpp
@@ -66,7 +66,7 @@
         std::uint32_t events;
     };
 
-    void turn();
+    void run_once();
     int wait_milliseconds();
     void handle_event(watch_id id, std::uint32_t events);
     void run_timers();
--- a/src/libcyclamenrun/links/link_server_connection.cpp
+++ b/src/libcyclamenrun/links/link_server_connection.cpp
@@ -81,9 +81,9 @@
 void link_server_connection::data_received(std::int32_t stream,
                                            std::string_view data)
 {
-    give_back(stream, data.size());
+    return_stream_credit(stream, data.size());
     const auto found = find(stream);
-    if (!found || found->take_data(data))
+    if (!found || found->handle_data(data))
         return;
     // The handler was not called. This code tells the client that its request
     // was too large or malformed and had no effect.
@@ -203,7 +203,7 @@
 bool link_server_connection::busy() const
 {
     return std::any_of(streams_.begin(), streams_.end(), [this](auto& each) {
-        return each.second->path() != limits().patient_path;
+        return each.second->path() != limits().long_poll_path;
     });
 }
 
@@ -214,7 +214,7 @@
     if (now >= handshake_deadline_)
         fail(link_failure::timed_out);
     else
-        check_by(handshake_deadline_);
+        schedule_check(handshake_deadline_);
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/links/server_stream.cpp
+++ b/src/libcyclamenrun/links/server_stream.cpp
@@ -39,7 +39,7 @@
 {
     if (wake_posted_.exchange(true))
         return;
-    reactor_->post([self = shared_from_this()] { self->woken(); });
+    reactor_->post([self = shared_from_this()] { self->handle_wake(); });
 }
 
 void server_stream::on_closed(const std::function<void()>& callback)
@@ -64,7 +64,7 @@
     connection->start_answer(id_);
 }
 
-void server_stream::woken()
+void server_stream::handle_wake()
 {
     // Reset before the pull, so that a wake() during the pull posts again.
     wake_posted_ = false;
@@ -73,7 +73,7 @@
         connection->resume_answer(id_);
 }
 
-bool server_stream::take_data(std::string_view data)
+bool server_stream::handle_data(std::string_view data)
 {
     while (!data.empty()) {
         auto frame = decoder_.next(data);
--- a/src/libcyclamenrun/links/server_stream.hpp
+++ b/src/libcyclamenrun/links/server_stream.hpp
@@ -70,8 +70,8 @@
                   std::int32_t id, std::size_t max_request_bytes);
 
     void start(pull_function pull);
-    void woken();
-    bool take_data(std::string_view data);
+    void handle_wake();
+    bool handle_data(std::string_view data);
     bool request_complete() const;
     bool refill(std::size_t room, std::size_t max_frame_bytes);
     link_chunk read(std::span<char> room, std::size_t max_frame_bytes);
