--- a/tests/links/link_fixture.hpp
+++ b/tests/links/link_fixture.hpp
@@ -18,7 +18,7 @@
 {
 
 /** Timeout that is reached only when a test fails. */
-constexpr std::chrono::seconds generous{20};
+constexpr std::chrono::seconds test_timeout{20};
 
 inline Poco::Net::SocketAddress any_port()
 {
@@ -46,15 +46,17 @@
     std::optional<stream_end> wait_end()
     {
         std::unique_lock lock(mutex_);
-        changed_.wait_for(lock, generous, [this] { return !ends_.empty(); });
+        changed_.wait_for(lock, test_timeout,
+                          [this] { return !ends_.empty(); });
         return ends_.empty() ? std::nullopt : std::optional(ends_.front());
     }
 
     bool wait_frames(std::size_t count)
     {
         std::unique_lock lock(mutex_);
-        return changed_.wait_for(
-            lock, generous, [this, count] { return frames_.size() >= count; });
+        return changed_.wait_for(lock, test_timeout, [this, count] {
+            return frames_.size() >= count;
+        });
     }
 
     std::vector<std::string> frames() const
@@ -90,7 +92,7 @@
     bool wait(std::size_t count)
     {
         std::unique_lock lock(mutex_);
-        return changed_.wait_for(lock, generous,
+        return changed_.wait_for(lock, test_timeout,
                                  [this, count] { return count_ >= count; });
     }
 
@@ -107,7 +109,7 @@
 };
 
 /** Waits until the loop has run all tasks that were posted before. */
-inline void settle(link_loop& loop)
+inline void wait_for_posted_tasks(link_loop& loop)
 {
     event_count done;
     loop.post([&done] { done.add(); });
--- a/tests/links/link_streams.hpp
+++ b/tests/links/link_streams.hpp
@@ -22,7 +22,8 @@
     }
 
     /** Opens a stream and waits for its end. */
-    stream_end ask(received_answer& answer, const std::string& request)
+    stream_end request_and_wait(received_answer& answer,
+                                const std::string& request)
     {
         client->open("/dispatch", request, answer.handlers());
         const auto how = answer.wait_end();
@@ -45,7 +46,7 @@
 }
 
 /** Answers with one frame and leaves the stream open. */
-inline void answer_and_stay(const std::shared_ptr<server_stream>& stream)
+inline void answer_without_end(const std::shared_ptr<server_stream>& stream)
 {
     stream->respond([first = true](std::size_t) mutable {
         if (!std::exchange(first, false))
--- a/tests/links/test_agent_links.cpp
+++ b/tests/links/test_agent_links.cpp
@@ -15,20 +15,20 @@
 // links are closed while a callback runs on a loop's thread, that callback may
 // hold the last reference to the links' state. If the state owned the loops,
 // the loop's thread would destroy its own loop and join itself.
-TEST(agent_links, may_end_while_a_callback_is_under_way)
+TEST(agent_links, can_be_destroyed_while_a_callback_runs)
 {
     std::vector<std::shared_ptr<link_loop>> loops{
         std::make_shared<link_loop>()};
     const std::weak_ptr<link_loop> loop = loops.front();
-    std::atomic<bool> under_way = false;
-    std::atomic<bool> links_gone = false;
+    std::atomic<bool> callback_running = false;
+    std::atomic<bool> links_destroyed = false;
     agent_links_hooks hooks;
     hooks.request = [](const std::string&) { return link::Heartbeat(); };
     hooks.reply = [](const std::string&, const link::HeartbeatReply&) {};
     hooks.failure = [&](const std::string&, link_failure) {
-        under_way = true;
+        callback_running = true;
         // Waits until only the links' state could still own the loop.
-        while (!links_gone || loop.use_count() > 1)
+        while (!links_destroyed || loop.use_count() > 1)
             std::this_thread::yield();
     };
     std::optional<agent_links> links;
@@ -36,10 +36,10 @@
                   steady_now);
     // No process listens on this port, so the failure is immediate.
     links->watch({{"vm-1", "127.0.0.1:1"}});
-    while (!under_way)
+    while (!callback_running)
         std::this_thread::yield();
     links.reset();
-    links_gone = true;
+    links_destroyed = true;
     loops.clear();
     EXPECT_TRUE(loop.expired());
 }
--- a/tests/links/test_frames.cpp
+++ b/tests/links/test_frames.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t bound = 64;
 
-RC_GTEST_PROP(link_frames, come_back_whole_however_the_bytes_are_cut, ())
+RC_GTEST_PROP(link_frames, round_trip_for_any_chunk_sizes, ())
 {
     const auto payloads = *rc::gen::container<std::vector<std::string>>(
         rc::gen::resize(bound, rc::gen::arbitrary<std::string>()));
@@ -38,7 +38,7 @@
     RC_ASSERT(!decoder.mid_frame());
 }
 
-RC_GTEST_PROP(link_frames, random_bytes_never_give_a_frame_over_the_bound,
+RC_GTEST_PROP(link_frames, random_bytes_never_yield_a_frame_over_the_limit,
               (const std::string& bytes))
 {
     link_frame_decoder decoder(bound);
@@ -53,7 +53,7 @@
     }
 }
 
-TEST(link_frames, a_length_over_the_bound_is_refused_before_its_bytes_come)
+TEST(link_frames, a_length_over_the_limit_is_refused_before_the_payload)
 {
     std::string wire;
     append_frame(wire, std::string(bound + 1, 'x'));
--- a/tests/links/test_keepalive.cpp
+++ b/tests/links/test_keepalive.cpp
@@ -25,16 +25,16 @@
     }
 }
 
-TEST(link_keepalive, a_silent_peer_is_given_up_when_its_answer_is_overdue)
+TEST(link_keepalive, a_peer_times_out_when_its_answer_is_overdue)
 {
     const time_point start;
     link_keepalive keepalive(limits, start);
     ASSERT_EQ(keepalive.step(start + 1s, true), keepalive_step::ping);
     EXPECT_EQ(keepalive.next_check(true), start + 3s);
-    EXPECT_EQ(keepalive.step(start + 3s, true), keepalive_step::give_up);
+    EXPECT_EQ(keepalive.step(start + 3s, true), keepalive_step::disconnect);
 }
 
-TEST(link_keepalive, an_idle_connection_is_looked_at_rarely)
+TEST(link_keepalive, an_idle_connection_is_checked_rarely)
 {
     const time_point start;
     link_keepalive keepalive(limits, start);
--- a/tests/links/test_link_failures.cpp
+++ b/tests/links/test_link_failures.cpp
@@ -10,14 +10,14 @@
 
 // The agent's VM was removed and its port is closed. No byte of the request is
 // sent, so the entry may report that the request was not run.
-TEST_F(link_streams, a_request_to_nobody_has_not_left)
+TEST_F(link_streams, a_request_to_a_closed_port_is_not_sent)
 {
     Poco::Net::ServerSocket reserved(any_port());
     client =
         link_client::create(client_loop, reserved.address(), "key", limits);
     reserved.close();
     received_answer answer;
-    const stream_end how = ask(answer, "x");
+    const stream_end how = request_and_wait(answer, "x");
     EXPECT_FALSE(how.clean);
     EXPECT_EQ(how.failure, link_failure::connect_failed);
     EXPECT_FALSE(how.request_may_have_left);
@@ -26,9 +26,9 @@
 
 // An agent dies while it streams answers. Each stream must end exactly once,
 // with connection_lost, and its request must count as possibly run.
-TEST_F(link_streams, a_peer_that_dies_mid_stream_ends_each_stream_once)
+TEST_F(link_streams, a_peer_failure_ends_each_stream_once)
 {
-    serve(answer_and_stay);
+    serve(answer_without_end);
     std::vector<received_answer> answers(50);
     for (received_answer& answer : answers)
         client->open("/dispatch", "", answer.handlers());
@@ -42,18 +42,18 @@
         EXPECT_TRUE(answer.wait_end()->request_may_have_left);
     }
     client->close();
-    settle(client_loop);
+    wait_for_posted_tasks(client_loop);
     for (const received_answer& answer : answers)
         EXPECT_EQ(answer.ends(), 1U);
 }
 
 // An agent's process freezes in the middle of an answer. The connection stays
 // open without data; without a keepalive the caller would wait for minutes.
-TEST_F(link_streams, a_frozen_peer_is_found_by_the_keepalive)
+TEST_F(link_streams, the_keepalive_detects_a_frozen_peer)
 {
     limits.busy_ping_after = milliseconds(20);
     limits.ping_time = milliseconds(50);
-    serve(answer_and_stay);
+    serve(answer_without_end);
     received_answer answer;
     client->open("/dispatch", "", answer.handlers());
     ASSERT_TRUE(answer.wait_frames(1));
@@ -63,19 +63,19 @@
     EXPECT_EQ(answer.wait_end()->failure, link_failure::timed_out);
     EXPECT_TRUE(answer.wait_end()->request_may_have_left);
     thaw.add();
-    settle(server_loop);
+    wait_for_posted_tasks(server_loop);
 }
 
 // An entry's process freezes, or its link stalls, while the agent waits to
 // send the rest of an answer. The agent must detect this and close the stream.
-TEST_F(link_streams, a_frozen_client_is_found_by_the_server)
+TEST_F(link_streams, the_server_detects_a_frozen_client)
 {
     limits.busy_ping_after = milliseconds(20);
     limits.ping_time = milliseconds(50);
     event_count closed;
     serve([&](const auto& stream) {
         stream->on_closed([&] { closed.add(); });
-        answer_and_stay(stream);
+        answer_without_end(stream);
     });
     received_answer answer;
     client->open("/dispatch", "", answer.handlers());
@@ -84,41 +84,41 @@
     client_loop.post([&thaw] { thaw.wait(1); });
     EXPECT_TRUE(closed.wait(1));
     thaw.add();
-    settle(client_loop);
+    wait_for_posted_tasks(client_loop);
     ASSERT_TRUE(answer.wait_end());
 }
 
 // The peer accepts the connection and freezes before the handshake.
-TEST_F(link_streams, a_peer_that_never_proves_the_key_is_given_up)
+TEST_F(link_streams, a_peer_that_never_authenticates_times_out)
 {
     limits.handshake_time = milliseconds(50);
     Poco::Net::ServerSocket silent(any_port());
     client = link_client::create(client_loop, silent.address(), "key", limits);
     received_answer answer;
-    const stream_end how = ask(answer, "x");
+    const stream_end how = request_and_wait(answer, "x");
     EXPECT_EQ(how.failure, link_failure::timed_out);
     EXPECT_FALSE(how.request_may_have_left);
 }
 
-TEST_F(link_streams, a_wrong_key_is_refused_before_a_request_leaves)
+TEST_F(link_streams, a_wrong_key_is_refused_before_a_request_is_sent)
 {
     event_count handled;
     serve([&](const auto&) { handled.add(); });
     client =
         link_client::create(client_loop, server->address(), "other", limits);
     received_answer answer;
-    const stream_end how = ask(answer, "x");
+    const stream_end how = request_and_wait(answer, "x");
     EXPECT_EQ(how.failure, link_failure::unauthenticated);
     EXPECT_FALSE(how.request_may_have_left);
     EXPECT_EQ(handled.count(), 0U);
 }
 
-TEST_F(link_streams, a_request_over_the_clients_bound_does_not_leave)
+TEST_F(link_streams, a_request_over_the_client_limit_is_not_sent)
 {
     limits.max_frame_bytes = 100;
     serve(answer_reversed);
     received_answer answer;
-    const stream_end how = ask(answer, std::string(101, 'x'));
+    const stream_end how = request_and_wait(answer, std::string(101, 'x'));
     EXPECT_EQ(how.failure, link_failure::too_large);
     EXPECT_FALSE(how.request_may_have_left);
 }
@@ -126,7 +126,7 @@
 // Client and server are of different releases with different limits. The
 // server rejects the request without handling it, and the client may report
 // that it has not run.
-TEST_F(link_streams, a_request_over_the_servers_bound_is_known_not_to_have_run)
+TEST_F(link_streams, a_request_over_the_server_limit_is_reported_as_not_run)
 {
     event_count handled;
     limits.max_frame_bytes = 100;
@@ -134,13 +134,13 @@
     limits.max_frame_bytes = 100000;
     client = link_client::create(client_loop, server->address(), "key", limits);
     received_answer answer;
-    const stream_end how = ask(answer, std::string(90000, 'x'));
+    const stream_end how = request_and_wait(answer, std::string(90000, 'x'));
     EXPECT_EQ(how.failure, link_failure::too_large);
     EXPECT_FALSE(how.request_may_have_left);
     EXPECT_EQ(handled.count(), 0U);
 }
 
-TEST_F(link_streams, an_answer_over_the_bound_ends_its_stream)
+TEST_F(link_streams, an_answer_over_the_limit_ends_its_stream)
 {
     event_count closed;
     serve([&](const auto& stream) {
@@ -150,13 +150,13 @@
     limits.max_frame_bytes = 100;
     client = link_client::create(client_loop, server->address(), "key", limits);
     received_answer answer;
-    const stream_end how = ask(answer, "x");
+    const stream_end how = request_and_wait(answer, "x");
     EXPECT_EQ(how.failure, link_failure::too_large);
     EXPECT_TRUE(how.request_may_have_left);
     EXPECT_TRUE(closed.wait(1));
 }
 
-TEST_F(link_streams, a_refused_stream_is_known_not_to_have_run)
+TEST_F(link_streams, a_refused_stream_is_reported_as_not_run)
 {
     event_count handled;
     serve([&](const auto&) { handled.add(); });
@@ -168,16 +168,16 @@
     EXPECT_EQ(handled.count(), 0U);
 }
 
-TEST_F(link_streams, streams_over_the_bound_are_refused_by_type)
+TEST_F(link_streams, streams_over_the_limit_fail_with_too_many_streams)
 {
     limits.max_streams = 2;
-    serve(answer_and_stay);
+    serve(answer_without_end);
     received_answer first;
     received_answer second;
     client->open("/dispatch", "", first.handlers());
     client->open("/dispatch", "", second.handlers());
     received_answer third;
-    const stream_end how = ask(third, "x");
+    const stream_end how = request_and_wait(third, "x");
     EXPECT_EQ(how.failure, link_failure::too_many_streams);
     EXPECT_FALSE(how.request_may_have_left);
     client->close();
@@ -189,10 +189,10 @@
 // A process shuts down and its loops end while streams are open. The owner of
 // each stream must be notified of its end, also of a stream that is opened
 // after the end of the loop.
-TEST(link_loop, its_end_ends_every_stream_once)
+TEST(link_loop, destruction_ends_every_stream_once)
 {
     link_loop server_loop;
-    link_server server(server_loop, any_port(), "key", {}, answer_and_stay);
+    link_server server(server_loop, any_port(), "key", {}, answer_without_end);
     received_answer running;
     received_answer late;
     {
--- a/tests/links/test_streams.cpp
+++ b/tests/links/test_streams.cpp
@@ -11,7 +11,7 @@
 {
     serve(answer_reversed);
     received_answer answer;
-    EXPECT_TRUE(ask(answer, "abc").clean);
+    EXPECT_TRUE(request_and_wait(answer, "abc").clean);
     EXPECT_EQ(answer.frames(), std::vector<std::string>{"cba"});
     EXPECT_TRUE(client->connected());
 }
@@ -34,14 +34,14 @@
     }
 }
 
-TEST_F(link_streams, an_answer_that_comes_later_is_sent_on_wake)
+TEST_F(link_streams, a_later_answer_is_sent_on_wake)
 {
     std::mutex mutex;
     std::string ready;
-    std::shared_ptr<server_stream> asked;
+    std::shared_ptr<server_stream> opened;
     event_count pulls;
     serve([&](const auto& stream) {
-        asked = stream;
+        opened = stream;
         stream->respond([&](std::size_t) {
             const std::lock_guard lock(mutex);
             pulls.add();
@@ -55,7 +55,7 @@
         const std::lock_guard lock(mutex);
         ready = "done";
     }
-    asked->wake();
+    opened->wake();
     ASSERT_TRUE(answer.wait_end());
     EXPECT_TRUE(answer.wait_end()->clean);
     EXPECT_EQ(answer.frames(), std::vector<std::string>{"done"});
@@ -64,7 +64,7 @@
 // A caller reads slowly. The entry must not buffer the answer in memory, and
 // other callers on the same connection must not be blocked. The window of the
 // stream stays closed until the received frames are consumed.
-TEST_F(link_streams, a_slow_reader_holds_its_own_answer_and_no_other)
+TEST_F(link_streams, a_slow_reader_blocks_only_its_own_answer)
 {
     limits.connection_window = 128U << 10;
     const std::string frame(996, 'x'); // 1000 bytes with its length
@@ -89,8 +89,8 @@
 
     // All stream windows are full; their sum exceeds the connection window.
     received_answer quick;
-    EXPECT_TRUE(ask(quick, "quick").clean);
-    settle(server_loop);
+    EXPECT_TRUE(request_and_wait(quick, "quick").clean);
+    wait_for_posted_tasks(server_loop);
     EXPECT_LE(made, 20 * (limits.stream_window + 1000));
     EXPECT_EQ(slow[0].frames().size(), whole_frames);
 
@@ -138,7 +138,7 @@
     event_count closed;
     serve([&](const auto& stream) {
         stream->on_closed([&] { closed.add(); });
-        answer_and_stay(stream);
+        answer_without_end(stream);
     });
     received_answer answer;
     const auto stream = client->open("/dispatch", "", answer.handlers());
@@ -149,8 +149,8 @@
     EXPECT_EQ(answer.wait_end()->failure, link_failure::cancelled);
     EXPECT_TRUE(answer.wait_end()->request_may_have_left);
     EXPECT_TRUE(closed.wait(1));
-    settle(client_loop);
-    settle(server_loop);
+    wait_for_posted_tasks(client_loop);
+    wait_for_posted_tasks(server_loop);
     EXPECT_EQ(answer.ends(), 1U);
     EXPECT_EQ(closed.count(), 1U);
 }
@@ -163,25 +163,25 @@
         answer_reversed(stream);
     });
     received_answer answer;
-    EXPECT_TRUE(ask(answer, "").clean);
+    EXPECT_TRUE(request_and_wait(answer, "").clean);
     EXPECT_TRUE(closed.wait(1));
     server.reset();
     EXPECT_EQ(closed.count(), 1U);
 }
 
-TEST_F(link_streams, a_client_connects_again_to_a_peer_that_came_back)
+TEST_F(link_streams, a_client_reconnects_to_a_restarted_peer)
 {
     serve(answer_reversed);
     received_answer before;
-    EXPECT_TRUE(ask(before, "a").clean);
+    EXPECT_TRUE(request_and_wait(before, "a").clean);
     const auto address = server->address();
     server.reset();
     server.emplace(server_loop, address, "key", limits, answer_reversed);
     // The first request may fail as the old connection is being closed.
     received_answer first;
-    ask(first, "b");
+    request_and_wait(first, "b");
     received_answer after;
-    EXPECT_TRUE(ask(after, "c").clean);
+    EXPECT_TRUE(request_and_wait(after, "c").clean);
 }
 
 } // namespace
--- a/tests/links/test_strangers.cpp
+++ b/tests/links/test_untrusted_peers.cpp
@@ -16,14 +16,14 @@
 constexpr std::string_view preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
 /** A peer that sends raw bytes and does not follow the protocol. */
-class stranger
+class raw_peer
 {
 public:
-    explicit stranger(const Poco::Net::SocketAddress& address)
+    explicit raw_peer(const Poco::Net::SocketAddress& address)
         : socket_(address)
     {
         socket_.setReceiveTimeout(
-            Poco::Timespan(std::chrono::seconds(generous).count(), 0));
+            Poco::Timespan(std::chrono::seconds(test_timeout).count(), 0));
     }
 
     void send(std::string_view bytes)
@@ -55,7 +55,7 @@
     Poco::Net::StreamSocket socket_;
 };
 
-class link_strangers : public link_streams
+class link_untrusted_peers : public link_streams
 {
 protected:
     void SetUp() override
@@ -70,37 +70,37 @@
     void expect_still_serving()
     {
         received_answer answer;
-        EXPECT_TRUE(ask(answer, "ab").clean);
+        EXPECT_TRUE(request_and_wait(answer, "ab").clean);
         EXPECT_EQ(handled.count(), 1U);
     }
 
     event_count handled;
 };
 
-TEST_F(link_strangers, a_silent_peer_is_closed)
+TEST_F(link_untrusted_peers, an_idle_peer_is_closed)
 {
-    stranger silent(server->address());
+    raw_peer silent(server->address());
     EXPECT_TRUE(silent.wait_closed());
     expect_still_serving();
 }
 
-TEST_F(link_strangers, a_half_open_peer_is_closed)
+TEST_F(link_untrusted_peers, a_half_open_peer_is_closed)
 {
-    stranger half(server->address());
+    raw_peer half(server->address());
     half.send(preface.substr(0, 10));
     EXPECT_TRUE(half.wait_closed());
     expect_still_serving();
 }
 
-TEST_F(link_strangers, random_bytes_are_closed_and_run_nothing)
+TEST_F(link_untrusted_peers, random_bytes_close_the_connection_and_run_nothing)
 {
     rc::check("with or without the HTTP/2 preface", [this] {
-        stranger guest(server->address());
+        raw_peer peer(server->address());
         if (*rc::gen::arbitrary<bool>())
-            guest.send(preface);
-        guest.send(*rc::gen::resize(400, rc::gen::arbitrary<std::string>()));
-        guest.send(std::string(64, '\xff'));
-        RC_ASSERT(guest.wait_closed());
+            peer.send(preface);
+        peer.send(*rc::gen::resize(400, rc::gen::arbitrary<std::string>()));
+        peer.send(std::string(64, '\xff'));
+        RC_ASSERT(peer.wait_closed());
     });
     expect_still_serving();
 }
@@ -154,7 +154,7 @@
 
 // A process without the key uses the protocol but skips the handshake or
 // sends a wrong proof. None of its requests may reach the handler.
-TEST_F(link_strangers, a_request_before_a_true_proof_is_refused)
+TEST_F(link_untrusted_peers, a_request_before_a_valid_proof_is_refused)
 {
     const std::vector<std::vector<std::string>> attempts{
         {"/dispatch"},
@@ -163,9 +163,9 @@
         {"/hello", "/prove", "/dispatch"},
     };
     for (const auto& paths : attempts) {
-        stranger guest(server->address());
-        guest.send(requests_at_once(paths));
-        EXPECT_TRUE(guest.wait_closed());
+        raw_peer peer(server->address());
+        peer.send(requests_at_once(paths));
+        EXPECT_TRUE(peer.wait_closed());
         EXPECT_EQ(handled.count(), 0U);
     }
     expect_still_serving();
@@ -173,20 +173,21 @@
 
 // A process opens many connections and sends nothing. The oldest ones must be
 // closed, so that memory stays bounded and a peer with the key can connect.
-TEST_F(link_strangers, a_crowd_can_not_keep_a_true_peer_out)
+TEST_F(link_untrusted_peers,
+       idle_connections_do_not_lock_out_an_authenticated_peer)
 {
     server.reset();
-    limits.handshake_time = generous;
+    limits.handshake_time = test_timeout;
     limits.max_unauthenticated = 4;
     serve([this](const auto& stream) {
         handled.add();
         answer_reversed(stream);
     });
-    std::deque<stranger> crowd;
+    std::deque<raw_peer> idle_peers;
     for (int i = 0; i < 20; ++i)
-        crowd.emplace_back(server->address());
+        idle_peers.emplace_back(server->address());
     for (int i = 0; i < 16; ++i)
-        EXPECT_TRUE(crowd[i].wait_closed()) << i;
+        EXPECT_TRUE(idle_peers[i].wait_closed()) << i;
     expect_still_serving();
 }
 
--- a/tests/types/test_generation_id.cpp
+++ b/tests/types/test_generation_id.cpp
@@ -8,13 +8,13 @@
 namespace
 {
 
-TEST(generation_id, a_position_reads_back_as_written)
+TEST(generation_id, a_position_round_trips)
 {
     const stream_position position{{"vm-7", 0xabcdef, 12, 0xffff0000ffff}, 40};
     EXPECT_EQ(parse_stream_position(to_string(position)), position);
 }
 
-TEST(generation_id, refuses_what_it_could_not_have_written)
+TEST(generation_id, rejects_invalid_positions)
 {
     for (const auto* text :
          {"", ":", "vm", "vm:1:2:3", "vm:1:2:3:", "vm:1:2:3:4:", "vm:1:2:3:4:5",
@@ -23,7 +23,7 @@
         EXPECT_FALSE(parse_stream_position(text)) << text;
 }
 
-TEST(generation_id, any_bytes_are_read_or_refused)
+TEST(generation_id, any_bytes_are_parsed_or_rejected)
 {
     EXPECT_TRUE(rc::check([](const std::string& bytes) {
         const auto position = parse_stream_position(bytes);
--- a/tests/types/test_refusal.cpp
+++ b/tests/types/test_refusal.cpp
@@ -19,7 +19,7 @@
     }
 }
 
-TEST(refusal_names, a_number_from_a_newer_peer_is_not_taken_for_another)
+TEST(refusal_names, an_unknown_number_is_rejected)
 {
     EXPECT_FALSE(refusal_reason_of(0));
     EXPECT_FALSE(refusal_reason_of(200));
