--- a/src/libcyclamenrun/base/clock.hpp
+++ b/src/libcyclamenrun/base/clock.hpp
@@ -8,8 +8,8 @@
 {
 
 /**
- * Monotonic time. All deadlines use it, and decisions take the current time
- * as an argument, so that a step of the wall clock has no effect.
+ * Monotonic time. Decisions take it as an argument and store deadlines in it,
+ * so that a step of the wall clock has no effect.
  */
 using time_point = std::chrono::steady_clock::time_point;
 using duration = std::chrono::steady_clock::duration;
--- a/src/libcyclamenrun/daemon/daemon_main.cpp
+++ b/src/libcyclamenrun/daemon/daemon_main.cpp
@@ -49,9 +49,9 @@
     bool print_defaults = false;
     app.add_option("--settings", file, "settings file (TOML)")
         ->envname("CYCLAMENRUN_SETTINGS");
-    app.add_flag("--check", check, "check the settings and end");
+    app.add_flag("--check", check, "check the settings and exit");
     app.add_flag("--print-defaults", print_defaults,
-                 "print a settings file with all defaults and end");
+                 "print a settings file with all defaults and exit");
     app.set_version_flag("--version", version_text(program.name));
     try {
         app.parse(argc, argv);
--- a/tests/links/test_keepalive.cpp
+++ b/tests/links/test_keepalive.cpp
@@ -9,8 +9,8 @@
 
 using namespace std::chrono_literals;
 
-const link_limits
-    limits; // PING after 1 s (busy) or 15 s (idle), answer within 2 s
+// PING after 1 s (busy) or 15 s (idle); the answer is due within 2 s.
+const link_limits limits;
 
 TEST(link_keepalive, a_peer_that_answers_is_kept)
 {
