--- a/src/libcyclamenrun/daemon/daemon_main.cpp
+++ b/src/libcyclamenrun/daemon/daemon_main.cpp
@@ -49,9 +49,9 @@
     bool print_defaults = false;
     app.add_option("--settings", file, "settings file (TOML)")
         ->envname("CYCLAMENRUN_SETTINGS");
-    app.add_flag("--check", check, "check the settings and end");
+    app.add_flag("--check", check, "check the settings and exit");
     app.add_flag("--print-defaults", print_defaults,
-                 "print a settings file with all defaults and end");
+                 "print a settings file with all defaults and exit");
     app.set_version_flag("--version", version_text(program.name));
     try {
         app.parse(argc, argv);
@@ -82,10 +82,11 @@
               {{log_key::address, address}});
 }
 
-void announce_kept_settings()
+void announce_reload_ignored()
 {
     log_event(log_severity::warning, log_event_name::settings_unusable,
-              {{log_key::detail, "settings are read at the start only"}});
+              {{log_key::detail,
+                "SIGHUP ignored: the settings are read at startup only"}});
 }
 
 void announce_stopping()
--- a/src/libcyclamenrun/links/agent_links.cpp
+++ b/src/libcyclamenrun/links/agent_links.cpp
@@ -13,14 +13,14 @@
 namespace
 {
 
-/** Between tries to reach an agent that did not answer. */
-constexpr milliseconds retry_pause{500};
+/** Delay before a failed heartbeat is sent again. */
+constexpr milliseconds heartbeat_retry_delay{500};
 
 } // namespace
 
 /**
- * Kept alive by each callback under way, so that one which comes late finds
- * its state, and `closed` in it.
+ * State shared with the callbacks. Each pending callback keeps it alive, so
+ * that a callback that runs after close() finds `closed_` set.
  */
 class agent_links::shared_state
     : public std::enable_shared_from_this<shared_state>
@@ -42,16 +42,16 @@
     void close();
 
 private:
-    bool watched(const agent_address& agent) const;
-    void beat(const agent_address& agent);
-    void beat_later(const agent_address& agent);
+    bool is_watched(const agent_address& agent) const;
+    void send_heartbeat(const agent_address& agent);
+    void schedule_heartbeat(const agent_address& agent);
     void on_reply(const agent_address& agent, const std::string& frame);
     const std::shared_ptr<link_reactor>&
     reactor_of(const std::string& address) const;
 
-    // Guards against the end of a loop on its own thread, where a callback
-    // may be the last to hold this state: the loop would wait for itself,
-    // and the process abort at the end of a planned stop.
+    // Holds reactors and not loops: a callback on a loop's thread may release
+    // the last reference to this state, and a loop that is destroyed on its
+    // own thread would join itself and abort the process during shutdown.
     std::vector<std::shared_ptr<link_reactor>> reactors_;
     std::string link_key_;
     link_limits limits_;
@@ -73,14 +73,14 @@
         for (const auto& agent : agents)
             wanted[agent.upstream] = agent.address;
         for (const auto& [upstream, address] : wanted) {
-            const auto known = watched_.find(upstream);
-            if (known == watched_.end() || known->second != address)
+            const auto found = watched_.find(upstream);
+            if (found == watched_.end() || found->second != address)
                 added.push_back({upstream, address});
         }
         watched_ = std::move(wanted);
     }
     for (const auto& agent : added)
-        beat(agent);
+        send_heartbeat(agent);
 }
 
 std::shared_ptr<link_client>
@@ -110,17 +110,17 @@
         client->close();
 }
 
-bool agent_links::shared_state::watched(const agent_address& agent) const
+bool agent_links::shared_state::is_watched(const agent_address& agent) const
 {
     const std::scoped_lock lock(mutex_);
-    const auto known = watched_.find(agent.upstream);
-    return !closed_ && known != watched_.end() &&
-           known->second == agent.address;
+    const auto found = watched_.find(agent.upstream);
+    return !closed_ && found != watched_.end() &&
+           found->second == agent.address;
 }
 
-void agent_links::shared_state::beat(const agent_address& agent)
+void agent_links::shared_state::send_heartbeat(const agent_address& agent)
 {
-    if (!watched(agent))
+    if (!is_watched(agent))
         return;
     const auto client = client_of(agent.address);
     if (!client)
@@ -132,30 +132,32 @@
     };
     handlers.on_end = [self = shared_from_this(), agent](stream_end end) {
         if (end.clean) {
-            self->beat(agent);
+            self->send_heartbeat(agent);
             return;
         }
-        if (self->watched(agent))
+        if (self->is_watched(agent))
             self->hooks_.failure(agent.upstream, end.failure);
-        self->beat_later(agent);
+        self->schedule_heartbeat(agent);
     };
     client->open("/heartbeat",
                  hooks_.request(agent.upstream).SerializeAsString(),
                  std::move(handlers));
 }
 
-void agent_links::shared_state::beat_later(const agent_address& agent)
+void agent_links::shared_state::schedule_heartbeat(const agent_address& agent)
 {
     reactor_of(agent.address)
-        ->post_at(clock_() + retry_pause,
-                  [self = shared_from_this(), agent] { self->beat(agent); });
+        ->post_at(clock_() + heartbeat_retry_delay,
+                  [self = shared_from_this(), agent] {
+                      self->send_heartbeat(agent);
+                  });
 }
 
 void agent_links::shared_state::on_reply(const agent_address& agent,
                                          const std::string& frame)
 {
     link::HeartbeatReply reply;
-    if (watched(agent) && reply.ParseFromString(frame))
+    if (is_watched(agent) && reply.ParseFromString(frame))
         hooks_.reply(agent.upstream, reply);
 }
 
--- a/src/libcyclamenrun/links/link_listener.hpp
+++ b/src/libcyclamenrun/links/link_listener.hpp
@@ -11,9 +11,10 @@
 {
 
 /**
- * Accepts a server's connections and bounds them. Unknown peers have their
- * own, small bound: when it is reached the oldest goes, so that a crowd of
- * silent connections can't keep a true peer out.
+ * Accepts a server's connections and limits their number. Connections that
+ * are not authenticated have a separate, small limit; when it is reached, the
+ * oldest of them is closed, so that many idle connections can't lock out a
+ * peer that has the key.
  */
 class link_listener final : public link_watcher,
                             public std::enable_shared_from_this<link_listener>
@@ -23,7 +24,7 @@
                   std::shared_ptr<const link_server_shared> shared,
                   const Poco::Net::ServerSocket& socket);
 
-    // On the loop's thread.
+    // To be called on the loop's thread.
 
     void start();
     void stop_accepting();
@@ -38,7 +39,7 @@
         std::map<std::uint64_t, std::shared_ptr<link_server_connection>>;
 
     void accept_one();
-    void pause();
+    void pause_accepting();
     void add(const Poco::Net::StreamSocket& socket);
 
     std::shared_ptr<link_reactor> reactor_;
@@ -47,8 +48,8 @@
     link_reactor::watch_id watch_ = 0;
     bool accepting_ = false;
     std::uint64_t next_connection_ = 0;
-    connections known_;
-    connections unknown_;
+    connections authenticated_;
+    connections unauthenticated_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/links/link_output.hpp
+++ b/src/libcyclamenrun/links/link_output.hpp
@@ -10,22 +10,23 @@
 {
 
 /**
- * Bytes that wait for the socket. Positions count from the start of the
- * connection, so that it can be told whether a byte was handed over.
+ * Output of a connection that is not written to the socket yet. Positions
+ * count bytes from the start of the connection, so that a caller can tell
+ * whether a given byte was written.
  */
 class link_output
 {
 public:
     void append(std::string_view bytes) { buffer_.append(bytes); }
-    std::string_view waiting() const
+    std::string_view unsent() const
     {
         return std::string_view(buffer_).substr(offset_);
     }
-    void handed_over(std::size_t count);
+    void record_sent(std::size_t count);
 
-    /** Position of the next byte that append() takes. */
+    /** Position of the next byte to be appended. */
     std::uint64_t end() const { return sent_ + buffer_.size() - offset_; }
-    /** Position of the first byte that the socket has not taken. */
+    /** Position of the first byte that is not written to the socket. */
     std::uint64_t sent() const { return sent_; }
 
 private:
--- a/src/libcyclamenrun/links/link_reactor.cpp
+++ b/src/libcyclamenrun/links/link_reactor.cpp
@@ -16,7 +16,7 @@
 {
 
 constexpr std::size_t read_buffer_bytes = std::size_t{64} << 10;
-constexpr std::size_t events_a_turn = 256;
+constexpr std::size_t max_events_per_iteration = 256;
 constexpr link_reactor::watch_id wake_up_id = 0;
 
 int checked(int result, const char* what)
@@ -42,12 +42,12 @@
 } // namespace
 
 link_reactor::link_reactor()
-    : epoll_(checked(epoll_create1(EPOLL_CLOEXEC), "epoll")),
+    : epoll_(checked(epoll_create1(EPOLL_CLOEXEC), "epoll_create1")),
       wake_up_(checked(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC), "eventfd")),
       now_(steady_now()), read_buffer_(read_buffer_bytes)
 {
     epoll_event event = event_of(wake_up_id, EPOLLIN);
-    checked(epoll_ctl(epoll_, EPOLL_CTL_ADD, wake_up_, &event), "epoll");
+    checked(epoll_ctl(epoll_, EPOLL_CTL_ADD, wake_up_, &event), "epoll_ctl");
 }
 
 link_reactor::~link_reactor()
@@ -68,8 +68,8 @@
     if (stopped_)
         return false;
     tasks_.push_back(std::move(work));
-    // The loop looks at the queue before it sleeps, so its own thread needs
-    // no wake-up, and one wake-up serves all posts until it has run.
+    // The loop checks the queue before it blocks, so a post on its own thread
+    // needs no wake-up. One wake-up serves all posts until the queue is run.
     if (wake_up_pending_ || on_loop_thread())
         return true;
     wake_up_pending_ = true;
@@ -99,7 +99,7 @@
 {
     const watch_id id = next_watch_++;
     epoll_event event = event_of(id, events_for(true, write_interest));
-    checked(epoll_ctl(epoll_, EPOLL_CTL_ADD, socket, &event), "epoll");
+    checked(epoll_ctl(epoll_, EPOLL_CTL_ADD, socket, &event), "epoll_ctl");
     watches_[id] = {socket, std::move(watcher), event.events};
     return id;
 }
@@ -115,7 +115,8 @@
         return;
     entry.events = events;
     epoll_event event = event_of(id, events);
-    checked(epoll_ctl(epoll_, EPOLL_CTL_MOD, entry.socket, &event), "epoll");
+    checked(epoll_ctl(epoll_, EPOLL_CTL_MOD, entry.socket, &event),
+            "epoll_ctl");
 }
 
 void link_reactor::unwatch(watch_id id)
@@ -136,20 +137,20 @@
 {
     thread_ = std::this_thread::get_id();
     while (!stopping_)
-        turn();
+        run_once();
     finish();
 }
 
-void link_reactor::turn()
+void link_reactor::run_once()
 {
-    std::array<epoll_event, events_a_turn> events{};
-    const int count =
-        epoll_wait(epoll_, events.data(), events_a_turn, wait_milliseconds());
+    std::array<epoll_event, max_events_per_iteration> events{};
+    const int count = epoll_wait(epoll_, events.data(),
+                                 max_events_per_iteration, wait_milliseconds());
     now_ = steady_now();
     for (int i = 0; i < count; ++i)
         handle_event(events.at(i).data.u64, events.at(i).events);
-    // After the sockets: data that waited while this process was paused
-    // counts before any deadline that passed meanwhile.
+    // Timers run after the sockets, so that data that arrived while this
+    // process was paused is read before a passed deadline is handled.
     run_timers();
     run_tasks();
     flush_watchers();
@@ -161,8 +162,8 @@
         clear_wake_up();
         return;
     }
-    // An id is never used twice, so an event of a socket that was closed
-    // earlier in this turn finds nothing, even if its number lives on.
+    // Ids are never reused, so an event of a socket that was closed earlier in
+    // this iteration is ignored, even if its descriptor was reused.
     const auto found = watches_.find(id);
     if (found == watches_.end())
         return;
@@ -183,12 +184,12 @@
         return 0;
     if (timers_.empty())
         return -1;
-    const duration left = timers_.begin()->first - steady_now();
-    if (left <= duration::zero())
+    const duration remaining = timers_.begin()->first - steady_now();
+    if (remaining <= duration::zero())
         return 0;
-    const auto whole = std::chrono::ceil<milliseconds>(left).count();
-    constexpr auto longest = std::numeric_limits<int>::max();
-    return static_cast<int>(std::min<std::int64_t>(whole, longest));
+    const auto wait_ms = std::chrono::ceil<milliseconds>(remaining).count();
+    constexpr auto max_wait_ms = std::numeric_limits<int>::max();
+    return static_cast<int>(std::min<std::int64_t>(wait_ms, max_wait_ms));
 }
 
 void link_reactor::clear_wake_up() const
--- a/src/libcyclamenrun/links/link_server_connection.cpp
+++ b/src/libcyclamenrun/links/link_server_connection.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-/** Streams of a peer that has not proved the key: /hello and /prove. */
+/** Streams of a peer before authentication: /hello and /prove. */
 constexpr std::size_t handshake_streams = 2;
 
 } // namespace
@@ -81,12 +81,12 @@
 void link_server_connection::data_received(std::int32_t stream,
                                            std::string_view data)
 {
-    give_back(stream, data.size());
+    return_stream_credit(stream, data.size());
     const auto found = find(stream);
-    if (!found || found->take_data(data))
+    if (!found || found->handle_data(data))
         return;
-    // The handler has not run: the client learns by this code that its
-    // request was too large or malformed, and that it had no effect.
+    // The handler was not called. This code tells the client that its request
+    // was too large or malformed and had no effect.
     streams_.erase(stream);
     reset_stream(stream, NGHTTP2_ENHANCE_YOUR_CALM);
 }
@@ -163,8 +163,8 @@
 
 void link_server_connection::resume_answer(std::int32_t stream)
 {
-    // It says "invalid" for a stream that was not waiting: then the data is
-    // on its way to be pulled already.
+    // nghttp2 returns an error if the stream's data is not deferred; nghttp2
+    // then reads the data without being resumed.
     nghttp2_session_resume_data(session(), stream);
     flush_later();
 }
@@ -203,7 +203,7 @@
 bool link_server_connection::busy() const
 {
     return std::any_of(streams_.begin(), streams_.end(), [this](auto& each) {
-        return each.second->path() != limits().patient_path;
+        return each.second->path() != limits().long_poll_path;
     });
 }
 
@@ -214,7 +214,7 @@
     if (now >= handshake_deadline_)
         fail(link_failure::timed_out);
     else
-        check_by(handshake_deadline_);
+        schedule_check(handshake_deadline_);
 }
 
 } // namespace cyclamenrun
--- a/tests/links/test_strangers.cpp
+++ b/tests/links/test_untrusted_peers.cpp
@@ -15,15 +15,15 @@
 
 constexpr std::string_view preface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-/** A peer that does not speak as ours do. */
-class stranger
+/** A peer that sends raw bytes and does not follow the protocol. */
+class raw_peer
 {
 public:
-    explicit stranger(const Poco::Net::SocketAddress& address)
+    explicit raw_peer(const Poco::Net::SocketAddress& address)
         : socket_(address)
     {
         socket_.setReceiveTimeout(
-            Poco::Timespan(std::chrono::seconds(generous).count(), 0));
+            Poco::Timespan(std::chrono::seconds(test_timeout).count(), 0));
     }
 
     void send(std::string_view bytes)
@@ -32,11 +32,11 @@
             socket_.sendBytes(bytes.data(), static_cast<int>(bytes.size()),
                               MSG_NOSIGNAL);
         } catch (const Poco::Exception&) {
-            // The server closed first, which wait_closed() will see.
+            // The server has closed the connection; wait_closed() detects that.
         }
     }
 
-    /** Reads to the end; false if the server kept the connection. */
+    /** Reads to the end. Returns false if the server does not close. */
     bool wait_closed()
     {
         std::array<char, 4096> room{};
@@ -55,7 +55,7 @@
     Poco::Net::StreamSocket socket_;
 };
 
-class link_strangers : public link_streams
+class link_untrusted_peers : public link_streams
 {
 protected:
     void SetUp() override
@@ -70,42 +70,42 @@
     void expect_still_serving()
     {
         received_answer answer;
-        EXPECT_TRUE(ask(answer, "ab").clean);
+        EXPECT_TRUE(request_and_wait(answer, "ab").clean);
         EXPECT_EQ(handled.count(), 1U);
     }
 
     event_count handled;
 };
 
-TEST_F(link_strangers, a_silent_peer_is_closed)
+TEST_F(link_untrusted_peers, an_idle_peer_is_closed)
 {
-    stranger silent(server->address());
+    raw_peer silent(server->address());
     EXPECT_TRUE(silent.wait_closed());
     expect_still_serving();
 }
 
-TEST_F(link_strangers, a_half_open_peer_is_closed)
+TEST_F(link_untrusted_peers, a_half_open_peer_is_closed)
 {
-    stranger half(server->address());
+    raw_peer half(server->address());
     half.send(preface.substr(0, 10));
     EXPECT_TRUE(half.wait_closed());
     expect_still_serving();
 }
 
-TEST_F(link_strangers, random_bytes_are_closed_and_run_nothing)
+TEST_F(link_untrusted_peers, random_bytes_close_the_connection_and_run_nothing)
 {
-    rc::check("after the preface or in its place", [this] {
-        stranger guest(server->address());
+    rc::check("with or without the HTTP/2 preface", [this] {
+        raw_peer peer(server->address());
         if (*rc::gen::arbitrary<bool>())
-            guest.send(preface);
-        guest.send(*rc::gen::resize(400, rc::gen::arbitrary<std::string>()));
-        guest.send(std::string(64, '\xff'));
-        RC_ASSERT(guest.wait_closed());
+            peer.send(preface);
+        peer.send(*rc::gen::resize(400, rc::gen::arbitrary<std::string>()));
+        peer.send(std::string(64, '\xff'));
+        RC_ASSERT(peer.wait_closed());
     });
     expect_still_serving();
 }
 
-/** Opens a stream for a frame of 32 bytes, as long as a nonce or a proof. */
+/** Submits a request whose frame has the size of a nonce or a proof. */
 void submit_request(nghttp2_session* session, const std::string& path,
                     std::string& frame)
 {
@@ -131,7 +131,7 @@
                            &provider, nullptr);
 }
 
-/** What a stranger that speaks HTTP/2 sends without waiting for answers. */
+/** Returns the bytes of HTTP/2 requests that are sent without a pause. */
 std::string requests_at_once(const std::vector<std::string>& paths)
 {
     nghttp2_session_callbacks* callbacks = nullptr;
@@ -152,9 +152,9 @@
     return wire;
 }
 
-// A process without the key speaks the protocol and skips the handshake, or
-// guesses a proof: nothing of what it sends may reach the handler.
-TEST_F(link_strangers, a_request_before_a_true_proof_is_refused)
+// A process without the key uses the protocol but skips the handshake or
+// sends a wrong proof. None of its requests may reach the handler.
+TEST_F(link_untrusted_peers, a_request_before_a_valid_proof_is_refused)
 {
     const std::vector<std::vector<std::string>> attempts{
         {"/dispatch"},
@@ -163,30 +163,31 @@
         {"/hello", "/prove", "/dispatch"},
     };
     for (const auto& paths : attempts) {
-        stranger guest(server->address());
-        guest.send(requests_at_once(paths));
-        EXPECT_TRUE(guest.wait_closed());
+        raw_peer peer(server->address());
+        peer.send(requests_at_once(paths));
+        EXPECT_TRUE(peer.wait_closed());
         EXPECT_EQ(handled.count(), 0U);
     }
     expect_still_serving();
 }
 
-// Someone opens connections and says nothing: the oldest go, so that memory
-// stays bounded and a peer with the key still gets in.
-TEST_F(link_strangers, a_crowd_can_not_keep_a_true_peer_out)
+// A process opens many connections and sends nothing. The oldest ones must be
+// closed, so that memory stays bounded and a peer with the key can connect.
+TEST_F(link_untrusted_peers,
+       idle_connections_do_not_lock_out_an_authenticated_peer)
 {
     server.reset();
-    limits.handshake_time = generous;
+    limits.handshake_time = test_timeout;
     limits.max_unauthenticated = 4;
     serve([this](const auto& stream) {
         handled.add();
         answer_reversed(stream);
     });
-    std::deque<stranger> crowd;
+    std::deque<raw_peer> idle_peers;
     for (int i = 0; i < 20; ++i)
-        crowd.emplace_back(server->address());
+        idle_peers.emplace_back(server->address());
     for (int i = 0; i < 16; ++i)
-        EXPECT_TRUE(crowd[i].wait_closed()) << i;
+        EXPECT_TRUE(idle_peers[i].wait_closed()) << i;
     expect_still_serving();
 }
 
