--- a/src/libcyclamenrun/settings/agent_settings.cpp
+++ b/src/libcyclamenrun/settings/agent_settings.cpp
@@ -30,7 +30,7 @@
         {"service", &settings.service, required, 1, longest_name, "",
          "Service that the upstream belongs to."},
         {"listen", &settings.listen, optional, 0, 0, "",
-         "Where entries connect."},
+         "Address that entries connect to."},
     };
 }
 
@@ -38,23 +38,27 @@
 {
     return {
         {"upstream.address", &upstream.address, required, 0, 0, "",
-         "Where the upstream listens."},
+         "Address that the upstream listens on."},
         {"upstream.kind", &upstream.kind, optional, 0, 0, "",
          "Whether it is a model engine or an application runner."},
         {"upstream.honours_fence", &upstream.honours_fence, optional, 0, 0, "",
          "Whether the engine refuses orders with an old fencing number; if "
-         "not, a new agent waits out the old one's lease."},
+         "not, a new agent waits until the old agent's lease has expired."},
         {"upstream.memory_tokens", &upstream.memory_tokens, optional, 1, 1e9,
-         "tokens", "Tokens that the engine's memory holds; models only."},
+         "tokens", "Capacity of the engine's memory in tokens; models only."},
         {"upstream.max_running", &upstream.max_running, optional, 1, 65536,
-         "requests", "Requests that run on the upstream at once."},
+         "requests",
+         "Maximum number of requests that run on the upstream at the same "
+         "time."},
         {"upstream.max_queued", &upstream.max_queued, optional, 0, 65536,
-         "requests", "Requests that wait at the agent at once."},
+         "requests",
+         "Maximum number of requests that wait at the agent at the same time."},
         {"upstream.connect_timeout_ms", &upstream.connect_timeout, optional, 10,
-         minute_ms, "ms", "Time for the upstream to accept a connection."},
+         minute_ms, "ms", "Timeout for connecting to the upstream."},
         {"upstream.idle_timeout_ms", &upstream.idle_timeout, optional, 100,
          hour_ms, "ms",
-         "Silence in an answer after which the upstream counts as lost."},
+         "Time without data from the upstream during an answer, after which "
+         "the upstream counts as lost."},
     };
 }
 
@@ -63,14 +67,16 @@
     return {
         {"replay.window_tokens", &replay.window_tokens, optional, 1, 1048576,
          "tokens",
-         "Tokens of a generation kept behind its slowest reader, to resume "
-         "from."},
+         "Tokens of a generation kept behind its slowest reader, so that "
+         "callers can resume."},
         {"replay.total_bytes", &replay.total_bytes, optional, mebibyte,
          1024 * mebibyte, "bytes",
-         "Answers kept of all requests; over it no new work is taken."},
+         "Maximum size of the answers kept for all requests; above it no new "
+         "work is accepted."},
         {"replay.resume_grace_ms", &replay.resume_grace, optional, 0, hour_ms,
          "ms",
-         "Time for which a generation runs on after its caller has gone."},
+         "Time for which a generation continues after its caller has "
+         "disconnected."},
     };
 }
 
@@ -79,10 +85,10 @@
     return {
         {"tombstones.lifetime_ms", &tombstones.lifetime, optional, minute_ms,
          day_ms, "ms",
-         "Time for which an id that was refused as not run is remembered; "
-         "longer than any link can hold a dispatch back."},
+         "Time for which the id of a request that was refused as not run is "
+         "kept; must be longer than a link can delay a dispatch."},
         {"tombstones.most", &tombstones.most, optional, 1000, 10e6, "ids",
-         "Such ids remembered at once."},
+         "Maximum number of such ids kept at the same time."},
     };
 }
 
@@ -90,10 +96,12 @@
 {
     return {
         {"drain.timeout_ms", &settings.drain_timeout, optional, 0, day_ms, "ms",
-         "Time for running work to end and be fetched in a planned stop."},
+         "Time in a planned stop for running work to end and for its answers "
+         "to be fetched."},
         {"drain.linger_ms", &settings.drain_linger, optional, 0, 600000, "ms",
-         "Time for which a drained agent still answers, for work that was on "
-         "its way; longer than a link that is silent is kept."},
+         "Time for which a drained agent still answers requests that were in "
+         "transit; must be longer than the time after which a link with no "
+         "response is closed."},
     };
 }
 
--- a/src/libcyclamenrun/settings/agent_settings.hpp
+++ b/src/libcyclamenrun/settings/agent_settings.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun
 {
 
-/** The upstream that an agent stands beside. */
+/** The upstream that an agent serves. */
 struct upstream_settings {
     ip_endpoint address;
     upstream_kind kind = upstream_kind::model;
@@ -24,14 +24,14 @@
     milliseconds idle_timeout{30000};
 };
 
-/** What is kept of generations so that callers can resume them. */
+/** Replay buffers, from which callers resume their generations. */
 struct replay_settings {
     std::uint64_t window_tokens = 8192;
     std::uint64_t total_bytes = 67108864;
     milliseconds resume_grace{30000};
 };
 
-/** What is kept of work that must never start. */
+/** Tombstones of requests that must never start. */
 struct tombstone_settings {
     milliseconds lifetime{600000};
     std::uint64_t most = 65536;
@@ -48,16 +48,16 @@
     milliseconds drain_linger{15000};
 };
 
-/** The rows that fill `settings`, which must outlive them. */
+/** Rows whose targets are members of `settings`, which must outlive them. */
 settings_table agent_rows(agent_settings& settings);
 
-/** `file` is for messages and for finding the link key's file. */
+/** Messages name `file`; its folder is the base of a relative link_key_file. */
 settings_outcome<agent_settings> parse_agent_settings(std::string_view text,
                                                       const std::string& file);
 
 settings_outcome<agent_settings> read_agent_settings(const std::string& file);
 
-/** A settings file with all defaults, to start from. */
+/** Returns the text of a settings file with all defaults, as a template. */
 std::string default_agent_settings();
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/settings/entry_settings.cpp
+++ b/src/libcyclamenrun/settings/entry_settings.cpp
@@ -28,12 +28,11 @@
 {
     return {
         {"listen", &settings.listen, optional, 0, 0, "",
-         "Where callers connect."},
+         "Address that callers connect to."},
         {"operator_listen", &settings.operator_listen, optional, 0, 0, "",
-         "Where operators connect."},
+         "Address that operators connect to."},
         {"operator_keys", &settings.operator_keys, required, 1,
-         most_operator_keys, "",
-         "Salted hashes of the keys that operators may use."},
+         most_operator_keys, "", "Salted hashes of the operators' keys."},
     };
 }
 
@@ -41,29 +40,31 @@
 {
     return {
         {"limits.header_bytes", &limits.header_bytes, optional, 1024, mebibyte,
-         "bytes", "Largest request line and headers together."},
+         "bytes", "Maximum size of the request line and headers together."},
         {"limits.body_bytes", &limits.body_bytes, optional, 1024, 64 * mebibyte,
-         "bytes", "Largest request body."},
+         "bytes", "Maximum size of a request body."},
         {"limits.prompt_bytes", &limits.prompt_bytes, optional, 1,
-         64 * mebibyte, "bytes", "Largest prompt within a body."},
+         64 * mebibyte, "bytes", "Maximum size of the prompt within a body."},
         {"limits.answer_bytes", &limits.answer_bytes, optional, 1024,
          256 * mebibyte, "bytes",
-         "Largest answer that is held back to be delivered whole."},
+         "Maximum size of an answer that is buffered and delivered as a "
+         "whole."},
         {"limits.connections", &limits.connections, optional, 1, 65536,
          "connections",
-         "Callers' connections that wait for a thread; more are closed."},
+         "Maximum number of callers' connections that wait for a thread; "
+         "further ones are closed."},
         {"limits.threads", &limits.threads, optional, 4, 8192, "threads",
          "Threads that serve callers, one for each connection in use."},
         {"limits.request_timeout_ms", &limits.request_timeout, optional, 100,
          10 * minute_ms, "ms",
-         "Time for a caller to send the whole of a request; then it is "
+         "Time for a caller to send a whole request; after it the caller is "
          "disconnected."},
         {"limits.idle_timeout_ms", &limits.idle_timeout, optional, 100, hour_ms,
          "ms", "Time after which an idle connection is closed."},
         {"limits.write_timeout_ms", &limits.write_timeout, optional, 100,
          hour_ms, "ms",
-         "Time for a caller to take a part of an answer; then it is "
-         "disconnected, and can resume a generation."},
+         "Time for a caller to read a part of an answer; after it the caller "
+         "is disconnected and can resume a generation."},
     };
 }
 
@@ -76,7 +77,7 @@
          "Retries allowed for each first attempt, on average per team."},
         {"routing.heartbeat_interval_ms", &routing.heartbeat_interval, optional,
          100, minute_ms, "ms",
-         "Longest time between two heartbeats of an agent; news comes at "
+         "Longest time between two heartbeats of an agent; changes are sent at "
          "once."},
     };
 }
@@ -88,17 +89,16 @@
     return {
         {"deadlines.default_ms", &deadlines.by_default, optional, 100, day_ms,
          "ms",
-         "Deadline of a request that names none, unless its service "
-         "does."},
+         "Deadline of a request that sets none, unless its service sets one."},
         {"deadlines.longest_ms", &deadlines.longest, optional, 100, day_ms,
-         "ms", "Longest deadline that a request may name."},
+         "ms", "Longest deadline that a request may set."},
         {"tickets.lifetime_ms", &settings.ticket_lifetime, optional, 1000,
-         day_ms, "ms", "Time for which a ticket may be used."},
+         day_ms, "ms", "Time for which a ticket is valid."},
         {"drain.balancer_wait_ms", &drain.balancer_wait, optional, 0,
          10 * minute_ms, "ms",
-         "Time between readiness going false and the listener closing."},
+         "Time between reporting not ready and closing the listener."},
         {"drain.timeout_ms", &drain.timeout, optional, 0, day_ms, "ms",
-         "Time for running requests to end in a planned stop."},
+         "Time in a planned stop for running requests to end."},
     };
 }
 
--- a/src/libcyclamenrun/settings/entry_settings.hpp
+++ b/src/libcyclamenrun/settings/entry_settings.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun
 {
 
-/** Bounds on what callers may use of an entry. */
+/** Limits on the sizes, connections and times of callers. */
 struct entry_limits {
     std::uint64_t header_bytes = 16384;
     std::uint64_t body_bytes = 1048576;
@@ -25,7 +25,7 @@
     milliseconds write_timeout{30000};
 };
 
-/** How an entry chooses upstreams and tries again. */
+/** How an entry selects upstreams and retries. */
 struct entry_routing {
     std::uint64_t subset_size = 16;
     double retry_share = 0.1;
@@ -54,16 +54,16 @@
     entry_drain drain;
 };
 
-/** The rows that fill `settings`, which must outlive them. */
+/** Rows whose targets are members of `settings`, which must outlive them. */
 settings_table entry_rows(entry_settings& settings);
 
-/** `file` is for messages and for finding the link key's file. */
+/** Messages name `file`; its folder is the base of a relative link_key_file. */
 settings_outcome<entry_settings> parse_entry_settings(std::string_view text,
                                                       const std::string& file);
 
 settings_outcome<entry_settings> read_entry_settings(const std::string& file);
 
-/** A settings file with all defaults, to start from. */
+/** Returns the text of a settings file with all defaults, as a template. */
 std::string default_entry_settings();
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/settings/gateway_settings.cpp
+++ b/src/libcyclamenrun/settings/gateway_settings.cpp
@@ -32,19 +32,20 @@
         {"failure_domain", &settings.failure_domain, required, 1, longest_name,
          "", "Failure domain of this VM."},
         {"log_level", &settings.log.least, optional, 0, 0, "",
-         "Least severity that is logged."},
+         "Lowest severity that is logged."},
         {"log_lines_per_s", &settings.log.lines_per_s, optional, 1, 1e6, "1/s",
-         "Lines logged in a second, at most; what failed goes first."},
+         "Maximum number of lines logged per second; refusals and failures "
+         "have priority."},
         {"log_every_step", &settings.log_every_step, optional, 0, 0, "",
-         "Log each decision on each request as it is made, not only those of "
-         "requests that end badly; for investigations."},
+         "Log each decision on every request when it is made, not only those "
+         "of requests that end badly; for investigations."},
         {"metrics_listen", &settings.metrics_listen, optional, 0, 0, "",
-         "Where `GET /metrics` is answered; port 0: nowhere."},
+         "Address that serves `GET /metrics`; port 0 disables it."},
         {"listen", &settings.listen, optional, 0, 0, "",
-         "Where callers connect."},
+         "Address that callers connect to."},
         {"ready_listen", &settings.ready_listen, optional, 0, 0, "",
-         "Where the balancer asks whether this process is ready, and "
-         "operators for its state."},
+         "Address at which the balancer checks readiness and operators query "
+         "the state of this process."},
     };
 }
 
@@ -58,16 +59,15 @@
          "Age at which the configuration may no longer be used; 0: never."},
         {"directory.configuration_wait_ms", &settings.configuration_wait,
          optional, 0, 30000, "ms",
-         "Time for which the store holds a question for a newer "
-         "configuration; half of the lease at most."},
+         "Time for which the store holds a query for a newer configuration; at "
+         "most half of the lease."},
         {"directory.upstream_wait_ms", &settings.upstream_wait, optional, 0,
          30000, "ms",
-         "Time for which the store holds a question for changes of "
-         "upstreams."},
+         "Time for which the store holds a query for changes of upstreams."},
         {"directory.upstream_pause_ms", &settings.upstream_pause, optional, 10,
          minute_ms, "ms",
-         "Time from one look of its own at changes of upstreams to the next; "
-         "monitors that look for it have a pace of their own."},
+         "Time between two of the gateway's own queries for changes of "
+         "upstreams; monitors that query for it have their own interval."},
     };
 }
 
@@ -75,7 +75,7 @@
 {
     return {
         {"loads.listen", &settings.loads_listen, optional, 0, 0, "",
-         "UDP address for the loads that monitors tell."},
+         "UDP address that receives the loads that monitors report."},
         {"loads.monitor_port", &settings.monitor_port, optional, 0,
          highest_port, "",
          "UDP and TCP port of the monitors beside engines; 0: there are "
@@ -87,19 +87,19 @@
 {
     return {
         {"retries.share", &settings.retry_share, optional, 0, 10, "",
-         "Further arrivals at a service for each request, over all "
+         "Further attempts allowed at a service for each request, over all "
          "gateways."},
         {"retries.extra", &settings.retry_extra, optional, 0, 1e6, "",
-         "Further arrivals at a service in a window beyond the share, over "
-         "all gateways."},
+         "Further attempts allowed at a service in a window beyond the share, "
+         "over all gateways."},
         {"retries.window_s", &settings.retry_window_s, optional, 0.1, hour_s,
-         "s", "Window of the budget of retries."},
+         "s", "Window of the retry budget."},
         {"stop.grace_s", &settings.stop_grace_s, optional, 0, hour_s, "s",
          "Time for a planned stop, after which the process may be killed."},
         {"stop.balancer_wait_ms", &settings.balancer_wait, optional, 0,
          minute_ms, "ms",
-         "Time between readiness going false and the listener closing; the "
-         "balancer needs two of its questions."},
+         "Time between reporting not ready and closing the listener; the "
+         "balancer needs two of its readiness checks."},
     };
 }
 
--- a/src/libcyclamenrun/settings/gateway_settings.hpp
+++ b/src/libcyclamenrun/settings/gateway_settings.hpp
@@ -19,15 +19,15 @@
     std::string failure_domain;
     log_settings log;
     bool log_every_step = false;
-    ip_endpoint metrics_listen{"127.0.0.1", 0}; ///< port 0: nowhere
+    ip_endpoint metrics_listen{"127.0.0.1", 0}; ///< port 0: disabled
     ip_endpoint listen{"0.0.0.0", 8080};
     ip_endpoint ready_listen{"127.0.0.1", 8081};
-    ip_endpoint directory; ///< the platform's store
+    ip_endpoint directory; ///< the platform's store of configurations
 
     ip_endpoint loads_listen{"0.0.0.0", 0};
-    std::uint64_t monitor_port = 0; ///< 0: no monitors are asked
+    std::uint64_t monitor_port = 0; ///< 0: no monitors are queried
 
-    /** 0: the configuration may be used however old it is. */
+    /** 0: the configuration never expires. */
     milliseconds configuration_lease{0};
     milliseconds upstream_pause{900};
     milliseconds configuration_wait{900};
--- a/src/libcyclamenrun/settings/monitor_settings.cpp
+++ b/src/libcyclamenrun/settings/monitor_settings.cpp
@@ -23,21 +23,22 @@
         {"name", &settings.name, required, 1, longest_name, "",
          "Name of this process, unique in the system."},
         {"log_level", &settings.log.least, optional, 0, 0, "",
-         "Least severity that is logged."},
+         "Lowest severity that is logged."},
         {"log_lines_per_s", &settings.log.lines_per_s, optional, 1, 1e6, "1/s",
-         "Lines logged in a second, at most; what failed goes first."},
+         "Maximum number of lines logged per second; refusals and failures "
+         "have priority."},
         {"metrics_listen", &settings.metrics_listen, optional, 0, 0, "",
-         "Where `GET /metrics` is answered; port 0: nowhere."},
+         "Address that serves `GET /metrics`; port 0 disables it."},
         {"listen", &settings.listen, optional, 0, 0, "",
-         "UDP address at which gateways ask for the load, and TCP address at "
-         "which they have the directory read."},
+         "UDP address at which gateways request the load, and TCP address at "
+         "which they request reads of the directory."},
         {"engine", &settings.engine, required, 0, 0, "",
-         "The engine on this VM, at the address that the directory names."},
+         "Address of the engine on this VM, as listed in the directory."},
         {"interval_ms", &settings.interval, optional, 10, longest_interval_ms,
-         "ms", "Time between two looks at the engine."},
+         "ms", "Time between two polls of the engine."},
         {"directory.address", &settings.directory, optional, 0, 0, "",
-         "The platform's store, which is read for gateways that ask; port 0: "
-         "it is not."},
+         "The platform's store, which is read on request of gateways; port 0 "
+         "disables this."},
     };
 }
 
--- a/src/libcyclamenrun/settings/monitor_settings.hpp
+++ b/src/libcyclamenrun/settings/monitor_settings.hpp
@@ -16,11 +16,11 @@
 struct monitor_settings {
     std::string name;
     log_settings log;
-    ip_endpoint metrics_listen{"127.0.0.1", 0}; ///< port 0: nowhere
+    ip_endpoint metrics_listen{"127.0.0.1", 0}; ///< port 0: disabled
     ip_endpoint listen{"0.0.0.0", 0};
-    ip_endpoint engine; ///< beside which it runs
+    ip_endpoint engine; ///< the engine on the monitor's VM
     milliseconds interval{100};
-    /** The platform's store; port 0: it is not read for gateways. */
+    /** The platform's store; with port 0 it is not read for gateways. */
     ip_endpoint directory{"127.0.0.1", 0};
 };
 
--- a/src/libcyclamenrun/settings/process_settings.cpp
+++ b/src/libcyclamenrun/settings/process_settings.cpp
@@ -23,17 +23,18 @@
         {"failure_domain", &settings.failure_domain, required, 1, longest_name,
          "", "Failure domain of this VM."},
         {"log_level", &settings.log.least, optional, 0, 0, "",
-         "Least severity that is logged."},
+         "Lowest severity that is logged."},
         {"log_lines_per_s", &settings.log.lines_per_s, optional, 1, 1e6, "1/s",
-         "Lines logged in a second, at most; what failed goes first."},
+         "Maximum number of lines logged per second; refusals and failures "
+         "have priority."},
         {"link_key", &settings.link_key, optional, smallest_link_key,
          largest_link_key, "",
-         "Key shared by all processes of the system; give this or "
+         "Key shared by all processes of the system; set either this or "
          "link_key_file."},
         {"link_key_file", &settings.link_key_file, optional, 1, longest_path,
          "",
-         "File that holds the link key; a relative path starts at the folder "
-         "of the settings file."},
+         "File that holds the link key; a relative path is resolved from the "
+         "folder of the settings file."},
     };
 }
 
@@ -42,7 +43,7 @@
     auto& platform = settings.platform;
     return {
         {"platform.address", &platform.address, required, 0, 0, "",
-         "Where the platform's services listen."},
+         "Address that the platform's services listen on."},
         {"platform.log", &platform.log, optional, 1, longest_name, "",
          "Name of the platform's log that carries the configuration."},
     };
--- a/src/libcyclamenrun/settings/process_settings.hpp
+++ b/src/libcyclamenrun/settings/process_settings.hpp
@@ -11,28 +11,28 @@
 namespace cyclamenrun
 {
 
-/** Where the platform's services are found. */
+/** Address and log name of the platform's services. */
 struct platform_settings {
     ip_endpoint address;
     std::string log = "cyclamenrun"; ///< name of the append-only log
 };
 
-/** What the settings of every process of the system hold. */
+/** Settings that entries and agents have in common. */
 struct process_settings {
     std::string name;
     std::string region;
     std::string failure_domain;
     log_settings log;
     secret link_key;           ///< at least `smallest_link_key` bytes
-    std::string link_key_file; ///< where link_key came from, or empty
+    std::string link_key_file; ///< file that link_key is read from, or empty
     platform_settings platform;
 };
 
-/** 256 bits: the key is used as that of HMAC-SHA256. */
+/** 256 bits, since the key is used for HMAC-SHA256. */
 inline constexpr std::size_t smallest_link_key = 32;
 inline constexpr std::size_t largest_link_key = 1024;
 
-/** Rows of the keys that stand above the first section. */
+/** Rows of the keys above the first section of the file. */
 settings_table process_rows(process_settings& settings);
 settings_table platform_rows(process_settings& settings);
 
--- a/src/libcyclamenrun/settings/settings_error.hpp
+++ b/src/libcyclamenrun/settings/settings_error.hpp
@@ -12,32 +12,32 @@
 
 /** What is wrong with a settings file. */
 enum class settings_problem : std::uint8_t {
-    unreadable,    ///< The file, or one it names, cannot be read.
-    syntax,        ///< It is not TOML.
+    unreadable,    ///< The file, or a file that it names, cannot be read.
+    syntax,        ///< The file is not valid TOML.
     unknown_key,   ///< No such setting; often a misspelling.
-    wrong_type,    ///< For example text where a number is due.
-    not_allowed,   ///< Right type, but the value is out of range.
-    missing,       ///< A setting without default was not given.
-    contradictory, ///< Two settings cannot stand together.
+    wrong_type,    ///< For example text for a number.
+    not_allowed,   ///< The type is right but the value is out of range.
+    missing,       ///< A setting without a default is missing.
+    contradictory, ///< Two settings contradict each other.
 };
 
 std::string_view name_of(settings_problem problem);
 
-/** One thing to mend in a settings file. Never holds a key's bytes. */
+/** One error in a settings file. Never contains the bytes of a key. */
 struct settings_error {
     settings_problem problem = settings_problem::unreadable;
     std::string file;
-    std::uint32_t line = 0; ///< from 1; 0: the file as a whole
-    std::string key;        ///< dotted; empty: not about one key
-    std::string allowed;    ///< what would have been right
+    std::uint32_t line = 0; ///< from 1; 0: the whole file
+    std::string key;        ///< dotted path; empty: not about one key
+    std::string allowed;    ///< values that are allowed, or the cause
 
     bool operator==(const settings_error&) const = default;
 };
 
-/** `FILE:LINE: KEY: what is wrong: what is allowed`. */
+/** Formats an error as `FILE:LINE: KEY: problem: allowed values`. */
 std::string to_string(const settings_error& error);
 
-/** All errors of a file at once, so that one look mends it. */
+/** All errors of a file, so that an operator can correct them in one pass. */
 using settings_errors = std::vector<settings_error>;
 
 template <typename Settings>
--- a/src/libcyclamenrun/settings/settings_file.cpp
+++ b/src/libcyclamenrun/settings/settings_file.cpp
@@ -28,7 +28,7 @@
         return tl::unexpected(unreadable(path, "not a readable file"));
     bytes.resize(static_cast<std::size_t>(file.gcount()));
     if (bytes.size() > largest_settings_file)
-        return tl::unexpected(unreadable(path, "at most 1048576 bytes"));
+        return tl::unexpected(unreadable(path, "larger than 1048576 bytes"));
     return bytes;
 }
 
--- a/src/libcyclamenrun/settings/settings_file.hpp
+++ b/src/libcyclamenrun/settings/settings_file.hpp
@@ -8,10 +8,10 @@
 namespace cyclamenrun
 {
 
-/** Larger files are refused unread: a wrong path may name anything. */
+/** Larger files are refused, since a wrong path may name any file. */
 inline constexpr std::size_t largest_settings_file = 1U << 20U;
 
-/** The file's bytes; the one error there can be is `unreadable`. */
+/** Returns the file's bytes. The only error is `unreadable`. */
 settings_outcome<std::string> read_settings_file(const std::string& path);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/settings/settings_link_key.cpp
+++ b/src/libcyclamenrun/settings/settings_link_key.cpp
@@ -22,7 +22,7 @@
     return (folder / key_file).string();
 }
 
-/** Editors end a file with a line feed, which is no part of the key. */
+/** Removes line ends, which editors add and which are not part of the key. */
 void trim_end(std::string& bytes)
 {
     while (!bytes.empty() && (bytes.back() == '\n' || bytes.back() == '\r'))
--- a/src/libcyclamenrun/settings/settings_link_key.hpp
+++ b/src/libcyclamenrun/settings/settings_link_key.hpp
@@ -8,8 +8,8 @@
 {
 
 /**
- * Sees to it that the settings hold a link key: from the settings themselves
- * or from the file that they name. `file` is the settings file.
+ * Checks that exactly one of link_key and link_key_file is set, and reads the
+ * key from link_key_file if that is set. `file` is the settings file.
  */
 settings_errors resolve_link_key(process_settings& settings,
                                  const std::string& file);
--- a/src/libcyclamenrun/settings/settings_reader.hpp
+++ b/src/libcyclamenrun/settings/settings_reader.hpp
@@ -11,8 +11,8 @@
 {
 
 /**
- * Reads TOML into the targets of a table. Returns everything that is wrong;
- * unless that is empty the targets must not be used. `file` is for messages.
+ * Parses TOML text into the targets of a table. Returns all errors; if there
+ * are any, the targets must not be used. `file` is named in messages.
  */
 settings_errors read_settings(const settings_table& table,
                               std::string_view text, const std::string& file);
--- a/src/libcyclamenrun/settings/settings_row.cpp
+++ b/src/libcyclamenrun/settings/settings_row.cpp
@@ -18,7 +18,7 @@
     return text.str();
 }
 
-/** As TOML wants a floating-point number: with a point. */
+/** Formats a number as a TOML float, which needs a decimal point. */
 std::string float_text(double number)
 {
     auto text = number_text(number);
@@ -85,7 +85,8 @@
     }
     std::string operator()(const ip_endpoint*) const
     {
-        return "\"IP:PORT\" with an IP number, such as \"127.0.0.1:8080\"";
+        return "\"IP:PORT\" with a numeric IP address, such as "
+               "\"127.0.0.1:8080\"";
     }
     std::string operator()(const secret*) const
     {
--- a/src/libcyclamenrun/settings/settings_row.hpp
+++ b/src/libcyclamenrun/settings/settings_row.hpp
@@ -17,27 +17,27 @@
 namespace cyclamenrun
 {
 
-/** The member of a settings struct that a row fills; its type is the row's. */
+/** The struct member that a row sets; its type is the setting's type. */
 using settings_target =
     std::variant<std::string*, std::uint64_t*, double*, bool*, milliseconds*,
                  ip_endpoint*, secret*, std::vector<key_hash>*,
                  std::vector<std::string>*, log_severity*, upstream_kind*>;
 
 enum class settings_presence : std::uint8_t {
-    optional, ///< The struct's initial value is the default.
-    required, ///< The file must give it.
+    optional, ///< The member's initial value is the default.
+    required, ///< The file must contain the setting.
 };
 
 /**
- * Everything known about one setting. The reader, `--print-defaults` and the
- * reference page all work from rows, so that they cannot disagree; the
- * default is the member's initial value and stands nowhere else.
+ * Describes one setting. The reader, `--print-defaults` and the reference page
+ * all use the same rows, so that they cannot disagree. The default is the
+ * member's initial value and is defined nowhere else.
  */
 struct settings_row {
     std::string_view key; ///< dotted path in the file
     settings_target target;
     settings_presence presence = settings_presence::optional;
-    /** Of numbers; of texts the length; of lists the count. */
+    /** Bounds of a number, of a text's length in bytes or of a list's size. */
     double minimum = 0;
     double maximum = 0;
     std::string_view unit;
@@ -46,13 +46,13 @@
 
 using settings_table = std::vector<settings_row>;
 
-/** In words: `integer`, `text`, `IP:PORT` and so on. */
+/** Returns the type in words: `integer`, `text`, `IP:PORT` and so on. */
 std::string type_of(const settings_row& row);
 
-/** Which values are allowed, in words for messages and the reference. */
+/** Describes the allowed values, for messages and the reference page. */
 std::string allowed_by(const settings_row& row);
 
-/** The value that the target holds now, as TOML. Keys are not shown. */
+/** Returns the target's current value as TOML. Link keys are masked. */
 std::string value_of(const settings_row& row);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/settings/settings_table_reader.cpp
+++ b/src/libcyclamenrun/settings/settings_table_reader.cpp
@@ -16,7 +16,7 @@
     return number >= row.minimum && number <= row.maximum;
 }
 
-/** Control characters have no place in names, paths or addresses. */
+/** Names, paths and addresses must not contain control characters. */
 bool is_printable(std::string_view text)
 {
     return std::all_of(text.begin(), text.end(), [](unsigned char character) {
@@ -24,7 +24,7 @@
     });
 }
 
-/** Stores one value in a row's target, or says why it cannot. */
+/** Stores one value in a row's target, or returns why it is refused. */
 class value_reader
 {
 public:
@@ -179,8 +179,8 @@
     return std::move(errors_);
 }
 
-// TOML nests at most 256 deep in toml++, and a level that the table does
-// not know is not entered, so the depth is bound by the table's keys.
+// toml++ limits nesting to 256 levels, and sections that the settings table
+// does not contain are not entered, so the table's keys bound the depth.
 void settings_table_reader::read_level(
     const toml::table& level, // NOLINT(misc-no-recursion)
     const std::string& prefix)
@@ -226,7 +226,7 @@
     });
 }
 
-/** The keys that are known where an unknown one was found. */
+/** Lists the known keys of the section that has an unknown key. */
 std::string settings_table_reader::keys_beside(const std::string& prefix) const
 {
     std::string keys;
--- a/src/libcyclamenrun/settings/settings_table_reader.hpp
+++ b/src/libcyclamenrun/settings/settings_table_reader.hpp
@@ -12,15 +12,15 @@
 namespace cyclamenrun
 {
 
-/** Walks a TOML table against a settings table and collects what is wrong. */
+/** Reads a TOML table into a settings table's targets and collects errors. */
 class settings_table_reader
 {
 public:
-    /** `name` goes before each key in messages; `file` likewise. */
+    /** Messages name `file`, and prefix each key with `name`. */
     settings_table_reader(const settings_table& table, const std::string& file,
                           std::string name = {});
 
-    /** `line` is that of the table, for keys that it lacks. */
+    /** `line` is the table's line, which errors about missing keys name. */
     settings_errors read(const toml::table& document, std::uint32_t line = 0);
 
 private:
--- a/src/libcyclamenrun/settings/settings_writer.cpp
+++ b/src/libcyclamenrun/settings/settings_writer.cpp
@@ -18,7 +18,7 @@
     return row.key.substr(row.key.rfind('.') + 1);
 }
 
-/** Whether the value now is no value: it would be refused if read back. */
+/** Whether there is no default; reading the value back would be refused. */
 bool is_blank(const settings_row& row, const std::string& value)
 {
     return row.presence == settings_presence::required || value == "\"\"";
--- a/src/libcyclamenrun/settings/settings_writer.hpp
+++ b/src/libcyclamenrun/settings/settings_writer.hpp
@@ -9,12 +9,12 @@
 {
 
 /**
- * A settings file with every key, its meaning and its value now; what the
- * user must fill in is commented out.
+ * Returns a settings file with every key, its description and its current
+ * value. Keys that the user must fill in are commented out.
  */
 std::string write_settings(const settings_table& table);
 
-/** The same as a table in Markdown, for the reference page. */
+/** Returns the rows as a Markdown table for the reference page. */
 std::string write_settings_reference(const settings_table& table);
 
 } // namespace cyclamenrun
--- a/tests/settings/test_docs.cpp
+++ b/tests/settings/test_docs.cpp
@@ -40,7 +40,7 @@
                     name);
 }
 
-/** All sources of the library but the files of that name. */
+/** All sources of the library except the files with this name. */
 std::string sources_but(const std::string& name)
 {
     std::string text;
@@ -143,8 +143,8 @@
     }
 }
 
-// An engineer looks for what the page shows; a field that was renamed since
-// would never be found.
+// Guards against example lines on the page with events or fields that were
+// renamed: an engineer who searches the logs for them would find nothing.
 TEST(docs, example_lines_have_events_and_fields_that_are_logged)
 {
     std::set<std::string> known{"time", "severity", "process", "event"};
@@ -171,7 +171,7 @@
     EXPECT_GE(examples, 3);
 }
 
-// The page says which test proves what; one that was renamed proves nothing.
+// Guards against a page that names tests which were renamed or removed.
 TEST(docs, tests_that_the_page_of_faults_names_exist)
 {
     const auto tests = std::filesystem::path(CYCLAMENRUN_SOURCE_DIR) / "tests";
--- a/tests/settings/test_settings.cpp
+++ b/tests/settings/test_settings.cpp
@@ -114,8 +114,8 @@
 }
 
 /**
- * A prompt bound above that of the body would never be reached: callers
- * would be told of another bound than the one that operators set.
+ * Guards against a prompt limit above the body limit. The body limit would
+ * always apply first, so callers would see a limit other than the one set.
  */
 TEST(settings, settings_that_contradict_each_other_are_refused)
 {
@@ -134,7 +134,7 @@
     EXPECT_EQ(errors.size(), 5U);
 }
 
-/** Breaks a good file at random places: typed errors, never an exception. */
+/** Damages a valid file at random places; parsing must never throw. */
 RC_GTEST_PROP(settings, random_damage_gives_settings_or_typed_errors, ())
 {
     auto text = good_entry;
