--- a/src/libcyclamenrun/outside/cancellation.hpp
+++ b/src/libcyclamenrun/outside/cancellation.hpp
@@ -11,7 +11,7 @@
 
 /**
  * Ends blocking calls from another thread. Each call attaches a hook that
- * wakes it, and detaches the hook before what the hook touches is gone.
+ * wakes it, and detaches the hook before destroying the objects it uses.
  */
 class cancellation
 {
@@ -20,16 +20,16 @@
     cancellation(const cancellation&) = delete;
     cancellation& operator=(const cancellation&) = delete;
 
-    /** Final: a cancelled call stays cancelled. */
+    /** Runs all hooks. A cancellation can't be undone. */
     void cancel();
     bool cancelled() const;
 
     /**
-     * Runs `hook` at once if the cancellation came first. The number is for
-     * detach(): several calls may wait under one cancellation.
+     * Runs `hook` at once if already cancelled. Returns the number to pass to
+     * detach(), since several calls may wait under one cancellation.
      */
     std::uint64_t attach(std::function<void()> hook);
-    /** The hook neither runs nor is running once this has returned. */
+    /** Once this has returned, the hook is not running and never runs again. */
     void detach(std::uint64_t attachment);
 
 private:
--- a/src/libcyclamenrun/outside/engine_client.cpp
+++ b/src/libcyclamenrun/outside/engine_client.cpp
@@ -55,7 +55,7 @@
                                        error.may_have_run, error.detail});
 }
 
-/** An engine refuses with 4xx or 503 before it begins. */
+/** An engine that answers 4xx or 503 has not started the work. */
 tl::unexpected<engine_error> status_error(int status)
 {
     const bool begun =
@@ -91,7 +91,7 @@
     return to_string(document);
 }
 
-/** Reads events until the stream says that it has ended. */
+/** Reads events until the stream's end marker or an error. */
 tl::expected<void, engine_error> pump(http_exchange& exchange,
                                       engine_stream& stream)
 {
@@ -106,7 +106,7 @@
         if (bytes->empty())
             return tl::unexpected(engine_error{engine_failure::lost_mid_stream,
                                                0, true,
-                                               "ended before its end mark"});
+                                               "stream ended before [DONE]"});
         if (const auto fed = parser.feed(*bytes, on_event); !fed)
             return tl::unexpected(
                 engine_error{engine_failure::too_large, 0, true,
@@ -210,7 +210,7 @@
     std::vector<std::string> ids;
     for (const auto& id : *list) {
         if (!id.isString())
-            return malformed("a run's id is not a string");
+            return malformed("the id of a run is not a string");
         ids.push_back(id.extract<std::string>());
     }
     return ids;
@@ -223,13 +223,13 @@
         return tl::unexpected(answer.error());
     const auto document = parse_json_object(answer->body);
     if (!document)
-        return malformed("load is not JSON");
+        return malformed("load is not a JSON object");
     const auto running = json_u64(*document, "running");
     const auto waiting = json_u64(*document, "waiting");
     const auto used = json_u64(*document, "memory_tokens_used");
     const auto total = json_u64(*document, "memory_tokens_total");
     if (!running || !waiting || !used || !total)
-        return malformed("load lacks a member");
+        return malformed("a member of the load is missing or invalid");
     return engine_load{static_cast<std::uint32_t>(*running),
                        static_cast<std::uint32_t>(*waiting), *used, *total};
 }
--- a/src/libcyclamenrun/outside/engine_client.hpp
+++ b/src/libcyclamenrun/outside/engine_client.hpp
@@ -21,15 +21,15 @@
 struct engine_request {
     std::string request_id;
     std::string path; ///< /v1/completions or /v1/chat/completions
-    std::string body; ///< JSON object; id, stream and priority are put in
+    std::string body; ///< JSON object; id, stream and priority are added
     int priority = 0; ///< higher runs first
     time_point deadline;
-    /** Fails with epoch_changed in any other life of the engine; 0: any. */
+    /** Fails with epoch_changed if the engine's epoch differs; 0: any epoch. */
     std::uint64_t expected_epoch = 0;
 };
 
 struct engine_events {
-    /** Called in order; the stream waits until it returns. */
+    /** Called for each token in order; reading waits until it returns. */
     std::function<void(std::string text)> on_token;
 };
 
@@ -44,7 +44,7 @@
     lost_before_answer,
     lost_mid_stream,
     bad_status,
-    malformed, ///< also an answer to another request
+    malformed, ///< includes an answer to another request
     timed_out,
     cancelled,
     too_large,
@@ -56,12 +56,12 @@
 struct engine_error {
     engine_failure failure = engine_failure::connect_failed;
     int status = 0; ///< with bad_status
-    /** False only if the engine can't have begun the work. */
+    /** False only if the engine can't have started the work. */
     bool may_have_run = false;
     std::string detail;
 };
 
-/** Lags what the engine does at the moment. */
+/** Load as the engine reports it, which lags its actual load. */
 struct engine_load {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -78,17 +78,19 @@
 
 std::string_view name_of(engine_action action);
 
-/** A change of what the engine has loaded or does. */
+/** An order to change what the engine has loaded, or its role. */
 struct engine_order {
-    std::uint64_t fence = 0; ///< fencing number; an engine may refuse a lower
+    std::uint64_t fence =
+        0; ///< fencing number; an engine may refuse lower ones
     engine_action action = engine_action::load_model;
     std::string value; ///< name of the model, adapter, version or role
     time_point deadline;
 };
 
 /**
- * Speaks to one model engine. Calls block, one for each thread; each has a
- * connection of its own, so none can read the answer to another.
+ * HTTP client of one model engine. Calls block. Several threads may call at
+ * the same time; each call has its own connection, so that it can't read the
+ * answer to another call.
  */
 class engine_client
 {
@@ -96,7 +98,7 @@
     engine_client(std::string address, http_limits limits,
                   clock_function clock);
 
-    /** Closing the connection is what ends the run at the engine. */
+    /** Runs a generation. The engine ends the run if the connection closes. */
     tl::expected<engine_result, engine_error> run(const engine_request& request,
                                                   const engine_events& events,
                                                   cancellation& cancel);
@@ -104,12 +106,12 @@
                                             time_point deadline);
     tl::expected<void, engine_error> order(const engine_order& order);
 
-    /** Ids of all requests that the engine holds, running or waiting. */
+    /** Returns the ids of all requests at the engine, running or waiting. */
     tl::expected<std::vector<std::string>, engine_error>
     runs(time_point deadline);
     tl::expected<engine_load, engine_error> load(time_point deadline);
 
-    /** Of the life of the engine that answered last; 0: none has. */
+    /** Epoch of the last answer, which changes on a restart; 0: no answer. */
     std::uint64_t epoch() const { return epoch_; }
 
 private:
--- a/src/libcyclamenrun/outside/engine_stream.cpp
+++ b/src/libcyclamenrun/outside/engine_stream.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::string_view end_mark = "[DONE]";
 
-/** The text is in `text` or, for a chat, in `delta.content`. */
+/** Returns the token's text: `text` or, in a chat, `delta.content`. */
 std::string text_of(const Poco::JSON::Object& choice)
 {
     if (auto text = json_string(choice, "text"))
@@ -35,21 +35,23 @@
 {
     if (event.data == end_mark) {
         done_ = true;
-        return result_.finish_reason.empty() ? fail("no finish reason") : false;
+        return result_.finish_reason.empty()
+                   ? fail("stream ended without a finish reason")
+                   : false;
     }
     const auto chunk = parse_json_object(event.data);
     if (!chunk)
-        return fail("chunk is not JSON");
-    // An answer to another request must not reach this one's caller.
+        return fail("chunk is not a JSON object");
+    // The caller must not receive the answer to another request.
     if (json_string(*chunk, "id") != request_id_)
-        return fail("chunk of another request");
+        return fail("chunk belongs to another request");
     const auto choices = json_array(*chunk, "choices");
     const auto choice =
         choices ? choices->getObject(0) : Poco::JSON::Object::Ptr{};
     if (!choice)
-        return fail("chunk without choice");
+        return fail("chunk has no choice");
     if (!result_.finish_reason.empty())
-        return fail("chunk after the finish");
+        return fail("chunk after the finish reason");
     auto text = text_of(*choice);
     if (!text.empty()) {
         ++result_.tokens;
--- a/src/libcyclamenrun/outside/engine_stream.hpp
+++ b/src/libcyclamenrun/outside/engine_stream.hpp
@@ -10,13 +10,13 @@
 namespace cyclamenrun
 {
 
-/** Turns the events of one engine stream into tokens and a result. */
+/** Converts the events of one engine stream to tokens and a result. */
 class engine_stream
 {
 public:
     engine_stream(std::string request_id, const engine_events& events);
 
-    /** False once the stream has ended, well or with error(). */
+    /** Returns false once the stream has ended, complete or with error(). */
     bool take(const sse_event& event);
 
     bool finished() const { return done_; }
--- a/src/libcyclamenrun/outside/http_deadline_socket.cpp
+++ b/src/libcyclamenrun/outside/http_deadline_socket.cpp
@@ -66,7 +66,7 @@
     const auto wait = std::min(time_left(deadline_, clock_()), max_silence_);
     const Poco::Timespan span(wait.count() * Poco::Timespan::MILLISECONDS);
     if (wait.count() == 0 || !poll(span, mode))
-        throw Poco::TimeoutException("deadline or silence");
+        throw Poco::TimeoutException("deadline or response timeout reached");
 }
 
 void http_deadline_socket::note_received(std::string_view bytes)
--- a/src/libcyclamenrun/outside/http_deadline_socket.hpp
+++ b/src/libcyclamenrun/outside/http_deadline_socket.hpp
@@ -11,10 +11,10 @@
 {
 
 /**
- * A socket under one absolute deadline. A timeout for each read would let a
- * peer that sends a byte now and then hold a call for ever; here all reads
- * and writes together end by the deadline, and none waits longer than the
- * silence allowed. Both show as Poco::TimeoutException.
+ * A client socket with one absolute deadline for all reads and writes. With
+ * only a timeout for each read, a peer that sends single bytes slowly could
+ * hold a call forever. Each read or write is also limited by the response
+ * timeout. Both limits throw Poco::TimeoutException.
  */
 class http_deadline_socket : public Poco::Net::StreamSocketImpl
 {
@@ -25,9 +25,9 @@
     int sendBytes(const void* buffer, int length, int flags = 0) override;
     int receiveBytes(void* buffer, int length, int flags = 0) override;
 
-    /** The peer has closed, and a read has met that. */
+    /** Whether a read has found the connection closed by the peer. */
     bool closed_by_peer() const { return closed_by_peer_; }
-    /** The last few bytes that were read. */
+    /** The last 5 bytes read, which end a complete chunked body. */
     std::string_view tail() const { return tail_; }
 
 private:
--- a/src/libcyclamenrun/outside/http_exchange.cpp
+++ b/src/libcyclamenrun/outside/http_exchange.cpp
@@ -32,8 +32,8 @@
     "timed_out",      "cancelled",          "too_large"};
 
 /**
- * A second descriptor of a connection. Shutting it down ends the reads of the
- * thread that owns the first, which may close its own at any moment.
+ * A duplicate descriptor of a connection. Shutting it down ends the reads of
+ * the thread that owns the original descriptor and may close it at any time.
  */
 class shutdown_handle
 {
@@ -146,8 +146,8 @@
                    Poco::Timespan(wait.count() * Poco::Timespan::MILLISECONDS));
     socket.setNoDelay(true);
     session_ = std::make_unique<Poco::Net::HTTPClientSession>(socket);
-    // With keep-alive the session would connect and send again by itself when
-    // a write fails, and a call could run twice.
+    // With keep-alive the session reconnects and sends the request again when
+    // a write fails, so that a call could run twice.
     session_->setKeepAlive(false);
     return true;
 }
@@ -185,7 +185,7 @@
     Poco::Net::HTTPResponse response;
     response.setFieldLimit(max_header_fields);
     body_ = &session_->receiveResponse(response);
-    // Lets what the socket throws through, so that it can be told apart.
+    // Passes on exceptions of the socket, so that they can be classified.
     body_->exceptions(std::ios::badbit);
     if (response.hasContentLength())
         expected_ = static_cast<std::size_t>(response.getContentLength64());
@@ -197,9 +197,9 @@
 }
 
 /**
- * The session shows the end of a body and a lost connection alike, so that a
- * cut answer would pass for a whole one: here its length, or the mark at the
- * end of the last chunk, must have come.
+ * Whether the whole body has arrived. The session reports the end of a body
+ * and a lost connection in the same way, so a truncated answer would look
+ * complete. This requires the announced length, or the last chunk's end.
  */
 bool http_exchange::complete() const
 {
@@ -214,13 +214,13 @@
     return {failure, sent_, std::move(detail)};
 }
 
-/** Names the exception in flight. */
+/** Maps the current exception to an error; `lost` is for a lost connection. */
 http_error http_exchange::current_error(http_failure lost) const
 {
     if (cancellation_ && cancellation_->cancelled())
         return error(http_failure::cancelled, "while waiting");
     if (!std::current_exception())
-        return error(lost, "short body");
+        return error(lost, "body ended early");
     try {
         throw;
     } catch (const Poco::TimeoutException& cause) {
--- a/src/libcyclamenrun/outside/http_exchange.hpp
+++ b/src/libcyclamenrun/outside/http_exchange.hpp
@@ -24,7 +24,7 @@
     lost_before_answer, ///< closed before the status line
     lost_mid_answer,    ///< closed before the end of the body
     malformed,
-    timed_out, ///< deadline, or silence for too long
+    timed_out, ///< the deadline passed, or no byte came within max_silence
     cancelled,
     too_large,
 };
@@ -33,14 +33,14 @@
 
 struct http_error {
     http_failure failure = http_failure::connect_failed;
-    /** False only if no byte of the request can have arrived. */
+    /** False only if the server can't have received any byte of the request. */
     bool may_have_run = false;
     std::string detail;
 };
 
 struct http_limits {
     milliseconds connect_timeout = milliseconds(1000);
-    /** The longest wait for a byte of an answer. */
+    /** Response timeout: the longest wait for the next byte of an answer. */
     milliseconds max_silence = milliseconds(30000);
     std::size_t max_answer_bytes = std::size_t(16) << 20;
 };
@@ -66,9 +66,9 @@
 };
 
 /**
- * One HTTP exchange on a connection of its own, closed at its end. Since no
- * connection is used twice, a late answer to an earlier request can't be
- * taken for the answer to a later one.
+ * One HTTP exchange on its own connection, which is closed at the end. Since
+ * no connection is reused, a late answer to an earlier request can't be
+ * mistaken for the answer to a later one.
  */
 class http_exchange
 {
@@ -85,12 +85,12 @@
                                               cancellation* cancel = nullptr);
 
     /**
-     * Waits for the next bytes of the body; an empty view is its end. The
-     * view holds until the next call.
+     * Waits for the next bytes of the body. An empty view means the end of the
+     * body. The view is valid until the next call.
      */
     tl::expected<std::string_view, http_error> read();
 
-    /** start() and the whole body. */
+    /** Calls start() and reads the whole body. */
     tl::expected<http_answer, http_error> run(const http_request& request,
                                               cancellation* cancel = nullptr);
 
--- a/src/libcyclamenrun/outside/http_json.cpp
+++ b/src/libcyclamenrun/outside/http_json.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Deeper text could exhaust the stack of the parser. */
+/** Deeper nesting could exhaust the parser's stack. */
 constexpr int max_depth = 32;
 
 } // namespace
@@ -47,7 +47,7 @@
     try {
         return value.convert<std::uint64_t>();
     } catch (const Poco::Exception&) {
-        return {}; // below zero
+        return {}; // negative
     }
 }
 
--- a/src/libcyclamenrun/outside/http_json.hpp
+++ b/src/libcyclamenrun/outside/http_json.hpp
@@ -9,10 +9,10 @@
 namespace cyclamenrun
 {
 
-/** Null for anything but a JSON object of moderate depth. */
+/** Parses a JSON object; null for other text or nesting over 32 levels. */
 Poco::JSON::Object::Ptr parse_json_object(const std::string& text);
 
-/** Empty unless the member is there and of this type. */
+/** These return an empty value unless the member exists with this type. */
 std::optional<std::string> json_string(const Poco::JSON::Object& object,
                                        const std::string& name);
 std::optional<std::uint64_t> json_u64(const Poco::JSON::Object& object,
--- a/src/libcyclamenrun/outside/http_write_limit.hpp
+++ b/src/libcyclamenrun/outside/http_write_limit.hpp
@@ -11,15 +11,15 @@
 {
 
 /**
- * Bounds how long an HTTP client may take no part of its answer. Lives as
- * long as the handling of one request.
+ * Limits how long an HTTP server waits for a client to read its answer. One
+ * object is created for each request and lives while it is handled.
  *
- * Guards against a client that keeps its connection but reads no more. The
- * write would wait for ever and hold a thread, until none is left and nobody
- * is served. The socket's send timeout ends the write; but POCO's streams
- * swallow its exception, and of a connection that is kept alive the next
- * request would be read and its answer block again. So at the end the
- * connection is given up unless the client has made room.
+ * Guards against clients that keep their connection open but stop reading.
+ * Writes to them would block forever and hold threads until none is left to
+ * serve others. The socket's send timeout ends a blocked write, but POCO's
+ * streams swallow its exception; on a kept-alive connection the server would
+ * read the next request and block again. So the destructor disables keep-alive
+ * unless the socket accepts more data.
  */
 class http_write_limit
 {
--- a/src/libcyclamenrun/outside/logging_platform_log.cpp
+++ b/src/libcyclamenrun/outside/logging_platform_log.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-/** Whether the service as such does not work, rather than this call. */
+/** Whether the service itself has failed, not only this call. */
 bool is_outage(const log_error& error)
 {
     return error.failure == log_failure::unavailable ||
--- a/src/libcyclamenrun/outside/logging_platform_log.hpp
+++ b/src/libcyclamenrun/outside/logging_platform_log.hpp
@@ -12,8 +12,8 @@
 class metrics;
 
 /**
- * Passes calls on to the platform's log, and logs when it stops and starts to
- * answer: one line for each outage, however many calls fail in it.
+ * Forwards calls to the platform's log. Logs the start and the end of each
+ * outage once, however many calls fail in between.
  */
 class logging_platform_log : public platform_log
 {
--- a/src/libcyclamenrun/outside/logging_vm_list.hpp
+++ b/src/libcyclamenrun/outside/logging_vm_list.hpp
@@ -10,13 +10,13 @@
 {
 
 /**
- * Logs how the platform's list of VMs changes. Not thread-safe: lists come
- * from one thread.
+ * Logs changes of the platform's list of VMs. Not thread-safe: one thread
+ * passes all lists.
  */
 class logging_vm_list
 {
 public:
-    /** What the first list holds is counted, not told one by one. */
+    /** Logs changes since the last list; for the first, the number of VMs. */
     void note(const vm_list& list);
 
 private:
--- a/src/libcyclamenrun/outside/platform_log.hpp
+++ b/src/libcyclamenrun/outside/platform_log.hpp
@@ -17,7 +17,7 @@
     timed_out,     ///< an append may have taken effect
     rate_limited,  ///< not appended
     too_large,     ///< not appended
-    retained_away, ///< the records asked for are gone
+    retained_away, ///< the requested records are no longer kept
     malformed,     ///< an append may have taken effect
 };
 
@@ -38,7 +38,7 @@
 
 struct log_page {
     std::uint64_t first_retained = 0; ///< the oldest offset still kept
-    std::uint64_t next = 0;           ///< that the next append will get
+    std::uint64_t next = 0;           ///< offset of the next append
     std::vector<log_entry> records;   ///< in order of offset
 };
 
@@ -51,11 +51,11 @@
     platform_log& operator=(const platform_log&) = delete;
     virtual ~platform_log() = default;
 
-    /** The offset of the new record. */
+    /** Returns the offset of the new record. */
     virtual tl::expected<std::uint64_t, log_error>
     append(std::string_view data) = 0;
 
-    /** At most `max` records; waits up to `wait` for the first. */
+    /** Returns at most `max` records; waits up to `wait` for the first. */
     virtual tl::expected<log_page, log_error>
     read(std::uint64_t from, std::uint32_t max, milliseconds wait) = 0;
 };
--- a/src/libcyclamenrun/outside/platform_log_client.cpp
+++ b/src/libcyclamenrun/outside/platform_log_client.cpp
@@ -95,7 +95,7 @@
     return log_entry{*offset, std::move(*bytes)};
 }
 
-/** Records must ascend from `from` on, or a reader could apply one twice. */
+/** Offsets must ascend from `from`, or a reader could apply a record twice. */
 std::optional<log_page> page_of(const std::string& body, std::uint64_t from)
 {
     const auto document = parse_json_object(body);
--- a/src/libcyclamenrun/outside/platform_log_client.hpp
+++ b/src/libcyclamenrun/outside/platform_log_client.hpp
@@ -11,11 +11,11 @@
 
 class cancellation;
 
-/** A log of the platform's service, over HTTP. */
+/** HTTP client for one log of the platform's log service. */
 class platform_log_client : public platform_log
 {
 public:
-    /** `call_limit` bounds each call, on top of what a read may wait. */
+    /** `call_limit` is the timeout of each call; a read adds its `wait`. */
     platform_log_client(std::string address, const std::string& log,
                         http_limits limits, milliseconds call_limit,
                         clock_function clock, cancellation* stop = nullptr);
--- a/src/libcyclamenrun/outside/request_deadline_listener.hpp
+++ b/src/libcyclamenrun/outside/request_deadline_listener.hpp
@@ -10,8 +10,8 @@
 {
 
 /**
- * Listens at `address` for HTTP clients; each accepted connection is a
- * request_deadline_socket. Throws Poco::Exception if it cannot.
+ * Listens on `address` for HTTP clients. Each accepted connection is a
+ * request_deadline_socket. Throws Poco::Exception on failure.
  */
 Poco::Net::ServerSocket listen_with_deadline(const ip_endpoint& address,
                                              milliseconds limit);
--- a/src/libcyclamenrun/outside/request_deadline_socket.cpp
+++ b/src/libcyclamenrun/outside/request_deadline_socket.cpp
@@ -33,7 +33,8 @@
     const auto left = time_left(*deadline_, now);
     const Poco::Timespan wait(left.count() * Poco::Timespan::MILLISECONDS);
     if (left.count() == 0 || !poll(wait, SELECT_READ))
-        throw Poco::TimeoutException("the request was not sent in time");
+        throw Poco::TimeoutException(
+            "client did not send the whole request in time");
     return StreamSocketImpl::receiveBytes(buffer, length, flags);
 }
 
--- a/src/libcyclamenrun/outside/request_deadline_socket.hpp
+++ b/src/libcyclamenrun/outside/request_deadline_socket.hpp
@@ -11,14 +11,13 @@
 {
 
 /**
- * A server's connection whose client must send each request as a whole by a
- * deadline.
+ * A server connection whose client must send each whole request by a deadline.
  *
- * Guards against a client that sends a byte now and then. A timeout for each
- * read never ends for it, and it holds a thread for as long as it likes; a
- * few such clients keep all others out. Here the time runs from the first
- * byte read of a request until something is sent back, however the bytes
- * come. It shows as Poco::TimeoutException.
+ * Guards against clients that send single bytes slowly. A timeout for each
+ * read never expires for them, so each holds a thread for as long as it likes,
+ * and a few such clients block all others. Here the time runs from the first
+ * read of a request until the server sends data. Reads after the deadline
+ * throw Poco::TimeoutException.
  */
 class request_deadline_socket : public Poco::Net::StreamSocketImpl
 {
@@ -40,9 +39,9 @@
     milliseconds limit_;
     std::optional<time_point> deadline_; ///< of the request being read
     /**
-     * Orders each use before the end, which another thread may bring about.
-     * POCO's count of references does so too, but within its own library,
-     * where ThreadSanitizer does not see it and takes the end for a race.
+     * Orders each use before the destructor, which another thread may run.
+     * POCO's reference count orders them as well, but ThreadSanitizer does not
+     * see inside its library and would report the destructor as a race.
      */
     std::atomic<bool> used_{false};
 };
--- a/src/libcyclamenrun/outside/runner_client.hpp
+++ b/src/libcyclamenrun/outside/runner_client.hpp
@@ -21,14 +21,14 @@
     time_point deadline;
 };
 
-/** Whatever the runner answered, errors of its own included. */
+/** The runner's answer, including its own error statuses. */
 struct runner_answer {
     int status = 0;
     std::string content_type;
     std::string body;
 };
 
-/** Speaks to one application runner, each call on a connection of its own. */
+/** HTTP client of one application runner; each call has its own connection. */
 class runner_client
 {
 public:
--- a/src/libcyclamenrun/outside/sse_parser.cpp
+++ b/src/libcyclamenrun/outside/sse_parser.cpp
@@ -26,7 +26,7 @@
     for (const char byte : bytes) {
         if (!state_)
             return state_;
-        // A return and newline end one line, even in two pieces.
+        // CR LF is one line end, even when split between two calls.
         const bool second_half = after_return_ && byte == '\n';
         after_return_ = byte == '\r';
         if (second_half)
--- a/src/libcyclamenrun/outside/sse_parser.hpp
+++ b/src/libcyclamenrun/outside/sse_parser.hpp
@@ -29,13 +29,14 @@
 std::string_view name_of(sse_failure failure);
 
 /**
- * Reads server-sent events from bytes that come in any pieces. Holds one line
- * and one event, both bounded; after a failure it stays failed.
+ * Parses server-sent events from a byte stream that is split at any point.
+ * Buffers one line and one event, both limited in size. After a failure all
+ * later calls return the same failure.
  */
 class sse_parser
 {
 public:
-    /** Returning false ends the feeding of the piece at hand. */
+    /** Returning false stops parsing the current bytes. */
     using event_function = std::function<bool(sse_event&&)>;
 
     explicit sse_parser(sse_limits limits = {});
--- a/src/libcyclamenrun/outside/vm_list.hpp
+++ b/src/libcyclamenrun/outside/vm_list.hpp
@@ -15,10 +15,10 @@
 std::string_view name_of(vm_state state);
 std::optional<vm_state> vm_state_of(std::string_view name);
 
-/** A VM as the platform lists it. */
+/** A VM in the platform's list. */
 struct vm {
     std::string id;
-    std::string address; ///< IP:PORT of the process in its slot
+    std::string address; ///< IP:PORT of the process that runs on it
     std::string region;
     std::string failure_domain;
     std::string service;
@@ -27,7 +27,7 @@
     bool operator==(const vm&) const = default;
 };
 
-/** The platform's list of VMs; it lags what is true. */
+/** The platform's list of VMs, which lags the actual state. */
 struct vm_list {
     std::uint64_t revision = 0;
     std::vector<vm> vms;
--- a/src/libcyclamenrun/outside/vm_list_client.hpp
+++ b/src/libcyclamenrun/outside/vm_list_client.hpp
@@ -28,8 +28,8 @@
                    cancellation* stop = nullptr);
 
     /**
-     * The list as soon as its revision is above `after`; else, after `wait`,
-     * as it stands. 0 asks for it at once.
+     * Returns the list as soon as its revision is above `after`, or the current
+     * list after `wait`. With `after` 0 the list is returned at once.
      */
     tl::expected<vm_list, vm_list_failure> read(std::uint64_t after,
                                                 milliseconds wait);
--- a/src/libcyclamenrun/outside/vm_list_watcher.hpp
+++ b/src/libcyclamenrun/outside/vm_list_watcher.hpp
@@ -15,9 +15,9 @@
 {
 
 /**
- * Follows the platform's list of VMs on a thread of its own. The list answers
- * when it changes, so nothing is asked for at rest; while it is out, the last
- * list holds.
+ * Watches the platform's list of VMs on its own thread. Each request is
+ * answered when the list changes or after 10 s, so few requests are sent while
+ * nothing changes. While the list is unavailable, the last one stays valid.
  */
 class vm_list_watcher
 {
--- a/src/libcyclamenrun/outside/weight_store_client.cpp
+++ b/src/libcyclamenrun/outside/weight_store_client.cpp
@@ -71,7 +71,7 @@
     }
 }
 
-/** What the store told, and on top a share of a pause that doubles. */
+/** Retry-After plus an exponential delay with random jitter, bounded. */
 milliseconds weight_store_client::pause_after(const http_head& head,
                                               int attempt) const
 {
--- a/src/libcyclamenrun/outside/weight_store_client.hpp
+++ b/src/libcyclamenrun/outside/weight_store_client.hpp
@@ -18,23 +18,23 @@
 enum class weight_store_failure : std::uint8_t {
     unavailable,
     not_found,
-    timed_out, ///< still limited at the deadline
+    timed_out, ///< still rate-limited at the deadline
     cancelled,
 };
 
 std::string_view name_of(weight_store_failure failure);
 
 /**
- * Fetches from the rate-limited weight store. After a refusal it waits as
- * told, plus a random share: when a whole failure domain restarts, its VMs
- * then come back spread out and not all at the same moment.
+ * HTTP client of the rate-limited weight store. Retries after the Retry-After
+ * time plus a random jitter. The jitter spreads the retries of the VMs of a
+ * failure domain that restarts as a whole.
  */
 class weight_store_client
 {
 public:
-    /** A number drawn evenly from [0, 1). */
+    /** Returns a uniformly distributed number from [0, 1). */
     using random_function = std::function<double()>;
-    /** Waits that long; false ends the fetch. */
+    /** Waits for this time; returning false cancels the fetch. */
     using wait_function = std::function<bool(milliseconds)>;
 
     weight_store_client(std::string address, http_limits limits,
--- a/tests/outside/test_engine_client.cpp
+++ b/tests/outside/test_engine_client.cpp
@@ -69,7 +69,8 @@
     EXPECT_EQ(run(chat).text, stand_in::answer_text("hello", 3));
 }
 
-// Memory for 120 tokens holds two runs at the start, but not at their end.
+// The engine's memory of 120 tokens fits two runs at first, but not both at
+// their full length, so the engine preempts one.
 TEST_F(engine_client_test, a_preempted_run_still_gives_the_whole_answer)
 {
     collected other;
@@ -83,8 +84,8 @@
     EXPECT_FALSE(engine.history("preempt").empty());
 }
 
-// A caller closes its connection in the middle of a long answer: the engine
-// must not go on making tokens that nobody reads.
+// Guards against an engine that keeps generating tokens after the caller has
+// disconnected in the middle of a long answer.
 TEST_F(engine_client_test, cancelling_ends_the_run_at_the_engine)
 {
     cancellation cancel;
@@ -112,8 +113,9 @@
     EXPECT_EQ(got.result.error().failure, engine_failure::lost_mid_stream);
 }
 
-// The engine dies in the middle of a dossier, and its VM brings up another
-// one: what was cut must not pass for whole, and the new life must show.
+// The engine crashes in the middle of an answer and its VM starts another one.
+// Guards against taking the truncated answer for a complete one, and against
+// missing the restart.
 TEST_F(engine_client_test, an_engine_that_dies_and_comes_back_shows)
 {
     ASSERT_TRUE(run(request("r0", R"({"output_tokens":1})")).result);
--- a/tests/outside/test_http_exchange.cpp
+++ b/tests/outside/test_http_exchange.cpp
@@ -27,7 +27,7 @@
         {"POST", "/x", "text/plain", "body", {}, steady_now() + limit}, cancel);
 }
 
-/** What an exchange makes of a server that sends this and closes. */
+/** Runs an exchange with a server that sends `reply` and closes. */
 tl::expected<http_answer, http_error> ask_for(const std::string& reply,
                                               http_limits limits = {})
 {
@@ -55,9 +55,9 @@
     EXPECT_EQ(chunked->body, "abcde");
 }
 
-// A caller would get half an answer as if it were whole: the upstream dies in
-// the middle of its answer, and the end of the connection looks like the end
-// of the body.
+// Guards against passing on a truncated answer as complete. When an upstream
+// dies in the middle of an answer, the closed connection looks like the end of
+// the body.
 TEST(http_exchange, an_answer_that_is_not_whole_is_an_error_by_type)
 {
     const std::string chunked =
@@ -111,8 +111,8 @@
     EXPECT_EQ(body.error().failure, http_failure::too_large);
 }
 
-// A call would hang for ever: the upstream sends a byte now and then, each
-// soon enough for a timeout of single reads, and never comes to an end.
+// Guards against a call that never ends. An upstream that keeps sending single
+// bytes never reaches a timeout that applies to each read.
 TEST(http_exchange, a_trickle_of_bytes_does_not_outlast_the_deadline)
 {
     const scripted_server server([](Poco::Net::StreamSocket& connection) {
@@ -161,8 +161,8 @@
     EXPECT_FALSE(later.error().may_have_run);
 }
 
-// A daemon takes ten seconds to stop: two of its threads wait under the same
-// cancellation, one ends, and the other is no longer woken.
+// Guards against a daemon that takes 10 s to stop: two threads wait under the
+// same cancellation, one call ends, and cancelling no longer wakes the other.
 TEST(http_exchange, one_cancellation_ends_all_calls_under_it)
 {
     std::promise<void> waiting;
--- a/tests/outside/test_platform_clients.cpp
+++ b/tests/outside/test_platform_clients.cpp
@@ -75,8 +75,8 @@
               log_failure::unavailable);
 }
 
-// An operator is told that a change failed, and later finds it in force: the
-// log's answer was lost after the append had taken effect.
+// Guards against reporting a change as failed that is in force: the log's
+// answer was lost after the append had taken effect.
 TEST(platform_log_client, a_lost_append_answer_is_an_unknown_outcome)
 {
     const stand_in_process platform("platform", {});
@@ -97,7 +97,7 @@
                          std::to_string(text.size()) + "\r\n\r\n" + text);
         return log.read(5, 10, no_wait).error().failure;
     };
-    // Offsets that go back would make a reader apply a change twice.
+    // Offsets that decrease would make a reader apply a change twice.
     for (const auto* offsets : {"4", "9", "-1", "\"5\"", "null"})
         EXPECT_EQ(failure_of(R"({"first_retained":0,"next":9,"records":[)"
                              R"({"data":"","offset":)" +
@@ -177,8 +177,8 @@
     EXPECT_EQ(call("c2")->status, 500);
 }
 
-// A tag is written twice: the runner's answer is lost after it has written
-// the tag, and something on the way sends the call again.
+// Guards against running a call twice: the runner's answer is lost after the
+// call has taken effect, and a component on the path sends the call again.
 TEST_F(runner_client_test, a_call_whose_answer_is_lost_runs_once)
 {
     runner.set_fault(R"({"lose_answers":1})");
--- a/tests/outside/test_sse_parser.cpp
+++ b/tests/outside/test_sse_parser.cpp
@@ -42,7 +42,7 @@
     return pieces;
 }
 
-/** Text of the bytes that matter to the format, with some others. */
+/** Text of bytes that are significant in the format, and some others. */
 rc::Gen<std::string> event_text()
 {
     return rc::gen::container<std::string>(
