--- a/src/libcyclamenrun/settings/agent_settings.cpp
+++ b/src/libcyclamenrun/settings/agent_settings.cpp
@@ -17,17 +17,17 @@
 constexpr double minute_ms = 60000;
 constexpr double hour_ms = 60 * minute_ms;
 constexpr double day_ms = 24 * hour_ms;
-constexpr double longest_name = 63;
+constexpr double max_name_bytes = 63;
 
 void append(settings_table& table, const settings_table& rows)
 {
     table.insert(table.end(), rows.begin(), rows.end());
 }
 
-settings_table own_rows(agent_settings& settings)
+settings_table top_level_rows(agent_settings& settings)
 {
     return {
-        {"service", &settings.service, required, 1, longest_name, "",
+        {"service", &settings.service, required, 1, max_name_bytes, "",
          "Service that the upstream belongs to."},
         {"listen", &settings.listen, optional, 0, 0, "",
          "Address that entries connect to."},
@@ -110,7 +110,7 @@
 settings_table agent_rows(agent_settings& settings)
 {
     auto table = process_rows(settings);
-    append(table, own_rows(settings));
+    append(table, top_level_rows(settings));
     append(table, platform_rows(settings));
     append(table, upstream_rows(settings.upstream));
     append(table, replay_rows(settings.replay));
--- a/src/libcyclamenrun/settings/entry_settings.cpp
+++ b/src/libcyclamenrun/settings/entry_settings.cpp
@@ -17,7 +17,7 @@
 constexpr double minute_ms = 60000;
 constexpr double hour_ms = 60 * minute_ms;
 constexpr double day_ms = 24 * hour_ms;
-constexpr double most_operator_keys = 16;
+constexpr double max_operator_keys = 16;
 
 void append(settings_table& table, const settings_table& rows)
 {
@@ -32,7 +32,7 @@
         {"operator_listen", &settings.operator_listen, optional, 0, 0, "",
          "Address that operators connect to."},
         {"operator_keys", &settings.operator_keys, required, 1,
-         most_operator_keys, "", "Salted hashes of the operators' keys."},
+         max_operator_keys, "", "Salted hashes of the operators' keys."},
     };
 }
 
@@ -102,8 +102,8 @@
     };
 }
 
-settings_errors check_together(const entry_settings& settings,
-                               const std::string& file)
+settings_errors check_consistency(const entry_settings& settings,
+                                  const std::string& file)
 {
     settings_errors errors;
     if (settings.limits.prompt_bytes > settings.limits.body_bytes)
@@ -137,7 +137,7 @@
     if (errors.empty())
         errors = resolve_link_key(settings, file);
     if (errors.empty())
-        errors = check_together(settings, file);
+        errors = check_consistency(settings, file);
     if (!errors.empty())
         return tl::unexpected(std::move(errors));
     return settings;
--- a/src/libcyclamenrun/settings/gateway_settings.cpp
+++ b/src/libcyclamenrun/settings/gateway_settings.cpp
@@ -12,25 +12,25 @@
 
 constexpr auto required = settings_presence::required;
 constexpr auto optional = settings_presence::optional;
-constexpr double longest_name = 63;
+constexpr double max_name_bytes = 63;
 constexpr double hour_s = 3600;
 constexpr double minute_ms = 60000;
-constexpr double highest_port = 65535;
+constexpr double max_port = 65535;
 
 void append(settings_table& table, const settings_table& rows)
 {
     table.insert(table.end(), rows.begin(), rows.end());
 }
 
-settings_table place_rows(gateway_settings& settings)
+settings_table top_level_rows(gateway_settings& settings)
 {
     return {
-        {"name", &settings.name, required, 1, longest_name, "",
+        {"name", &settings.name, required, 1, max_name_bytes, "",
          "Name of this process, unique in the system."},
-        {"region", &settings.region, required, 1, longest_name, "",
+        {"region", &settings.region, required, 1, max_name_bytes, "",
          "Region of this VM."},
-        {"failure_domain", &settings.failure_domain, required, 1, longest_name,
-         "", "Failure domain of this VM."},
+        {"failure_domain", &settings.failure_domain, required, 1,
+         max_name_bytes, "", "Failure domain of this VM."},
         {"log_level", &settings.log.least, optional, 0, 0, "",
          "Lowest severity that is logged."},
         {"log_lines_per_s", &settings.log.lines_per_s, optional, 1, 1e6, "1/s",
@@ -76,8 +76,8 @@
     return {
         {"loads.listen", &settings.loads_listen, optional, 0, 0, "",
          "UDP address that receives the loads that monitors report."},
-        {"loads.monitor_port", &settings.monitor_port, optional, 0,
-         highest_port, "",
+        {"loads.monitor_port", &settings.monitor_port, optional, 0, max_port,
+         "",
          "UDP and TCP port of the monitors beside engines; 0: there are "
          "none."},
     };
@@ -103,8 +103,8 @@
     };
 }
 
-settings_errors check_together(const gateway_settings& settings,
-                               const std::string& file)
+settings_errors check_consistency(const gateway_settings& settings,
+                                  const std::string& file)
 {
     const auto lease = settings.configuration_lease;
     if (lease > milliseconds::zero() && 2 * settings.configuration_wait > lease)
@@ -118,7 +118,7 @@
 
 settings_table gateway_rows(gateway_settings& settings)
 {
-    auto table = place_rows(settings);
+    auto table = top_level_rows(settings);
     append(table, directory_rows(settings));
     append(table, load_rows(settings));
     append(table, time_rows(settings));
@@ -131,7 +131,7 @@
     gateway_settings settings;
     auto errors = read_settings(gateway_rows(settings), text, file);
     if (errors.empty())
-        errors = check_together(settings, file);
+        errors = check_consistency(settings, file);
     if (!errors.empty())
         return tl::unexpected(std::move(errors));
     return settings;
--- a/src/libcyclamenrun/settings/monitor_settings.cpp
+++ b/src/libcyclamenrun/settings/monitor_settings.cpp
@@ -12,15 +12,15 @@
 
 constexpr auto required = settings_presence::required;
 constexpr auto optional = settings_presence::optional;
-constexpr double longest_name = 63;
-constexpr double longest_interval_ms = 10000;
+constexpr double max_name_bytes = 63;
+constexpr double max_interval_ms = 10000;
 
 } // namespace
 
 settings_table monitor_rows(monitor_settings& settings)
 {
     return {
-        {"name", &settings.name, required, 1, longest_name, "",
+        {"name", &settings.name, required, 1, max_name_bytes, "",
          "Name of this process, unique in the system."},
         {"log_level", &settings.log.least, optional, 0, 0, "",
          "Lowest severity that is logged."},
@@ -34,8 +34,8 @@
          "which they request reads of the directory."},
         {"engine", &settings.engine, required, 0, 0, "",
          "Address of the engine on this VM, as listed in the directory."},
-        {"interval_ms", &settings.interval, optional, 10, longest_interval_ms,
-         "ms", "Time between two polls of the engine."},
+        {"interval_ms", &settings.interval, optional, 10, max_interval_ms, "ms",
+         "Time between two polls of the engine."},
         {"directory.address", &settings.directory, optional, 0, 0, "",
          "The platform's store, which is read on request of gateways; port 0 "
          "disables this."},
--- a/src/libcyclamenrun/settings/process_settings.hpp
+++ b/src/libcyclamenrun/settings/process_settings.hpp
@@ -23,14 +23,14 @@
     std::string region;
     std::string failure_domain;
     log_settings log;
-    secret link_key;           ///< at least `smallest_link_key` bytes
+    secret link_key;           ///< at least `min_link_key_bytes` bytes
     std::string link_key_file; ///< file that link_key is read from, or empty
     platform_settings platform;
 };
 
 /** 256 bits, since the key is used for HMAC-SHA256. */
-inline constexpr std::size_t smallest_link_key = 32;
-inline constexpr std::size_t largest_link_key = 1024;
+inline constexpr std::size_t min_link_key_bytes = 32;
+inline constexpr std::size_t max_link_key_bytes = 1024;
 
 /** Rows of the keys above the first section of the file. */
 settings_table process_rows(process_settings& settings);
--- a/src/libcyclamenrun/settings/settings_file.cpp
+++ b/src/libcyclamenrun/settings/settings_file.cpp
@@ -22,12 +22,12 @@
     std::ifstream file(path, std::ios::binary);
     if (!file)
         return tl::unexpected(unreadable(path, std::strerror(errno)));
-    std::string bytes(largest_settings_file + 1, '\0');
+    std::string bytes(max_settings_file_bytes + 1, '\0');
     file.read(bytes.data(), static_cast<std::streamsize>(bytes.size()));
     if (file.bad() || (file.fail() && !file.eof()))
         return tl::unexpected(unreadable(path, "not a readable file"));
     bytes.resize(static_cast<std::size_t>(file.gcount()));
-    if (bytes.size() > largest_settings_file)
+    if (bytes.size() > max_settings_file_bytes)
         return tl::unexpected(unreadable(path, "larger than 1048576 bytes"));
     return bytes;
 }
--- a/src/libcyclamenrun/settings/settings_file.hpp
+++ b/src/libcyclamenrun/settings/settings_file.hpp
@@ -9,7 +9,7 @@
 {
 
 /** Larger files are refused, since a wrong path may name any file. */
-inline constexpr std::size_t largest_settings_file = 1U << 20U;
+inline constexpr std::size_t max_settings_file_bytes = 1U << 20U;
 
 /** Returns the file's bytes. The only error is `unreadable`. */
 settings_outcome<std::string> read_settings_file(const std::string& path);
--- a/src/libcyclamenrun/settings/settings_link_key.cpp
+++ b/src/libcyclamenrun/settings/settings_link_key.cpp
@@ -48,7 +48,8 @@
     if (!bytes)
         return bytes.error();
     trim_end(*bytes);
-    if (bytes->size() < smallest_link_key || bytes->size() > largest_link_key)
+    if (bytes->size() < min_link_key_bytes ||
+        bytes->size() > max_link_key_bytes)
         return one_error(settings_problem::not_allowed, file, "link_key_file",
                          "a file with a key of 32 to 1024 bytes");
     settings.link_key = secret(std::move(*bytes));
--- a/src/libcyclamenrun/settings/settings_row.cpp
+++ b/src/libcyclamenrun/settings/settings_row.cpp
@@ -171,11 +171,11 @@
     return std::visit(type_name(), row.target);
 }
 
-std::string allowed_by(const settings_row& row)
+std::string allowed_values(const settings_row& row)
 {
     auto text = std::visit(allowed_text{row}, row.target);
-    const bool bytes_said = text.ends_with("bytes");
-    if (row.unit.empty() || (bytes_said && row.unit == "bytes"))
+    const bool ends_with_bytes = text.ends_with("bytes");
+    if (row.unit.empty() || (ends_with_bytes && row.unit == "bytes"))
         return text;
     return text + ' ' + std::string(row.unit);
 }
--- a/src/libcyclamenrun/settings/settings_row.hpp
+++ b/src/libcyclamenrun/settings/settings_row.hpp
@@ -50,7 +50,7 @@
 std::string type_of(const settings_row& row);
 
 /** Describes the allowed values, for messages and the reference page. */
-std::string allowed_by(const settings_row& row);
+std::string allowed_values(const settings_row& row);
 
 /** Returns the target's current value as TOML. Link keys are masked. */
 std::string value_of(const settings_row& row);
--- a/src/libcyclamenrun/settings/settings_table_reader.cpp
+++ b/src/libcyclamenrun/settings/settings_table_reader.cpp
@@ -174,7 +174,8 @@
     for (const auto& row : table_) {
         if (row.presence == settings_presence::required &&
             !seen_.contains(row.key))
-            report(settings_problem::missing, line, row.key, allowed_by(row));
+            report(settings_problem::missing, line, row.key,
+                   allowed_values(row));
     }
     return std::move(errors_);
 }
@@ -196,7 +197,7 @@
             read_level(*inner, key + '.');
         else
             report(settings_problem::unknown_key, line, key,
-                   keys_beside(prefix));
+                   known_keys_in(prefix));
     }
 }
 
@@ -207,7 +208,7 @@
     seen_.insert(row.key);
     const auto wrong = std::visit(value_reader(row, node), row.target);
     if (wrong)
-        report(*wrong, line, row.key, allowed_by(row));
+        report(*wrong, line, row.key, allowed_values(row));
 }
 
 const settings_row* settings_table_reader::find_row(std::string_view key) const
@@ -227,7 +228,8 @@
 }
 
 /** Lists the known keys of the section that has an unknown key. */
-std::string settings_table_reader::keys_beside(const std::string& prefix) const
+std::string
+settings_table_reader::known_keys_in(const std::string& prefix) const
 {
     std::string keys;
     for (const auto& row : table_) {
--- a/src/libcyclamenrun/settings/settings_table_reader.hpp
+++ b/src/libcyclamenrun/settings/settings_table_reader.hpp
@@ -29,7 +29,7 @@
                     std::uint32_t line);
     const settings_row* find_row(std::string_view key) const;
     bool is_section(const std::string& key) const;
-    std::string keys_beside(const std::string& prefix) const;
+    std::string known_keys_in(const std::string& prefix) const;
     void report(settings_problem what, std::uint32_t line, std::string_view key,
                 std::string allowed);
 
--- a/src/libcyclamenrun/settings/settings_writer.cpp
+++ b/src/libcyclamenrun/settings/settings_writer.cpp
@@ -19,7 +19,7 @@
 }
 
 /** Whether there is no default; reading the value back would be refused. */
-bool is_blank(const settings_row& row, const std::string& value)
+bool has_no_default(const settings_row& row, const std::string& value)
 {
     return row.presence == settings_presence::required || value == "\"\"";
 }
@@ -44,8 +44,9 @@
             text += "\n[" + std::string(section) + "]\n";
         }
         const auto value = value_of(row);
-        text += "# " + std::string(row.doc) + " (" + allowed_by(row) + ")\n";
-        text += is_blank(row, value) ? "# " : "";
+        text +=
+            "# " + std::string(row.doc) + " (" + allowed_values(row) + ")\n";
+        text += has_no_default(row, value) ? "# " : "";
         text += std::string(leaf_of(row)) + " = " + value + '\n';
     }
     return text;
@@ -56,7 +57,7 @@
     std::string text = "| key | allowed | default | meaning |\n"
                        "|---|---|---|---|\n";
     for (const auto& row : table) {
-        text += "| `" + std::string(row.key) + "` | " + allowed_by(row) +
+        text += "| `" + std::string(row.key) + "` | " + allowed_values(row) +
                 " | " + default_text(row) + " | " + std::string(row.doc) +
                 " |\n";
     }
--- a/tests/settings/test_docs.cpp
+++ b/tests/settings/test_docs.cpp
@@ -41,7 +41,7 @@
 }
 
 /** All sources of the library except the files with this name. */
-std::string sources_but(const std::string& name)
+std::string sources_except(const std::string& name)
 {
     std::string text;
     const auto folder =
@@ -74,7 +74,7 @@
     return '`' + std::string(name) + '`';
 }
 
-TEST(docs, settings_are_those_that_the_programs_know)
+TEST(docs, settings_page_matches_the_settings_tables)
 {
     const auto text = page("settings.md");
     EXPECT_THAT(text, HasSubstr(reference_of(entry_rows)));
@@ -86,7 +86,7 @@
     EXPECT_THAT(text, HasSubstr(reference_of(assignment_rows)));
 }
 
-TEST(docs, exit_codes_and_reasons_are_those_of_the_programs)
+TEST(docs, exit_codes_and_refusal_reasons_match_the_tables)
 {
     for (const auto& each : exit_code_table())
         EXPECT_THAT(page("operators-api.md"),
@@ -100,17 +100,17 @@
     }
 }
 
-TEST(docs, log_events_and_metrics_are_told_of_and_in_use)
+TEST(docs, log_events_and_metrics_are_documented_and_used)
 {
     const auto text = page("OPERATIONS.md");
-    const auto sources = sources_but("log_event_name");
+    const auto sources = sources_except("log_event_name");
     for (const auto& each : log_event_table()) {
         EXPECT_THAT(text, HasSubstr(row({code(each.name), each.doc})));
         EXPECT_NE(sources.find("log_event_name::" + std::string(each.name)),
                   std::string::npos)
             << each.name << " is never logged";
     }
-    const auto others = sources_but("metric");
+    const auto others = sources_except("metric");
     for (const auto& each : metric_table()) {
         EXPECT_THAT(text,
                     HasSubstr(row({code(each.name), each.unit, each.doc})));
@@ -120,7 +120,7 @@
     }
 }
 
-TEST(docs, exported_metrics_are_told_of)
+TEST(docs, exported_metrics_are_documented)
 {
     const auto text = page("OPERATIONS.md");
     for (const auto& each : exported_metric_table()) {
@@ -130,7 +130,7 @@
     }
 }
 
-TEST(docs, refusals_of_the_gateway_are_told_of)
+TEST(docs, gateway_refusals_are_documented)
 {
     const auto text = page("OPERATIONS.md");
     for (auto number = 0U;
@@ -145,7 +145,7 @@
 
 // Guards against example lines on the page with events or fields that were
 // renamed: an engineer who searches the logs for them would find nothing.
-TEST(docs, example_lines_have_events_and_fields_that_are_logged)
+TEST(docs, example_lines_have_known_events_and_fields)
 {
     std::set<std::string> known{"time", "severity", "process", "event"};
     for (auto number = 0U; name_of(static_cast<log_key>(number)) != "other";
@@ -172,7 +172,7 @@
 }
 
 // Guards against a page that names tests which were renamed or removed.
-TEST(docs, tests_that_the_page_of_faults_names_exist)
+TEST(docs, tests_named_on_the_faults_page_exist)
 {
     const auto tests = std::filesystem::path(CYCLAMENRUN_SOURCE_DIR) / "tests";
     std::string sources;
--- a/tests/settings/test_settings.cpp
+++ b/tests/settings/test_settings.cpp
@@ -16,23 +16,25 @@
 const std::string key_hash_text =
     std::string(32, 'a') + ':' + std::string(64, 'b');
 
-const std::string good_entry = "name = 'entry-1'\n"
-                               "region = 'cuyo'\n"
-                               "failure_domain = 'mendoza-a'\n"
-                               "link_key = '0123456789abcdef0123456789abcdef'\n"
-                               "operator_keys = ['" +
-                               key_hash_text +
-                               "']\n"
-                               "[platform]\n"
-                               "address = '127.0.0.1:7000'\n";
+const std::string valid_entry =
+    "name = 'entry-1'\n"
+    "region = 'cuyo'\n"
+    "failure_domain = 'mendoza-a'\n"
+    "link_key = '0123456789abcdef0123456789abcdef'\n"
+    "operator_keys = ['" +
+    key_hash_text +
+    "']\n"
+    "[platform]\n"
+    "address = '127.0.0.1:7000'\n";
 
-const std::string good_agent = "name = 'vm-7'\n"
-                               "region = 'cuyo'\n"
-                               "failure_domain = 'san-juan'\n"
-                               "link_key = '0123456789abcdef0123456789abcdef'\n"
-                               "service = 'redactor'\n"
-                               "platform.address = '127.0.0.1:7000'\n"
-                               "upstream.address = '[::1]:8000'\n";
+const std::string valid_agent =
+    "name = 'vm-7'\n"
+    "region = 'cuyo'\n"
+    "failure_domain = 'san-juan'\n"
+    "link_key = '0123456789abcdef0123456789abcdef'\n"
+    "service = 'redactor'\n"
+    "platform.address = '127.0.0.1:7000'\n"
+    "upstream.address = '[::1]:8000'\n";
 
 std::vector<std::string> messages_of(std::string_view text)
 {
@@ -45,21 +47,21 @@
     return messages;
 }
 
-TEST(settings, a_small_file_is_filled_up_with_defaults)
+TEST(settings, missing_settings_get_their_defaults)
 {
     const auto entry = parse_entry_settings(
-        good_entry + "[limits]\nidle_timeout_ms = 250\n", "entry.toml");
+        valid_entry + "[limits]\nidle_timeout_ms = 250\n", "entry.toml");
     ASSERT_TRUE(entry);
     EXPECT_EQ(entry->platform.address, (ip_endpoint{"127.0.0.1", 7000}));
     EXPECT_EQ(entry->limits.idle_timeout, milliseconds(250));
     EXPECT_EQ(entry->limits.body_bytes, entry_limits().body_bytes);
     EXPECT_EQ(entry->link_key.size(), 32U);
-    const auto agent = parse_agent_settings(good_agent, "agent.toml");
+    const auto agent = parse_agent_settings(valid_agent, "agent.toml");
     ASSERT_TRUE(agent);
     EXPECT_EQ(agent->upstream.address, (ip_endpoint{"::1", 8000}));
 }
 
-TEST(settings, every_error_is_told_at_once_with_line_key_and_what_is_allowed)
+TEST(settings, all_errors_are_reported_with_line_key_and_allowed_values)
 {
     EXPECT_THAT(
         messages_of("name = 7\nretries = 3\nlisten = 'localhost:80'\n"
@@ -80,10 +82,10 @@
                 "entry.toml: operator_keys: must be given: "))));
 }
 
-TEST(settings, a_short_or_doubled_or_absent_link_key_is_refused)
+TEST(settings, a_short_duplicate_or_missing_link_key_is_refused)
 {
     const auto with_key = [](const std::string& line) {
-        auto text = good_entry;
+        auto text = valid_entry;
         const auto at = text.find("link_key");
         return text.replace(at, text.find('\n', at) - at, line);
     };
@@ -92,18 +94,18 @@
                                      "key of 32 to 1024 bytes"));
     EXPECT_THAT(messages_of(with_key("")),
                 testing::ElementsAre(testing::HasSubstr("link_key_file")));
-    EXPECT_THAT(messages_of("link_key_file = 'k'\n" + good_entry),
+    EXPECT_THAT(messages_of("link_key_file = 'k'\n" + valid_entry),
                 testing::ElementsAre(testing::HasSubstr("not both")));
     EXPECT_THAT(messages_of(with_key("link_key_file = '/nowhere/key'")),
                 testing::ElementsAre(testing::HasSubstr("cannot be read")));
 }
 
-TEST(settings, the_link_key_file_is_found_beside_the_settings)
+TEST(settings, a_relative_link_key_file_is_read_from_the_settings_folder)
 {
     const auto folder = std::filesystem::temp_directory_path() /
                         ("cyclamenrun-settings-" + std::to_string(getpid()));
     std::filesystem::create_directory(folder);
-    auto text = good_agent;
+    auto text = valid_agent;
     text.replace(text.find("link_key"), 45, "link_key_file = 'key'\n");
     std::ofstream(folder / "key") << std::string(40, 'k') << '\n';
     std::ofstream(folder / "agent.toml") << text;
@@ -117,16 +119,16 @@
  * Guards against a prompt limit above the body limit. The body limit would
  * always apply first, so callers would see a limit other than the one set.
  */
-TEST(settings, settings_that_contradict_each_other_are_refused)
+TEST(settings, contradictory_settings_are_refused)
 {
-    EXPECT_THAT(messages_of(good_entry + "[limits]\nbody_bytes = 4096\n"
-                                         "[deadlines]\nlongest_ms = 1000\n"),
+    EXPECT_THAT(messages_of(valid_entry + "[limits]\nbody_bytes = 4096\n"
+                                          "[deadlines]\nlongest_ms = 1000\n"),
                 testing::ElementsAre(
                     testing::HasSubstr("limits.prompt_bytes: contradictory"),
                     testing::HasSubstr("deadlines.default_ms: contradictory")));
 }
 
-TEST(settings, printed_defaults_need_only_the_required_keys)
+TEST(settings, printed_defaults_lack_only_the_required_keys)
 {
     auto text = default_entry_settings();
     const auto errors = messages_of(text);
@@ -135,9 +137,9 @@
 }
 
 /** Damages a valid file at random places; parsing must never throw. */
-RC_GTEST_PROP(settings, random_damage_gives_settings_or_typed_errors, ())
+RC_GTEST_PROP(settings, damaged_files_give_settings_or_typed_errors, ())
 {
-    auto text = good_entry;
+    auto text = valid_entry;
     const auto count = *rc::gen::inRange(1, 12);
     for (int change = 0; change < count; ++change) {
         const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
