--- a/src/libcyclamenrun/outside/engine_client.cpp
+++ b/src/libcyclamenrun/outside/engine_client.cpp
@@ -92,12 +92,12 @@
 }
 
 /** Reads events until the stream's end marker or an error. */
-tl::expected<void, engine_error> pump(http_exchange& exchange,
-                                      engine_stream& stream)
+tl::expected<void, engine_error> read_stream(http_exchange& exchange,
+                                             engine_stream& stream)
 {
     sse_parser parser;
     const auto on_event = [&stream](sse_event&& event) {
-        return stream.take(event);
+        return stream.handle_event(event);
     };
     while (!stream.finished() && !stream.error()) {
         const auto bytes = exchange.read();
@@ -151,14 +151,14 @@
                                      &cancel);
     if (!head)
         return to_engine_error(head.error());
-    const auto epoch = note_epoch(*head);
+    const auto epoch = record_epoch(*head);
     if (request.expected_epoch != 0 && epoch != request.expected_epoch)
         return tl::unexpected(
             engine_error{engine_failure::epoch_changed, 0, true, {}});
     if (head->status != ok_status)
         return status_error(head->status);
     engine_stream stream(request.request_id, events);
-    if (const auto pumped = pump(exchange, stream); !pumped)
+    if (const auto pumped = read_stream(exchange, stream); !pumped)
         return tl::unexpected(pumped.error());
     if (stream.error())
         return tl::unexpected(*stream.error());
@@ -241,13 +241,13 @@
     auto answer = exchange.run(request);
     if (!answer)
         return to_engine_error(answer.error());
-    note_epoch(answer->head);
+    record_epoch(answer->head);
     if (answer->head.status != ok_status)
         return status_error(answer->head.status);
     return std::move(*answer);
 }
 
-std::uint64_t engine_client::note_epoch(const http_head& head)
+std::uint64_t engine_client::record_epoch(const http_head& head)
 {
     const auto epoch = epoch_of(head);
     if (epoch != 0)
--- a/src/libcyclamenrun/outside/engine_client.hpp
+++ b/src/libcyclamenrun/outside/engine_client.hpp
@@ -80,8 +80,8 @@
 
 /** An order to change what the engine has loaded, or its role. */
 struct engine_order {
-    std::uint64_t fence =
-        0; ///< fencing number; an engine may refuse lower ones
+    /** Fencing number; an engine may refuse lower ones. */
+    std::uint64_t fence = 0;
     engine_action action = engine_action::load_model;
     std::string value; ///< name of the model, adapter, version or role
     time_point deadline;
@@ -116,7 +116,7 @@
 
 private:
     tl::expected<http_answer, engine_error> call(const http_request& request);
-    std::uint64_t note_epoch(const http_head& head);
+    std::uint64_t record_epoch(const http_head& head);
 
     std::string address_;
     http_limits limits_;
--- a/src/libcyclamenrun/outside/engine_stream.cpp
+++ b/src/libcyclamenrun/outside/engine_stream.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::string_view end_mark = "[DONE]";
+constexpr std::string_view end_marker = "[DONE]";
 
 /** Returns the token's text: `text` or, in a chat, `delta.content`. */
 std::string text_of(const Poco::JSON::Object& choice)
@@ -31,9 +31,9 @@
 {
 }
 
-bool engine_stream::take(const sse_event& event)
+bool engine_stream::handle_event(const sse_event& event)
 {
-    if (event.data == end_mark) {
+    if (event.data == end_marker) {
         done_ = true;
         return result_.finish_reason.empty()
                    ? fail("stream ended without a finish reason")
--- a/src/libcyclamenrun/outside/engine_stream.hpp
+++ b/src/libcyclamenrun/outside/engine_stream.hpp
@@ -17,7 +17,7 @@
     engine_stream(std::string request_id, const engine_events& events);
 
     /** Returns false once the stream has ended, complete or with error(). */
-    bool take(const sse_event& event);
+    bool handle_event(const sse_event& event);
 
     bool finished() const { return done_; }
     const std::optional<engine_error>& error() const { return error_; }
--- a/src/libcyclamenrun/outside/http_deadline_socket.cpp
+++ b/src/libcyclamenrun/outside/http_deadline_socket.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::size_t tail_size = 5;
+constexpr std::size_t tail_bytes = 5;
 
 bool would_block(int error)
 {
@@ -23,9 +23,10 @@
 } // namespace
 
 http_deadline_socket::http_deadline_socket(time_point deadline,
-                                           milliseconds max_silence,
+                                           milliseconds response_timeout,
                                            clock_function clock)
-    : deadline_(deadline), max_silence_(max_silence), clock_(std::move(clock))
+    : deadline_(deadline), response_timeout_(response_timeout),
+      clock_(std::move(clock))
 {
 }
 
@@ -52,8 +53,8 @@
         const auto count =
             ::recv(sockfd(), buffer, length, flags | MSG_DONTWAIT);
         if (count >= 0) {
-            note_received({static_cast<const char*>(buffer),
-                           static_cast<std::size_t>(count)});
+            record_received({static_cast<const char*>(buffer),
+                             static_cast<std::size_t>(count)});
             return static_cast<int>(count);
         }
         if (!would_block(errno))
@@ -63,18 +64,19 @@
 
 void http_deadline_socket::wait_until_ready(int mode)
 {
-    const auto wait = std::min(time_left(deadline_, clock_()), max_silence_);
+    const auto wait =
+        std::min(time_left(deadline_, clock_()), response_timeout_);
     const Poco::Timespan span(wait.count() * Poco::Timespan::MILLISECONDS);
     if (wait.count() == 0 || !poll(span, mode))
         throw Poco::TimeoutException("deadline or response timeout reached");
 }
 
-void http_deadline_socket::note_received(std::string_view bytes)
+void http_deadline_socket::record_received(std::string_view bytes)
 {
     closed_by_peer_ = bytes.empty();
     tail_.append(
-        bytes.substr(bytes.size() - std::min(bytes.size(), tail_size)));
-    tail_.erase(0, tail_.size() - std::min(tail_.size(), tail_size));
+        bytes.substr(bytes.size() - std::min(bytes.size(), tail_bytes)));
+    tail_.erase(0, tail_.size() - std::min(tail_.size(), tail_bytes));
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/outside/http_deadline_socket.hpp
+++ b/src/libcyclamenrun/outside/http_deadline_socket.hpp
@@ -19,7 +19,7 @@
 class http_deadline_socket : public Poco::Net::StreamSocketImpl
 {
 public:
-    http_deadline_socket(time_point deadline, milliseconds max_silence,
+    http_deadline_socket(time_point deadline, milliseconds response_timeout,
                          clock_function clock);
 
     int sendBytes(const void* buffer, int length, int flags = 0) override;
@@ -27,15 +27,15 @@
 
     /** Whether a read has found the connection closed by the peer. */
     bool closed_by_peer() const { return closed_by_peer_; }
-    /** The last 5 bytes read, which end a complete chunked body. */
+    /** The last 5 bytes read, to compare with the end of a chunked body. */
     std::string_view tail() const { return tail_; }
 
 private:
     void wait_until_ready(int mode);
-    void note_received(std::string_view bytes);
+    void record_received(std::string_view bytes);
 
     time_point deadline_;
-    milliseconds max_silence_;
+    milliseconds response_timeout_;
     clock_function clock_;
     bool closed_by_peer_ = false;
     std::string tail_;
--- a/src/libcyclamenrun/outside/http_exchange.cpp
+++ b/src/libcyclamenrun/outside/http_exchange.cpp
@@ -24,7 +24,7 @@
 {
 
 constexpr int max_header_fields = 64;
-constexpr std::size_t read_size = 1024;
+constexpr std::size_t read_buffer_bytes = 1024;
 constexpr std::string_view last_chunk = "0\r\n\r\n";
 
 constexpr std::array<std::string_view, 7> failure_names{
@@ -99,12 +99,12 @@
 tl::expected<std::string_view, http_error> http_exchange::read()
 {
     try {
-        buffer_.resize(read_size);
+        buffer_.resize(read_buffer_bytes);
         body_->read(buffer_.data(), 1);
         auto count = static_cast<std::size_t>(body_->gcount());
         if (count != 0)
             count += static_cast<std::size_t>(
-                body_->readsome(buffer_.data() + 1, read_size - 1));
+                body_->readsome(buffer_.data() + 1, read_buffer_bytes - 1));
         received_ += count;
         buffer_.resize(count);
     } catch (...) {
--- a/src/libcyclamenrun/outside/http_json.cpp
+++ b/src/libcyclamenrun/outside/http_json.cpp
@@ -11,7 +11,7 @@
 {
 
 /** Deeper nesting could exhaust the parser's stack. */
-constexpr int max_depth = 32;
+constexpr int max_nesting = 32;
 
 } // namespace
 
@@ -19,7 +19,7 @@
 {
     try {
         Poco::JSON::Parser parser;
-        parser.setDepth(max_depth);
+        parser.setDepth(max_nesting);
         const auto value = parser.parse(text);
         if (value.type() != typeid(Poco::JSON::Object::Ptr))
             return {};
--- a/src/libcyclamenrun/outside/http_write_limit.cpp
+++ b/src/libcyclamenrun/outside/http_write_limit.cpp
@@ -31,11 +31,11 @@
 
 http_write_limit::~http_write_limit()
 {
-    if (!client_takes_more())
+    if (!client_accepts_data())
         response_.setKeepAlive(false);
 }
 
-bool http_write_limit::client_takes_more() const
+bool http_write_limit::client_accepts_data() const
 {
     try {
         const auto* socket = socket_of(request_);
--- a/src/libcyclamenrun/outside/http_write_limit.hpp
+++ b/src/libcyclamenrun/outside/http_write_limit.hpp
@@ -32,7 +32,7 @@
     http_write_limit& operator=(const http_write_limit&) = delete;
 
 private:
-    bool client_takes_more() const;
+    bool client_accepts_data() const;
 
     Poco::Net::HTTPServerRequest& request_;
     Poco::Net::HTTPServerResponse& response_;
--- a/src/libcyclamenrun/outside/logging_platform_log.cpp
+++ b/src/libcyclamenrun/outside/logging_platform_log.cpp
@@ -30,7 +30,7 @@
 {
     const auto started_at = clock_();
     auto answer = log_.append(data);
-    note(answer ? nullptr : &answer.error());
+    log_availability(answer ? nullptr : &answer.error());
     if (answer)
         metrics_.record(metric::log_append_duration, clock_() - started_at,
                         clock_());
@@ -42,11 +42,11 @@
                                                              milliseconds wait)
 {
     auto answer = log_.read(from, max, wait);
-    note(answer ? nullptr : &answer.error());
+    log_availability(answer ? nullptr : &answer.error());
     return answer;
 }
 
-void logging_platform_log::note(const log_error* error)
+void logging_platform_log::log_availability(const log_error* error)
 {
     if (error != nullptr && error->failure == log_failure::retained_away)
         log_event(log_severity::warning, log_event_name::configuration_stale,
--- a/src/libcyclamenrun/outside/logging_platform_log.hpp
+++ b/src/libcyclamenrun/outside/logging_platform_log.hpp
@@ -27,7 +27,7 @@
     read(std::uint64_t from, std::uint32_t max, milliseconds wait) override;
 
 private:
-    void note(const log_error* error);
+    void log_availability(const log_error* error);
 
     platform_log& log_;
     metrics& metrics_;
--- a/src/libcyclamenrun/outside/logging_vm_list.hpp
+++ b/src/libcyclamenrun/outside/logging_vm_list.hpp
@@ -20,8 +20,8 @@
     void note(const vm_list& list);
 
 private:
-    void note_change(const vm& now);
-    void note_removed(const std::map<std::string, vm>& now) const;
+    void log_change(const vm& current);
+    void log_removed(const std::map<std::string, vm>& current) const;
 
     std::map<std::string, vm> known_;
     bool is_first_ = true;
--- a/src/libcyclamenrun/outside/platform_log_client.cpp
+++ b/src/libcyclamenrun/outside/platform_log_client.cpp
@@ -121,9 +121,9 @@
 
 platform_log_client::platform_log_client(
     std::string address, const std::string& log, http_limits limits,
-    milliseconds call_limit, clock_function clock, cancellation* stop)
+    milliseconds call_timeout, clock_function clock, cancellation* stop)
     : address_(std::move(address)), path_("/v1/logs/" + log + "/records"),
-      limits_(limits), call_limit_(call_limit), clock_(std::move(clock)),
+      limits_(limits), call_timeout_(call_timeout), clock_(std::move(clock)),
       stop_(stop)
 {
 }
@@ -133,7 +133,7 @@
 {
     const auto answer = call(
         {"POST", path_, "application/octet-stream", std::string(data), {}, {}},
-        call_limit_);
+        call_timeout_);
     if (!answer)
         return tl::unexpected(answer.error());
     const auto document = parse_json_object(answer->body);
@@ -151,7 +151,7 @@
                        "&max=" + std::to_string(max) +
                        "&wait_ms=" + std::to_string(wait.count());
     const auto answer =
-        call({"GET", path_ + query, "", "", {}, {}}, call_limit_ + wait);
+        call({"GET", path_ + query, "", "", {}, {}}, call_timeout_ + wait);
     if (!answer)
         return tl::unexpected(answer.error());
     auto page = page_of(answer->body, from);
--- a/src/libcyclamenrun/outside/platform_log_client.hpp
+++ b/src/libcyclamenrun/outside/platform_log_client.hpp
@@ -15,9 +15,9 @@
 class platform_log_client : public platform_log
 {
 public:
-    /** `call_limit` is the timeout of each call; a read adds its `wait`. */
+    /** `call_timeout` is the timeout of each call; a read adds its `wait`. */
     platform_log_client(std::string address, const std::string& log,
-                        http_limits limits, milliseconds call_limit,
+                        http_limits limits, milliseconds call_timeout,
                         clock_function clock, cancellation* stop = nullptr);
 
     tl::expected<std::uint64_t, log_error>
@@ -32,7 +32,7 @@
     std::string address_;
     std::string path_;
     http_limits limits_;
-    milliseconds call_limit_;
+    milliseconds call_timeout_;
     clock_function clock_;
     cancellation* stop_;
 };
--- a/src/libcyclamenrun/outside/request_deadline_socket.cpp
+++ b/src/libcyclamenrun/outside/request_deadline_socket.cpp
@@ -21,7 +21,7 @@
                                        int flags)
 {
     deadline_.reset();
-    note_use();
+    record_use();
     return StreamSocketImpl::sendBytes(buffer, length, flags);
 }
 
@@ -40,23 +40,23 @@
 
 bool request_deadline_socket::poll(const Poco::Timespan& timeout, int mode)
 {
-    note_use();
+    record_use();
     return StreamSocketImpl::poll(timeout, mode);
 }
 
 int request_deadline_socket::available()
 {
-    note_use();
+    record_use();
     return StreamSocketImpl::available();
 }
 
 void request_deadline_socket::setSendTimeout(const Poco::Timespan& timeout)
 {
-    note_use();
+    record_use();
     StreamSocketImpl::setSendTimeout(timeout);
 }
 
-void request_deadline_socket::note_use()
+void request_deadline_socket::record_use()
 {
     used_.store(true, std::memory_order_release);
 }
--- a/src/libcyclamenrun/outside/request_deadline_socket.hpp
+++ b/src/libcyclamenrun/outside/request_deadline_socket.hpp
@@ -16,8 +16,8 @@
  * Guards against clients that send single bytes slowly. A timeout for each
  * read never expires for them, so each holds a thread for as long as it likes,
  * and a few such clients block all others. Here the time runs from the first
- * read of a request until the server sends data. Reads after the deadline
- * throw Poco::TimeoutException.
+ * read of a request until the server sends data. A read that reaches the
+ * deadline throws Poco::TimeoutException.
  */
 class request_deadline_socket : public Poco::Net::StreamSocketImpl
 {
@@ -34,7 +34,7 @@
     ~request_deadline_socket() override;
 
 private:
-    void note_use();
+    void record_use();
 
     milliseconds limit_;
     std::optional<time_point> deadline_; ///< of the request being read
--- a/src/libcyclamenrun/outside/sse_parser.cpp
+++ b/src/libcyclamenrun/outside/sse_parser.cpp
@@ -27,9 +27,9 @@
         if (!state_)
             return state_;
         // CR LF is one line end, even when split between two calls.
-        const bool second_half = after_return_ && byte == '\n';
+        const bool is_cr_lf = after_return_ && byte == '\n';
         after_return_ = byte == '\r';
-        if (second_half)
+        if (is_cr_lf)
             continue;
         if (byte == '\n' || byte == '\r') {
             if (!end_line(on_event))
@@ -56,17 +56,17 @@
     const std::string_view view(line);
     const auto colon = view.find(':');
     if (colon == std::string_view::npos) {
-        take_field(view, {});
+        set_field(view, {});
         return true;
     }
     auto value = view.substr(colon + 1);
     if (value.starts_with(' '))
         value.remove_prefix(1);
-    take_field(view.substr(0, colon), value);
+    set_field(view.substr(0, colon), value);
     return true;
 }
 
-void sse_parser::take_field(std::string_view name, std::string_view value)
+void sse_parser::set_field(std::string_view name, std::string_view value)
 {
     if (name == "id")
         event_.id = value;
--- a/src/libcyclamenrun/outside/sse_parser.hpp
+++ b/src/libcyclamenrun/outside/sse_parser.hpp
@@ -46,7 +46,7 @@
 
 private:
     bool end_line(const event_function& on_event);
-    void take_field(std::string_view name, std::string_view value);
+    void set_field(std::string_view name, std::string_view value);
 
     sse_limits limits_;
     std::string line_;
--- a/src/libcyclamenrun/outside/vm_list_client.cpp
+++ b/src/libcyclamenrun/outside/vm_list_client.cpp
@@ -58,10 +58,10 @@
 }
 
 vm_list_client::vm_list_client(std::string address, http_limits limits,
-                               milliseconds call_limit, clock_function clock,
+                               milliseconds call_timeout, clock_function clock,
                                cancellation* stop)
-    : address_(std::move(address)), limits_(limits), call_limit_(call_limit),
-      clock_(std::move(clock)), stop_(stop)
+    : address_(std::move(address)), limits_(limits),
+      call_timeout_(call_timeout), clock_(std::move(clock)), stop_(stop)
 {
 }
 
@@ -72,7 +72,7 @@
                       "&wait_ms=" + std::to_string(wait.count());
     http_exchange exchange(address_, limits_, clock_);
     const auto answer = exchange.run(
-        {"GET", path, "", "", {}, clock_() + call_limit_ + wait}, stop_);
+        {"GET", path, "", "", {}, clock_() + call_timeout_ + wait}, stop_);
     if (!answer || answer->head.status != ok_status)
         return tl::unexpected(vm_list_failure::unavailable);
     auto list = list_of(answer->body);
--- a/src/libcyclamenrun/outside/vm_list_client.hpp
+++ b/src/libcyclamenrun/outside/vm_list_client.hpp
@@ -24,7 +24,7 @@
 {
 public:
     vm_list_client(std::string address, http_limits limits,
-                   milliseconds call_limit, clock_function clock,
+                   milliseconds call_timeout, clock_function clock,
                    cancellation* stop = nullptr);
 
     /**
@@ -37,7 +37,7 @@
 private:
     std::string address_;
     http_limits limits_;
-    milliseconds call_limit_;
+    milliseconds call_timeout_;
     clock_function clock_;
     cancellation* stop_;
 };
--- a/src/libcyclamenrun/outside/vm_list_watcher.cpp
+++ b/src/libcyclamenrun/outside/vm_list_watcher.cpp
@@ -9,15 +9,15 @@
 {
 
 constexpr milliseconds list_wait{10'000};
-constexpr milliseconds call_limit{15'000};
-constexpr milliseconds failure_pause{1'000};
+constexpr milliseconds call_timeout{15'000};
+constexpr milliseconds retry_interval{1'000};
 
 } // namespace
 
 vm_list_watcher::vm_list_watcher(const std::string& address, list_hook on_list,
                                  clock_function clock)
     : on_list_(std::move(on_list)),
-      client_(address, http_limits{}, call_limit, std::move(clock), &cancel_),
+      client_(address, http_limits{}, call_timeout, std::move(clock), &cancel_),
       thread_([this] { run(); })
 {
 }
@@ -55,13 +55,13 @@
             revision = list->revision;
             on_list_(*list);
         }
-    } while (!pause(available ? milliseconds(0) : failure_pause));
+    } while (!wait_for_stop(available ? milliseconds(0) : retry_interval));
 }
 
-bool vm_list_watcher::pause(milliseconds pause)
+bool vm_list_watcher::wait_for_stop(milliseconds timeout)
 {
     std::unique_lock lock(mutex_);
-    return stopped_.wait_for(lock, pause, [this] { return stopping_; });
+    return stopped_.wait_for(lock, timeout, [this] { return stopping_; });
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/outside/vm_list_watcher.hpp
+++ b/src/libcyclamenrun/outside/vm_list_watcher.hpp
@@ -34,7 +34,7 @@
 
 private:
     void run();
-    bool pause(milliseconds pause);
+    bool wait_for_stop(milliseconds timeout);
 
     list_hook on_list_;
     cancellation cancel_;
--- a/src/libcyclamenrun/outside/weight_store_client.cpp
+++ b/src/libcyclamenrun/outside/weight_store_client.cpp
@@ -13,14 +13,14 @@
 constexpr int ok_status = 200;
 constexpr int not_found_status = 404;
 constexpr int rate_limited_status = 429;
-constexpr std::int64_t base_pause_ms = 100;
-constexpr std::int64_t max_pause_ms = 30000;
+constexpr std::int64_t base_delay_ms = 100;
+constexpr std::int64_t max_delay_ms = 30000;
 constexpr int max_doublings = 8;
 
 constexpr std::array<std::string_view, 4> failure_names{
     "unavailable", "not_found", "timed_out", "cancelled"};
 
-std::int64_t told_pause_ms(const http_head& head)
+std::int64_t retry_after_ms(const http_head& head)
 {
     const auto found = head.headers.find("retry-after");
     if (found == head.headers.end())
@@ -28,7 +28,7 @@
     std::istringstream in(found->second);
     std::int64_t seconds = 0;
     in >> seconds;
-    return std::clamp<std::int64_t>(seconds, 0, max_pause_ms / 1000) * 1000;
+    return std::clamp<std::int64_t>(seconds, 0, max_delay_ms / 1000) * 1000;
 }
 
 } // namespace
@@ -61,25 +61,25 @@
             return tl::unexpected(weight_store_failure::not_found);
         const bool limited =
             answer && answer->head.status == rate_limited_status;
-        const auto pause =
-            pause_after(answer ? answer->head : http_head{}, attempt);
-        if (clock_() + pause >= deadline)
+        const auto delay =
+            retry_delay(answer ? answer->head : http_head{}, attempt);
+        if (clock_() + delay >= deadline)
             return tl::unexpected(limited ? weight_store_failure::timed_out
                                           : weight_store_failure::unavailable);
-        if (!wait_(pause))
+        if (!wait_(delay))
             return tl::unexpected(weight_store_failure::cancelled);
     }
 }
 
 /** Retry-After plus an exponential delay with random jitter, bounded. */
-milliseconds weight_store_client::pause_after(const http_head& head,
+milliseconds weight_store_client::retry_delay(const http_head& head,
                                               int attempt) const
 {
-    const auto doubled = base_pause_ms << std::min(attempt, max_doublings);
+    const auto doubled = base_delay_ms << std::min(attempt, max_doublings);
     const auto jitter = static_cast<double>(doubled) * random_();
-    const auto pause =
-        told_pause_ms(head) + doubled / 2 + static_cast<std::int64_t>(jitter);
-    return milliseconds(std::min(pause, max_pause_ms));
+    const auto delay =
+        retry_after_ms(head) + doubled / 2 + static_cast<std::int64_t>(jitter);
+    return milliseconds(std::min(delay, max_delay_ms));
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/outside/weight_store_client.hpp
+++ b/src/libcyclamenrun/outside/weight_store_client.hpp
@@ -45,7 +45,7 @@
     fetch(const std::string& name, time_point deadline);
 
 private:
-    milliseconds pause_after(const http_head& head, int attempt) const;
+    milliseconds retry_delay(const http_head& head, int attempt) const;
 
     std::string address_;
     http_limits limits_;
--- a/tests/outside/test_engine_client.cpp
+++ b/tests/outside/test_engine_client.cpp
@@ -71,7 +71,7 @@
 
 // The engine's memory of 120 tokens fits two runs at first, but not both at
 // their full length, so the engine preempts one.
-TEST_F(engine_client_test, a_preempted_run_still_gives_the_whole_answer)
+TEST_F(engine_client_test, a_preempted_run_still_completes_its_answer)
 {
     collected other;
     std::thread second(
@@ -116,7 +116,7 @@
 // The engine crashes in the middle of an answer and its VM starts another one.
 // Guards against taking the truncated answer for a complete one, and against
 // missing the restart.
-TEST_F(engine_client_test, an_engine_that_dies_and_comes_back_shows)
+TEST_F(engine_client_test, an_engine_restart_is_detected)
 {
     ASSERT_TRUE(run(request("r0", R"({"output_tokens":1})")).result);
     const auto first_epoch = client.epoch();
@@ -146,7 +146,7 @@
     EXPECT_TRUE(got.text.empty());
 }
 
-TEST_F(engine_client_test, a_refusal_before_the_start_is_known_not_to_have_run)
+TEST_F(engine_client_test, a_refusal_before_the_start_has_not_run)
 {
     engine.set_fault(R"({"refuse_status":503})");
     const auto got = run(request("r1", "{}"));
@@ -173,7 +173,7 @@
     EXPECT_EQ(engine.history("order").size(), 1);
 }
 
-TEST(engine_stream, anything_but_a_whole_stream_is_an_error_by_type)
+TEST(engine_stream, incomplete_or_malformed_streams_give_typed_errors)
 {
     const std::string token =
         R"(data: {"id":"r1","choices":[{"text":"a","finish_reason":null}]})"
--- a/tests/outside/test_http_exchange.cpp
+++ b/tests/outside/test_http_exchange.cpp
@@ -14,13 +14,12 @@
 
 using testing_support::scripted_server;
 
-constexpr milliseconds generous(20000);
+constexpr milliseconds long_limit(20000);
 constexpr milliseconds short_limit(150);
 
-tl::expected<http_answer, http_error> ask(const std::string& address,
-                                          milliseconds limit = generous,
-                                          http_limits limits = {},
-                                          cancellation* cancel = nullptr)
+tl::expected<http_answer, http_error>
+send_request(const std::string& address, milliseconds limit = long_limit,
+             http_limits limits = {}, cancellation* cancel = nullptr)
 {
     http_exchange exchange(address, limits, steady_now);
     return exchange.run(
@@ -28,11 +27,11 @@
 }
 
 /** Runs an exchange with a server that sends `reply` and closes. */
-tl::expected<http_answer, http_error> ask_for(const std::string& reply,
-                                              http_limits limits = {})
+tl::expected<http_answer, http_error>
+exchange_with_reply(const std::string& reply, http_limits limits = {})
 {
     const scripted_server server(scripted_server::reply(reply));
-    return ask(server.address(), generous, limits);
+    return send_request(server.address(), long_limit, limits);
 }
 
 struct bad_answer {
@@ -40,17 +39,19 @@
     http_failure failure;
 };
 
-TEST(http_exchange, reads_a_whole_answer_of_either_framing)
+TEST(http_exchange, reads_answers_with_length_or_chunks)
 {
-    const auto sized = ask_for("HTTP/1.1 409 Conflict\r\nX-Engine-Epoch: 7\r\n"
-                               "Content-Length: 3\r\n\r\nabc");
+    const auto sized =
+        exchange_with_reply("HTTP/1.1 409 Conflict\r\nX-Engine-Epoch: 7\r\n"
+                            "Content-Length: 3\r\n\r\nabc");
     ASSERT_TRUE(sized);
     EXPECT_EQ(sized->head.status, 409);
     EXPECT_EQ(sized->head.headers.at("x-engine-epoch"), "7");
     EXPECT_EQ(sized->body, "abc");
-    const auto chunked = ask_for("HTTP/1.1 200 OK\r\n"
-                                 "Transfer-Encoding: chunked\r\n\r\n"
-                                 "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
+    const auto chunked =
+        exchange_with_reply("HTTP/1.1 200 OK\r\n"
+                            "Transfer-Encoding: chunked\r\n\r\n"
+                            "3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n");
     ASSERT_TRUE(chunked);
     EXPECT_EQ(chunked->body, "abcde");
 }
@@ -58,7 +59,7 @@
 // Guards against passing on a truncated answer as complete. When an upstream
 // dies in the middle of an answer, the closed connection looks like the end of
 // the body.
-TEST(http_exchange, an_answer_that_is_not_whole_is_an_error_by_type)
+TEST(http_exchange, an_incomplete_answer_gives_a_typed_error)
 {
     const std::string chunked =
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -73,21 +74,21 @@
         {"SSH-2.0 who are you\r\n\r\n", http_failure::malformed},
     };
     for (const auto& [reply, failure] : cases) {
-        const auto answer = ask_for(reply);
+        const auto answer = exchange_with_reply(reply);
         ASSERT_FALSE(answer) << reply;
         EXPECT_EQ(answer.error().failure, failure) << reply;
         EXPECT_TRUE(answer.error().may_have_run) << reply;
     }
 }
 
-TEST(http_exchange, only_a_refused_connection_is_known_not_to_have_run)
+TEST(http_exchange, only_a_refused_connection_has_certainly_not_run)
 {
     std::string address;
     {
         const scripted_server gone(scripted_server::reply(""));
         address = gone.address();
     }
-    const auto answer = ask(address);
+    const auto answer = send_request(address);
     ASSERT_FALSE(answer);
     EXPECT_EQ(answer.error().failure, http_failure::connect_failed);
     EXPECT_FALSE(answer.error().may_have_run);
@@ -98,22 +99,23 @@
     std::string many = "HTTP/1.1 200 OK\r\n";
     for (int field = 0; field < 200; ++field)
         many += "X-Field-" + std::to_string(field) + ": x\r\n";
-    const auto headers = ask_for(many + "Content-Length: 0\r\n\r\n");
+    const auto headers =
+        exchange_with_reply(many + "Content-Length: 0\r\n\r\n");
     ASSERT_FALSE(headers);
     EXPECT_EQ(headers.error().failure, http_failure::malformed);
     http_limits limits;
     limits.max_answer_bytes = 1000;
     const auto body =
-        ask_for("HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n" +
-                    std::string(2000, 'x'),
-                limits);
+        exchange_with_reply("HTTP/1.1 200 OK\r\nContent-Length: 2000\r\n\r\n" +
+                                std::string(2000, 'x'),
+                            limits);
     ASSERT_FALSE(body);
     EXPECT_EQ(body.error().failure, http_failure::too_large);
 }
 
 // Guards against a call that never ends. An upstream that keeps sending single
 // bytes never reaches a timeout that applies to each read.
-TEST(http_exchange, a_trickle_of_bytes_does_not_outlast_the_deadline)
+TEST(http_exchange, a_slow_answer_ends_at_the_deadline)
 {
     const scripted_server server([](Poco::Net::StreamSocket& connection) {
         scripted_server::take_request(connection);
@@ -124,17 +126,17 @@
             std::this_thread::sleep_for(milliseconds(5));
         }
     });
-    const auto answer = ask(server.address(), short_limit);
+    const auto answer = send_request(server.address(), short_limit);
     ASSERT_FALSE(answer);
     EXPECT_EQ(answer.error().failure, http_failure::timed_out);
 }
 
-TEST(http_exchange, silence_ends_a_call_before_its_deadline)
+TEST(http_exchange, a_response_timeout_ends_a_call_before_its_deadline)
 {
     const scripted_server server(scripted_server::wait_for_close);
     http_limits limits;
     limits.max_silence = short_limit;
-    const auto answer = ask(server.address(), generous, limits);
+    const auto answer = send_request(server.address(), long_limit, limits);
     ASSERT_FALSE(answer);
     EXPECT_EQ(answer.error().failure, http_failure::timed_out);
 }
@@ -152,11 +154,11 @@
         waiting.get_future().wait();
         cancel.cancel();
     });
-    const auto answer = ask(server.address(), generous, {}, &cancel);
+    const auto answer = send_request(server.address(), long_limit, {}, &cancel);
     other.join();
     ASSERT_FALSE(answer);
     EXPECT_EQ(answer.error().failure, http_failure::cancelled);
-    const auto later = ask(server.address(), generous, {}, &cancel);
+    const auto later = send_request(server.address(), long_limit, {}, &cancel);
     ASSERT_FALSE(later);
     EXPECT_FALSE(later.error().may_have_run);
 }
@@ -176,18 +178,18 @@
     cancellation cancel;
     std::thread other([&] {
         waiting.get_future().wait();
-        EXPECT_TRUE(ask(quick.address(), generous, {}, &cancel));
+        EXPECT_TRUE(send_request(quick.address(), long_limit, {}, &cancel));
         cancel.cancel();
     });
-    const auto deadline = steady_now() + generous;
-    const auto answer = ask(slow.address(), generous, {}, &cancel);
+    const auto deadline = steady_now() + long_limit;
+    const auto answer = send_request(slow.address(), long_limit, {}, &cancel);
     other.join();
     ASSERT_FALSE(answer);
     EXPECT_LT(steady_now(), deadline);
     EXPECT_EQ(answer.error().failure, http_failure::cancelled);
 }
 
-TEST(http_exchange, any_bytes_for_an_answer_end_it_by_type)
+TEST(http_exchange, arbitrary_answer_bytes_give_an_answer_or_typed_error)
 {
     scripted_server server;
     EXPECT_TRUE(rc::check([&](const std::string& bytes, bool with_head) {
@@ -195,7 +197,7 @@
                                      "chunked\r\n\r\n" +
                                          bytes
                                    : bytes);
-        const auto answer = ask(server.address());
+        const auto answer = send_request(server.address());
         if (!answer)
             RC_ASSERT(answer.error().failure != http_failure::timed_out);
     }));
--- a/tests/outside/test_platform_clients.cpp
+++ b/tests/outside/test_platform_clients.cpp
@@ -53,7 +53,7 @@
     EXPECT_EQ(page->records, (std::vector<log_entry>{{0, "a"}}));
 }
 
-TEST(platform_log_client, every_failure_has_its_type)
+TEST(platform_log_client, each_failure_gives_its_type)
 {
     const stand_in_process platform("platform", {"--appends-per-second", "3",
                                                  "--retain-records", "2",
@@ -88,7 +88,7 @@
     EXPECT_EQ(log.read(0, 10, no_wait)->records.size(), 1);
 }
 
-TEST(platform_log_client, any_page_is_read_or_refused_by_type)
+TEST(platform_log_client, invalid_pages_give_a_typed_error)
 {
     scripted_server server;
     auto log = log_at(server.address());
@@ -130,7 +130,7 @@
     EXPECT_EQ(client.read(0, no_wait).error(), vm_list_failure::unavailable);
 }
 
-TEST(weight_store_client, waits_as_told_and_longer_by_chance)
+TEST(weight_store_client, waits_for_retry_after_plus_jitter)
 {
     const stand_in_process platform("platform", {"--weights-per-second", "1"});
     time_point now = steady_now();
@@ -165,7 +165,7 @@
     stand_in_process runner{"runner", {}};
 };
 
-TEST_F(runner_client_test, passes_on_whatever_the_runner_answers)
+TEST_F(runner_client_test, returns_every_answer_of_the_runner)
 {
     const auto answer = call("c1");
     ASSERT_TRUE(answer);
--- a/tests/outside/test_sse_parser.cpp
+++ b/tests/outside/test_sse_parser.cpp
@@ -59,7 +59,7 @@
               (std::vector<sse_event>{{"7", "end", "a\nb"}, {"", "", ""}}));
 }
 
-TEST(sse_parser, a_line_or_event_over_its_bound_is_refused_by_type)
+TEST(sse_parser, oversized_lines_and_events_give_typed_errors)
 {
     const auto line = parse({"data: 0123456789x"}, small);
     ASSERT_FALSE(line.state);
@@ -72,7 +72,7 @@
     EXPECT_TRUE(event.events.empty());
 }
 
-TEST(sse_parser, any_pieces_give_the_same_events_as_the_whole)
+TEST(sse_parser, any_split_gives_the_same_events)
 {
     EXPECT_TRUE(rc::check([](const std::vector<std::size_t>& sizes) {
         const auto text = *event_text();
@@ -85,7 +85,7 @@
     }));
 }
 
-TEST(sse_parser, any_bytes_stay_within_the_bounds)
+TEST(sse_parser, arbitrary_bytes_stay_within_the_limits)
 {
     EXPECT_TRUE(rc::check([](const std::string& bytes) {
         const auto text = *event_text() + bytes;
