--- a/src/libcyclamenrun/outside/engine_client.cpp
+++ b/src/libcyclamenrun/outside/engine_client.cpp
@@ -55,7 +55,7 @@
                                        error.may_have_run, error.detail});
 }
 
-/** An engine refuses with 4xx or 503 before it begins. */
+/** An engine that answers 4xx or 503 has not started the work. */
 tl::unexpected<engine_error> status_error(int status)
 {
     const bool begun =
@@ -91,13 +91,13 @@
     return to_string(document);
 }
 
-/** Reads events until the stream says that it has ended. */
-tl::expected<void, engine_error> pump(http_exchange& exchange,
-                                      engine_stream& stream)
+/** Reads events until the stream's end marker or an error. */
+tl::expected<void, engine_error> read_stream(http_exchange& exchange,
+                                             engine_stream& stream)
 {
     sse_parser parser;
     const auto on_event = [&stream](sse_event&& event) {
-        return stream.take(event);
+        return stream.handle_event(event);
     };
     while (!stream.finished() && !stream.error()) {
         const auto bytes = exchange.read();
@@ -106,7 +106,7 @@
         if (bytes->empty())
             return tl::unexpected(engine_error{engine_failure::lost_mid_stream,
                                                0, true,
-                                               "ended before its end mark"});
+                                               "stream ended before [DONE]"});
         if (const auto fed = parser.feed(*bytes, on_event); !fed)
             return tl::unexpected(
                 engine_error{engine_failure::too_large, 0, true,
@@ -151,14 +151,14 @@
                                      &cancel);
     if (!head)
         return to_engine_error(head.error());
-    const auto epoch = note_epoch(*head);
+    const auto epoch = record_epoch(*head);
     if (request.expected_epoch != 0 && epoch != request.expected_epoch)
         return tl::unexpected(
             engine_error{engine_failure::epoch_changed, 0, true, {}});
     if (head->status != ok_status)
         return status_error(head->status);
     engine_stream stream(request.request_id, events);
-    if (const auto pumped = pump(exchange, stream); !pumped)
+    if (const auto pumped = read_stream(exchange, stream); !pumped)
         return tl::unexpected(pumped.error());
     if (stream.error())
         return tl::unexpected(*stream.error());
@@ -210,7 +210,7 @@
     std::vector<std::string> ids;
     for (const auto& id : *list) {
         if (!id.isString())
-            return malformed("a run's id is not a string");
+            return malformed("the id of a run is not a string");
         ids.push_back(id.extract<std::string>());
     }
     return ids;
@@ -223,13 +223,13 @@
         return tl::unexpected(answer.error());
     const auto document = parse_json_object(answer->body);
     if (!document)
-        return malformed("load is not JSON");
+        return malformed("load is not a JSON object");
     const auto running = json_u64(*document, "running");
     const auto waiting = json_u64(*document, "waiting");
     const auto used = json_u64(*document, "memory_tokens_used");
     const auto total = json_u64(*document, "memory_tokens_total");
     if (!running || !waiting || !used || !total)
-        return malformed("load lacks a member");
+        return malformed("a member of the load is missing or invalid");
     return engine_load{static_cast<std::uint32_t>(*running),
                        static_cast<std::uint32_t>(*waiting), *used, *total};
 }
@@ -241,13 +241,13 @@
     auto answer = exchange.run(request);
     if (!answer)
         return to_engine_error(answer.error());
-    note_epoch(answer->head);
+    record_epoch(answer->head);
     if (answer->head.status != ok_status)
         return status_error(answer->head.status);
     return std::move(*answer);
 }
 
-std::uint64_t engine_client::note_epoch(const http_head& head)
+std::uint64_t engine_client::record_epoch(const http_head& head)
 {
     const auto epoch = epoch_of(head);
     if (epoch != 0)
--- a/src/libcyclamenrun/outside/http_json.cpp
+++ b/src/libcyclamenrun/outside/http_json.cpp
@@ -10,8 +10,8 @@
 namespace
 {
 
-/** Deeper text could exhaust the stack of the parser. */
-constexpr int max_depth = 32;
+/** Deeper nesting could exhaust the parser's stack. */
+constexpr int max_nesting = 32;
 
 } // namespace
 
@@ -19,7 +19,7 @@
 {
     try {
         Poco::JSON::Parser parser;
-        parser.setDepth(max_depth);
+        parser.setDepth(max_nesting);
         const auto value = parser.parse(text);
         if (value.type() != typeid(Poco::JSON::Object::Ptr))
             return {};
@@ -47,7 +47,7 @@
     try {
         return value.convert<std::uint64_t>();
     } catch (const Poco::Exception&) {
-        return {}; // below zero
+        return {}; // negative
     }
 }
 
--- a/src/libcyclamenrun/outside/logging_vm_list.hpp
+++ b/src/libcyclamenrun/outside/logging_vm_list.hpp
@@ -10,18 +10,18 @@
 {
 
 /**
- * Logs how the platform's list of VMs changes. Not thread-safe: lists come
- * from one thread.
+ * Logs changes of the platform's list of VMs. Not thread-safe: one thread
+ * passes all lists.
  */
 class logging_vm_list
 {
 public:
-    /** What the first list holds is counted, not told one by one. */
+    /** Logs changes since the last list; for the first, the number of VMs. */
     void note(const vm_list& list);
 
 private:
-    void note_change(const vm& now);
-    void note_removed(const std::map<std::string, vm>& now) const;
+    void log_change(const vm& current);
+    void log_removed(const std::map<std::string, vm>& current) const;
 
     std::map<std::string, vm> known_;
     bool is_first_ = true;
--- a/src/libcyclamenrun/outside/vm_list_client.hpp
+++ b/src/libcyclamenrun/outside/vm_list_client.hpp
@@ -24,12 +24,12 @@
 {
 public:
     vm_list_client(std::string address, http_limits limits,
-                   milliseconds call_limit, clock_function clock,
+                   milliseconds call_timeout, clock_function clock,
                    cancellation* stop = nullptr);
 
     /**
-     * The list as soon as its revision is above `after`; else, after `wait`,
-     * as it stands. 0 asks for it at once.
+     * Returns the list as soon as its revision is above `after`, or the current
+     * list after `wait`. With `after` 0 the list is returned at once.
      */
     tl::expected<vm_list, vm_list_failure> read(std::uint64_t after,
                                                 milliseconds wait);
@@ -37,7 +37,7 @@
 private:
     std::string address_;
     http_limits limits_;
-    milliseconds call_limit_;
+    milliseconds call_timeout_;
     clock_function clock_;
     cancellation* stop_;
 };
--- a/src/libcyclamenrun/settings/settings_link_key.cpp
+++ b/src/libcyclamenrun/settings/settings_link_key.cpp
@@ -22,7 +22,7 @@
     return (folder / key_file).string();
 }
 
-/** Editors end a file with a line feed, which is no part of the key. */
+/** Removes line ends, which editors add and which are not part of the key. */
 void trim_end(std::string& bytes)
 {
     while (!bytes.empty() && (bytes.back() == '\n' || bytes.back() == '\r'))
@@ -48,7 +48,8 @@
     if (!bytes)
         return bytes.error();
     trim_end(*bytes);
-    if (bytes->size() < smallest_link_key || bytes->size() > largest_link_key)
+    if (bytes->size() < min_link_key_bytes ||
+        bytes->size() > max_link_key_bytes)
         return one_error(settings_problem::not_allowed, file, "link_key_file",
                          "a file with a key of 32 to 1024 bytes");
     settings.link_key = secret(std::move(*bytes));
--- a/src/libcyclamenrun/settings/settings_row.cpp
+++ b/src/libcyclamenrun/settings/settings_row.cpp
@@ -18,7 +18,7 @@
     return text.str();
 }
 
-/** As TOML wants a floating-point number: with a point. */
+/** Formats a number as a TOML float, which needs a decimal point. */
 std::string float_text(double number)
 {
     auto text = number_text(number);
@@ -85,7 +85,8 @@
     }
     std::string operator()(const ip_endpoint*) const
     {
-        return "\"IP:PORT\" with an IP number, such as \"127.0.0.1:8080\"";
+        return "\"IP:PORT\" with a numeric IP address, such as "
+               "\"127.0.0.1:8080\"";
     }
     std::string operator()(const secret*) const
     {
@@ -170,11 +171,11 @@
     return std::visit(type_name(), row.target);
 }
 
-std::string allowed_by(const settings_row& row)
+std::string allowed_values(const settings_row& row)
 {
     auto text = std::visit(allowed_text{row}, row.target);
-    const bool bytes_said = text.ends_with("bytes");
-    if (row.unit.empty() || (bytes_said && row.unit == "bytes"))
+    const bool ends_with_bytes = text.ends_with("bytes");
+    if (row.unit.empty() || (ends_with_bytes && row.unit == "bytes"))
         return text;
     return text + ' ' + std::string(row.unit);
 }
--- a/src/libcyclamenrun/settings/settings_table_reader.cpp
+++ b/src/libcyclamenrun/settings/settings_table_reader.cpp
@@ -16,7 +16,7 @@
     return number >= row.minimum && number <= row.maximum;
 }
 
-/** Control characters have no place in names, paths or addresses. */
+/** Names, paths and addresses must not contain control characters. */
 bool is_printable(std::string_view text)
 {
     return std::all_of(text.begin(), text.end(), [](unsigned char character) {
@@ -24,7 +24,7 @@
     });
 }
 
-/** Stores one value in a row's target, or says why it cannot. */
+/** Stores one value in a row's target, or returns why it is refused. */
 class value_reader
 {
 public:
@@ -174,13 +174,14 @@
     for (const auto& row : table_) {
         if (row.presence == settings_presence::required &&
             !seen_.contains(row.key))
-            report(settings_problem::missing, line, row.key, allowed_by(row));
+            report(settings_problem::missing, line, row.key,
+                   allowed_values(row));
     }
     return std::move(errors_);
 }
 
-// TOML nests at most 256 deep in toml++, and a level that the table does
-// not know is not entered, so the depth is bound by the table's keys.
+// toml++ limits nesting to 256 levels, and sections that the settings table
+// does not contain are not entered, so the table's keys bound the depth.
 void settings_table_reader::read_level(
     const toml::table& level, // NOLINT(misc-no-recursion)
     const std::string& prefix)
@@ -196,7 +197,7 @@
             read_level(*inner, key + '.');
         else
             report(settings_problem::unknown_key, line, key,
-                   keys_beside(prefix));
+                   known_keys_in(prefix));
     }
 }
 
@@ -207,7 +208,7 @@
     seen_.insert(row.key);
     const auto wrong = std::visit(value_reader(row, node), row.target);
     if (wrong)
-        report(*wrong, line, row.key, allowed_by(row));
+        report(*wrong, line, row.key, allowed_values(row));
 }
 
 const settings_row* settings_table_reader::find_row(std::string_view key) const
@@ -226,8 +227,9 @@
     });
 }
 
-/** The keys that are known where an unknown one was found. */
-std::string settings_table_reader::keys_beside(const std::string& prefix) const
+/** Lists the known keys of the section that has an unknown key. */
+std::string
+settings_table_reader::known_keys_in(const std::string& prefix) const
 {
     std::string keys;
     for (const auto& row : table_) {
--- a/tests/outside/test_engine_client.cpp
+++ b/tests/outside/test_engine_client.cpp
@@ -69,8 +69,9 @@
     EXPECT_EQ(run(chat).text, stand_in::answer_text("hello", 3));
 }
 
-// Memory for 120 tokens holds two runs at the start, but not at their end.
-TEST_F(engine_client_test, a_preempted_run_still_gives_the_whole_answer)
+// The engine's memory of 120 tokens fits two runs at first, but not both at
+// their full length, so the engine preempts one.
+TEST_F(engine_client_test, a_preempted_run_still_completes_its_answer)
 {
     collected other;
     std::thread second(
@@ -83,8 +84,8 @@
     EXPECT_FALSE(engine.history("preempt").empty());
 }
 
-// A caller closes its connection in the middle of a long answer: the engine
-// must not go on making tokens that nobody reads.
+// Guards against an engine that keeps generating tokens after the caller has
+// disconnected in the middle of a long answer.
 TEST_F(engine_client_test, cancelling_ends_the_run_at_the_engine)
 {
     cancellation cancel;
@@ -112,9 +113,10 @@
     EXPECT_EQ(got.result.error().failure, engine_failure::lost_mid_stream);
 }
 
-// The engine dies in the middle of a dossier, and its VM brings up another
-// one: what was cut must not pass for whole, and the new life must show.
-TEST_F(engine_client_test, an_engine_that_dies_and_comes_back_shows)
+// The engine crashes in the middle of an answer and its VM starts another one.
+// Guards against taking the truncated answer for a complete one, and against
+// missing the restart.
+TEST_F(engine_client_test, an_engine_restart_is_detected)
 {
     ASSERT_TRUE(run(request("r0", R"({"output_tokens":1})")).result);
     const auto first_epoch = client.epoch();
@@ -144,7 +146,7 @@
     EXPECT_TRUE(got.text.empty());
 }
 
-TEST_F(engine_client_test, a_refusal_before_the_start_is_known_not_to_have_run)
+TEST_F(engine_client_test, a_refusal_before_the_start_has_not_run)
 {
     engine.set_fault(R"({"refuse_status":503})");
     const auto got = run(request("r1", "{}"));
@@ -171,7 +173,7 @@
     EXPECT_EQ(engine.history("order").size(), 1);
 }
 
-TEST(engine_stream, anything_but_a_whole_stream_is_an_error_by_type)
+TEST(engine_stream, incomplete_or_malformed_streams_give_typed_errors)
 {
     const std::string token =
         R"(data: {"id":"r1","choices":[{"text":"a","finish_reason":null}]})"
