--- a/src/libcyclamenrun/observability/exported_metric.hpp
+++ b/src/libcyclamenrun/observability/exported_metric.hpp
@@ -8,7 +8,7 @@
 namespace cyclamenrun
 {
 
-/** What gateways and monitors serve at their metrics address. */
+/** A metric that gateways and monitors serve at their metrics address. */
 enum class exported_metric : std::uint8_t {
     requests,
     refusals,
@@ -49,7 +49,7 @@
 enum class exported_kind : std::uint8_t {
     counter,
     gauge,
-    histogram, ///< of seconds
+    histogram, ///< buckets in seconds
 };
 
 std::string_view name_of(exported_kind kind);
@@ -58,12 +58,12 @@
     exported_metric what;
     std::string_view name;
     exported_kind kind;
-    /** Names of its labels, comma between them; empty: none. */
+    /** Comma-separated label names; empty for a metric without labels. */
     std::string_view labels;
     std::string_view doc;
 };
 
-/** All in the order of the enum. */
+/** One row per metric, in the order of the enum. */
 std::span<const exported_metric_row> exported_metric_table();
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/observability/exported_metrics.cpp
+++ b/src/libcyclamenrun/observability/exported_metrics.cpp
@@ -26,9 +26,8 @@
 using prometheus::Gauge;
 using prometheus::Histogram;
 
-/** Upper ends of the buckets, in seconds: from a local call to the longest
- * generation. */
-const Histogram::BucketBoundaries bucket_ends{
+/** Upper bounds in seconds, from a local call to the longest generation. */
+const Histogram::BucketBoundaries bucket_bounds_s{
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32, 64};
 
 using any_family =
@@ -45,7 +44,7 @@
 
 } // namespace
 
-/** The library's registry with one family for each metric. */
+/** Wraps the Prometheus registry; holds one family for each metric. */
 class exported_metrics::registry
 {
 public:
@@ -93,7 +92,7 @@
             return &prometheus::BuildHistogram().Name(name).Help(help).Register(
                 registry_);
         }
-        throw std::logic_error("metric of no kind");
+        throw std::logic_error("metric has an unknown kind");
     }
 
     static prometheus::Labels labels_of(labelled_family& family,
@@ -144,7 +143,7 @@
                                duration value)
 {
     const std::chrono::duration<double> seconds = value;
-    registry_->series<Histogram>(what, labels, bucket_ends)
+    registry_->series<Histogram>(what, labels, bucket_bounds_s)
         .Observe(seconds.count());
 }
 
--- a/src/libcyclamenrun/observability/exported_metrics.hpp
+++ b/src/libcyclamenrun/observability/exported_metrics.hpp
@@ -12,10 +12,10 @@
 {
 
 /**
- * The counters, gauges and histograms of a process, as the text of the
- * Prometheus exposition format. Memory is bounded: a metric has at most
- * `most_series` different sets of labels, and what comes beyond them is
- * counted under "other". Any thread may use it.
+ * Holds the counters, gauges and histograms of a process and writes them in
+ * the Prometheus text exposition format. Memory is bounded: a metric has at
+ * most `most_series` different sets of label values; samples of further sets
+ * are counted under the label value "other". Thread-safe.
  */
 class exported_metrics
 {
@@ -27,10 +27,10 @@
     exported_metrics(const exported_metrics&) = delete;
     exported_metrics& operator=(const exported_metrics&) = delete;
 
-    /** Label values come in the order of the metric's label names. */
+    /** Adds to a counter; label values in the order of the label names. */
     void count(exported_metric what, label_values labels = {}, double by = 1);
     void set(exported_metric what, label_values labels, double value);
-    /** A counter that is kept elsewhere stands at `total`. */
+    /** Raises a counter that is maintained elsewhere to `total`. */
     void count_to(exported_metric what, label_values labels, double total);
     void observe(exported_metric what, label_values labels, duration value);
 
@@ -43,7 +43,7 @@
     std::unique_ptr<registry> registry_;
 };
 
-/** Brings the counter of lines that the log has left out up to date. */
+/** Updates the counters of dropped log lines. */
 void export_dropped_lines(exported_metrics& metrics);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/observability/line_budget.cpp
+++ b/src/libcyclamenrun/observability/line_budget.cpp
@@ -8,9 +8,9 @@
 namespace
 {
 
-/** Part of the budget that ordinary lines leave to warnings and errors. */
+/** Fraction of the budget that is reserved for warnings and errors. */
 constexpr double reserve_of_info = 0.5;
-/** Part that warnings leave to errors. */
+/** Fraction of the budget that is reserved for errors. */
 constexpr double reserve_of_warnings = 0.1;
 
 double reserve_of(log_severity severity)
--- a/src/libcyclamenrun/observability/line_budget.hpp
+++ b/src/libcyclamenrun/observability/line_budget.hpp
@@ -10,7 +10,7 @@
 namespace cyclamenrun
 {
 
-/** Lines that were left out, by severity. */
+/** Number of dropped log lines, by severity. */
 struct dropped_lines {
     std::array<std::uint64_t, 3> by_severity{};
 
@@ -26,18 +26,18 @@
 };
 
 /**
- * Bounds how many lines a process logs. Guards against a flood of requests
- * or failures that would cost the processor its time for serving: then lines
- * of what went well are left out first, since the rest of the budget is kept
- * for refusals and failures.
+ * Limits the rate at which a process logs lines, as a token bucket. Guards
+ * against a flood of requests or failures whose logging would take the CPU
+ * time needed for serving. Lines of severity info are dropped first: part of
+ * the budget is reserved for warnings and errors.
  */
 class line_budget
 {
 public:
-    /** Up to a second's worth of lines may come at once. */
+    /** Allows bursts of up to one second's budget. */
     explicit line_budget(double lines_per_s);
 
-    /** Whether a line may be logged; takes it from the budget if so. */
+    /** Returns whether a line may be logged, and consumes budget if so. */
     bool take(log_severity severity, time_point now);
 
 private:
--- a/src/libcyclamenrun/observability/line_output.cpp
+++ b/src/libcyclamenrun/observability/line_output.cpp
@@ -12,11 +12,11 @@
 namespace
 {
 
-/** Time between two looks at a descriptor that takes nothing. */
+/** Longest wait in one poll of a descriptor that is not writable. */
 constexpr int look_ms = 100;
-/** For the last lines of a process whose reader is slow. */
+/** Time for a slow reader to accept the last lines of a process. */
 constexpr int last_wait_ms = 200;
-/** A pipe that says it is writable takes so much without waiting. */
+/** A pipe that polls as writable accepts this much without blocking. */
 constexpr std::size_t piece_bytes = PIPE_BUF;
 
 } // namespace
@@ -41,7 +41,7 @@
 
 bool line_output::has_room(log_severity severity, std::size_t bytes) const
 {
-    // The second half is for what went wrong.
+    // The second half of the queue is reserved for warnings and errors.
     const auto most =
         severity == log_severity::info ? most_queued_ / 2 : most_queued_;
     return queue_.size() + bytes <= most;
@@ -78,7 +78,7 @@
         if (count < 0 && errno == EINTR)
             continue;
         if (count <= 0) {
-            // There is no reader any more, and nobody to tell.
+            // The reader has closed the descriptor: discard the queued lines.
             done = queue_.size();
             break;
         }
--- a/src/libcyclamenrun/observability/line_output.hpp
+++ b/src/libcyclamenrun/observability/line_output.hpp
@@ -13,14 +13,14 @@
 {
 
 /**
- * Writes lines to a descriptor without ever waiting for its reader. What the
- * descriptor does not take is queued up to a bound; beyond it lines are left
- * out and counted. Guards against a pipe that nobody reads: a plain write
- * would stop the thread that serves requests.
+ * Writes lines to a file descriptor without blocking on its reader. Lines that
+ * the descriptor does not accept are queued up to a bound; further lines are
+ * dropped. Guards against a pipe that nobody reads: a plain write would block
+ * the thread that serves requests.
  *
- * The descriptor's flags stay as they are, since a terminal or a pipe may be
- * shared with other programs: it is asked whether it takes a piece, and no
- * piece is longer than a pipe takes whole.
+ * The descriptor is not set to O_NONBLOCK, since a terminal or a pipe may be
+ * shared with other programs. Each write instead follows a poll for
+ * writability and is no longer than a pipe accepts atomically.
  */
 class line_output
 {
@@ -29,12 +29,13 @@
 
     explicit line_output(int descriptor,
                          std::size_t queued_bytes = default_queued_bytes);
-    /** Waits a moment for a reader that is late, and not longer. */
+    /** Writes queued lines; waits a bounded time for a slow reader. */
     ~line_output();
     line_output(const line_output&) = delete;
     line_output& operator=(const line_output&) = delete;
 
-    /** Takes a line without its line feed; false: it was left out. */
+    /** Writes or queues a line, given without its line feed; returns false
+     * if the line was dropped. */
     bool put(log_severity severity, std::string_view line);
 
 private:
@@ -49,7 +50,7 @@
     std::string queue_;
     std::condition_variable changed_;
     bool ended_ = false;
-    std::thread writer_; ///< of what was left in the queue; started for it
+    std::thread writer_; ///< writes queued lines; started on first need
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/observability/log_event.cpp
+++ b/src/libcyclamenrun/observability/log_event.cpp
@@ -19,8 +19,8 @@
 {
 
 /**
- * Where lines go. The name and the writer are set by start_logging() before
- * there are threads; the counts are under the lock.
+ * The destination of log lines. start_logging() sets the process name and the
+ * writer before other threads start; the lock protects the counts.
  */
 class log_target
 {
@@ -34,7 +34,8 @@
         untold_ = {};
     }
 
-    /** Whether a line of this severity may be built at all. */
+    /** Returns whether the budget allows a line of this severity; counts the
+     * line as dropped if not. Called before the line is built. */
     bool admit(log_severity severity)
     {
         const std::lock_guard lock(mutex_);
@@ -44,7 +45,7 @@
         return false;
     }
 
-    /** glog calls it under its own lock. */
+    /** Writes a line. glog holds its own lock during the call. */
     void write(log_severity severity, std::string_view line)
     {
         const std::lock_guard lock(mutex_);
@@ -74,7 +75,8 @@
         all_.add(severity);
     }
 
-    /** False if there is no room for that either. */
+    /** Logs the number of dropped lines; returns false if the writer has no
+     * room for that line. */
     bool tell_dropped()
     {
         if (!untold_.any())
@@ -112,7 +114,7 @@
                                          : static_cast<log_severity>(severity);
 }
 
-/** Takes finished lines; glog calls it under its own lock. */
+/** Receives our own formatted lines; glog calls it under its own lock. */
 class line_sink : public google::LogSink
 {
 public:
@@ -125,7 +127,7 @@
     }
 };
 
-/** Takes what libraries log in text. */
+/** Receives the text messages that libraries log. */
 class message_sink : public google::LogSink
 {
 public:
@@ -151,9 +153,10 @@
 }
 
 /**
- * Guards against a slow clock: glog works out the offset of the time zone for
- * each line, and with TZ unset the C library reads /etc/localtime anew each
- * time, under a lock that all threads share. Our lines are in UTC anyway.
+ * Sets the time zone of the process to UTC, which makes logging cheaper: glog
+ * computes the time zone's offset for each line, and with TZ unset the C
+ * library reads /etc/localtime again each time, under a lock that all threads
+ * share. Log lines are in UTC in any case.
  */
 void keep_time_in_utc()
 {
--- a/src/libcyclamenrun/observability/log_event.hpp
+++ b/src/libcyclamenrun/observability/log_event.hpp
@@ -13,14 +13,15 @@
 {
 
 /**
- * Logs one event as one JSON line on standard output, from any thread, and
- * waits for nobody. Prompt text is never passed as a field; keys are of type
- * `secret`, which no field takes. Texts are cut at `longest_log_text` bytes.
+ * Logs one event as one JSON line on standard output. Thread-safe and
+ * non-blocking. Callers never pass prompt text as a field; keys are of type
+ * `secret`, which log_field does not accept. Texts are truncated to
+ * `longest_log_text` bytes.
  */
 void log_event(log_severity severity, log_event_name event,
                std::initializer_list<log_field> fields = {});
 
-/** Logs what happened at an earlier time. */
+/** Logs an event that happened at an earlier time. */
 void log_event_at(std::chrono::system_clock::time_point at,
                   log_severity severity, log_event_name event,
                   std::span<const log_field> fields);
--- a/src/libcyclamenrun/observability/log_event_name.hpp
+++ b/src/libcyclamenrun/observability/log_event_name.hpp
@@ -8,7 +8,7 @@
 namespace cyclamenrun
 {
 
-/** Every kind of line in the log; docs/OPERATIONS.md lists them. */
+/** The events that processes log; docs/OPERATIONS.md lists them. */
 enum class log_event_name : std::uint8_t {
     process_started,
     listener_opened,
@@ -84,7 +84,7 @@
     std::string_view doc;
 };
 
-/** All events in the order of the enum. */
+/** One row per event, in the order of the enum. */
 std::span<const log_event_row> log_event_table();
 
 std::string_view name_of(log_event_name event);
--- a/src/libcyclamenrun/observability/log_field.cpp
+++ b/src/libcyclamenrun/observability/log_field.cpp
@@ -64,7 +64,8 @@
     key_row{log_key::weighed, "weighed"},
 };
 
-/** As callers see the id, up to the secret: enough to find it in the logs. */
+/** The id without its secret, in the form that callers receive: enough to find
+ * the generation in the logs. */
 std::string public_part(const generation_id& generation)
 {
     const auto whole = to_string(generation);
--- a/src/libcyclamenrun/observability/log_field.hpp
+++ b/src/libcyclamenrun/observability/log_field.hpp
@@ -14,7 +14,7 @@
 namespace cyclamenrun
 {
 
-/** Names of the fields that log events carry; see log_field.cpp. */
+/** Keys of the fields of log events. */
 enum class log_key : std::uint8_t {
     address,
     age_ms,
@@ -108,7 +108,8 @@
     {
     }
     log_field(log_key key, refusal_kind kind) : log_field(key, name_of(kind)) {}
-    /** Without the id's secret, by which a reader of logs could resume it. */
+    /** Omits the id's secret, since a reader of the logs could resume the
+     * generation with it. */
     log_field(log_key key, const generation_id& generation);
 
     log_key key() const { return key_; }
--- a/src/libcyclamenrun/observability/log_line.cpp
+++ b/src/libcyclamenrun/observability/log_line.cpp
@@ -48,7 +48,7 @@
     }
     std::string operator()(double number) const
     {
-        // JSON has no infinities and no not-a-number.
+        // JSON cannot represent infinities and NaN.
         return std::isfinite(number) ? std::to_string(number) : "null";
     }
     std::string operator()(bool flag) const { return flag ? "true" : "false"; }
--- a/src/libcyclamenrun/observability/log_line.hpp
+++ b/src/libcyclamenrun/observability/log_line.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun
 {
 
-/** One event as a line of JSON, whatever bytes its texts hold. */
+/** Formats one event as a line of JSON; escapes arbitrary bytes in texts. */
 std::string format_log_line(std::chrono::system_clock::time_point at,
                             std::string_view process, log_severity severity,
                             log_event_name event,
--- a/src/libcyclamenrun/observability/log_severity.hpp
+++ b/src/libcyclamenrun/observability/log_severity.hpp
@@ -8,11 +8,11 @@
 namespace cyclamenrun
 {
 
-/** How much a log event matters; the numbers are those of glog. */
+/** Severity of a log event; the values are those of glog. */
 enum class log_severity : std::uint8_t {
-    info = 0,    ///< Ordinary course of things.
-    warning = 1, ///< Something failed and was dealt with.
-    error = 2,   ///< Somebody should look at it.
+    info = 0,    ///< Normal operation.
+    warning = 1, ///< A failure that the system handled.
+    error = 2,   ///< A failure that needs an operator's attention.
 };
 
 std::string_view name_of(log_severity severity);
--- a/src/libcyclamenrun/observability/logging_change.hpp
+++ b/src/libcyclamenrun/observability/logging_change.hpp
@@ -7,7 +7,7 @@
 namespace cyclamenrun
 {
 
-/** Logs what became of an operator's change. */
+/** Logs the outcome of an operator's change. */
 void log_change(const v1::ChangeRecord& change,
                 const outcome<v1::ApplyChangeResponse>& response);
 
--- a/src/libcyclamenrun/observability/metric.hpp
+++ b/src/libcyclamenrun/observability/metric.hpp
@@ -8,7 +8,7 @@
 namespace cyclamenrun
 {
 
-/** What a process measures. */
+/** A metric that a process records. */
 enum class metric : std::uint8_t {
     time_to_first_token,
     time_between_tokens,
@@ -29,7 +29,7 @@
     std::string_view doc;
 };
 
-/** All metrics in the order of the enum. */
+/** One row per metric, in the order of the enum. */
 std::span<const metric_row> metric_table();
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/observability/metrics.cpp
+++ b/src/libcyclamenrun/observability/metrics.cpp
@@ -25,8 +25,8 @@
 
 constexpr std::array probabilities{0.5, 0.99};
 
-// With fewer samples than markers the estimate holds raw samples in the
-// order in which they came, which are no quantiles.
+// With fewer samples than markers the P-square estimator returns raw samples in
+// order of arrival, which are not quantiles.
 constexpr std::size_t fewest_samples = 2 * probabilities.size() + 3;
 
 window_accumulator make_window()
@@ -37,7 +37,7 @@
 
 } // namespace
 
-/** One metric under its lock, with two windows of which one is complete. */
+/** One metric with its lock, a complete and a current window. */
 class metrics::shard
 {
 public:
--- a/src/libcyclamenrun/observability/metrics.hpp
+++ b/src/libcyclamenrun/observability/metrics.hpp
@@ -12,21 +12,21 @@
 namespace cyclamenrun
 {
 
-/** What a metric's samples come to. */
+/** Statistics of a metric's samples. */
 struct metric_summary {
     std::uint64_t count = 0; ///< since the process started
     double mean = 0;         ///< since the process started
     double maximum = 0;      ///< since the process started
     std::uint64_t recent_count = 0;
-    /** Of the last one to two windows; empty for too few samples. */
+    /** Over the last one to two windows; empty for too few samples. */
     std::optional<double> recent_p50;
     std::optional<double> recent_p99;
 };
 
 /**
- * A process's measurements. Each metric is a shard with a lock of its own, so
- * that threads which measure different things do not meet. Memory is fixed:
- * quantiles are estimates of the P-square method.
+ * Records the measurements of a process. Each metric is a shard with its own
+ * lock, so that threads that record different metrics do not contend. Memory
+ * use is fixed: quantiles are estimated with the P-square algorithm.
  */
 class metrics
 {
@@ -41,7 +41,7 @@
 
     metric_summary summary(metric what, time_point now) const;
 
-    /** Quantiles are over at least this much time, and at most twice. */
+    /** Quantiles cover between one and two windows. */
     static constexpr milliseconds window{60000};
 
 private:
--- a/src/libcyclamenrun/observability/state_dump.hpp
+++ b/src/libcyclamenrun/observability/state_dump.hpp
@@ -11,18 +11,19 @@
 {
 
 /**
- * Builds the JSON text of a process's state. Whoever holds state adds a
- * section with a hook that is called for each dump, from the thread that
- * asked. Sections are written one after another, so a dump is no snapshot of
- * one instant.
+ * Builds a JSON dump of a process's state. Each component adds a section with
+ * a writer that is called for each dump, on the thread that requests the dump.
+ * Sections are written one after another, so a dump is not a consistent
+ * snapshot.
  */
 class state_dump
 {
 public:
-    /** Fills in one section; called without any lock of the dump. */
+    /** Writes one section; called without holding the lock of the dump. */
     using section_writer = std::function<void(Poco::JSON::Object&)>;
 
-    /** A section of more than `section_bytes` is left out, and said so. */
+    /** A section of more than `section_bytes` is replaced by a marker with
+     * its size. */
     explicit state_dump(std::size_t section_bytes = default_section_bytes);
 
     void add_section(std::string name, section_writer writer);
--- a/src/libcyclamenrun/observability/state_dump_list.hpp
+++ b/src/libcyclamenrun/observability/state_dump_list.hpp
@@ -9,15 +9,16 @@
 {
 
 /**
- * A list in a state dump that shows its first items and counts the rest, so
- * that a dump of a busy process stays readable and bounded.
+ * A list in a state dump that contains the first items and the total count, so
+ * that the dump of a busy process stays readable and bounded.
  */
 class state_dump_list
 {
 public:
     explicit state_dump_list(std::size_t most_shown = default_most_shown);
 
-    /** Whether another item would be shown: saves building it if not. */
+    /** Whether a further item would be shown; if not, the caller can skip
+     * building it. */
     bool shows_more() const { return items_->size() < most_shown_; }
     void add(const Poco::JSON::Object& item);
     /** Counts an item without showing it. */
