--- a/src/libcyclamenrun/operators/change_sender.cpp
+++ b/src/libcyclamenrun/operators/change_sender.cpp
@@ -39,8 +39,8 @@
     auto answer = send_once(change, deadline);
     if (is_settled(answer))
         return answer;
-    // From here on an error of one attempt settles nothing: an earlier one
-    // may be on the log.
+    // From here on an error of a later attempt is not final: the change of an
+    // earlier attempt may be on the log.
     while (hooks_.now() < deadline) {
         v1::ApplyChangeResponse found;
         if (find(change, deadline, found))
@@ -73,7 +73,8 @@
     v1::FindChangeRequest request;
     request.set_change_id(change.change_id());
     const auto answer = hooks_.find(request, attempt_deadline(deadline));
-    // One that lost is asked for again by sending it: that answer says why.
+    // A change that was not accepted is sent again, since only the answer to
+    // ApplyChange contains the reason.
     if (!answer || !answer->found() || !answer->outcome().accepted())
         return false;
     response.mutable_accepted()->set_revision(answer->outcome().revision());
--- a/src/libcyclamenrun/operators/change_sender.hpp
+++ b/src/libcyclamenrun/operators/change_sender.hpp
@@ -10,7 +10,8 @@
 namespace cyclamenrun
 {
 
-/** How a change_sender reaches an entry and passes time. */
+/** Functions by which a change_sender calls an entry, reads the clock and
+ * waits. */
 struct change_sender_hooks {
     std::function<rpc_outcome<v1::ApplyChangeResponse>(
         const v1::ApplyChangeRequest&, time_point deadline)>
@@ -23,12 +24,12 @@
 };
 
 /**
- * An operator's side of one change: sends it until its outcome is known.
+ * Sends an operator's change to an entry until its outcome is known.
  *
- * Guards against an answer that is lost after the change came into force,
- * which would show as a failure of a change that took effect. The change's id
- * stays the same for all attempts: FindChange tells whether it is settled,
- * and a second record with the same id changes nothing.
+ * Guards against an answer that is lost after the change came into force, which
+ * would be reported as the failure of a change that took effect. All attempts
+ * have the same change id: FindChange returns the outcome if there is one, and
+ * a second record with the same id has no effect.
  */
 class change_sender
 {
@@ -36,8 +37,8 @@
     explicit change_sender(change_sender_hooks hooks);
 
     /**
-     * Ends with `unknown` if it cannot be told by `deadline`. An error means
-     * that the change was not made and will not be.
+     * Returns `unknown` if the outcome is not known by `deadline`. An error
+     * means that the change has not taken effect and never will.
      */
     rpc_outcome<v1::ApplyChangeResponse> send(const v1::ChangeRecord& change,
                                               time_point deadline) const;
--- a/src/libcyclamenrun/operators/log_record.cpp
+++ b/src/libcyclamenrun/operators/log_record.cpp
@@ -15,7 +15,8 @@
 namespace
 {
 
-/** Members that have a place of their own in the record. */
+/** Returns whether a JSON member is not among log_record::fields: it is a
+ * member of log_record, or the severity, which is not kept. */
 bool has_own_place(const std::string& name)
 {
     return name == "time" || name == "severity" || name == "process" ||
--- a/src/libcyclamenrun/operators/log_record.hpp
+++ b/src/libcyclamenrun/operators/log_record.hpp
@@ -10,29 +10,32 @@
 namespace cyclamenrun
 {
 
-/** One line of a process's log, read back. */
+/** A parsed line of a process's log. */
 struct log_record {
-    std::string time; ///< RFC 3339 in UTC, so that texts sort by time
+    std::string time; ///< RFC 3339 in UTC, so that string order is time order
     std::string process;
     std::string event;
-    std::string request_id; ///< empty: it concerns no one request
-    /** The other fields, in their order, as text. */
+    std::string
+        request_id; ///< empty for an event that is not about one request
+    /** The other fields as text, in the order of the JSON object. */
     std::vector<std::pair<std::string, std::string>> fields;
 
     std::string field(std::string_view name) const;
 };
 
 /**
- * Reads a line; whatever stands before its first brace is passed over, since
- * collectors put a host or a time there. Empty for what is no line of ours.
+ * Parses a line of a log. Skips the text before the first brace, since log
+ * collectors put a host or a time there. Empty if the line is not a log event
+ * of this project.
  */
 std::optional<log_record> read_log_record(const std::string& line);
 
-/** From one record's time to another's; empty if one is no time. */
+/** Milliseconds from one record's time to another's; empty if a time cannot be
+ * parsed. */
 std::optional<long long> ms_between(const std::string& earlier,
                                     const std::string& later);
 
-/** The time so much before another; the same text if it is no time. */
+/** Returns the time `ms` before `time`, or `time` if it cannot be parsed. */
 std::string time_before(const std::string& time, long long ms);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/operators/operator_authorizer.cpp
+++ b/src/libcyclamenrun/operators/operator_authorizer.cpp
@@ -15,7 +15,8 @@
     const auto token = parse_bearer_token(authorization);
     if (!token)
         return false;
-    // All are compared, so that the time does not tell which one matched.
+    // Compares all keys, so that the duration does not reveal which one
+    // matched.
     bool matched = false;
     for (const auto& key : keys_)
         matched = key.matches(*token) || matched;
--- a/src/libcyclamenrun/operators/operator_authorizer.hpp
+++ b/src/libcyclamenrun/operators/operator_authorizer.hpp
@@ -9,13 +9,13 @@
 namespace cyclamenrun
 {
 
-/** Knows the few keys that operators may use. Constant, so shared freely. */
+/** Checks the keys of operators. Immutable, so threads may share it. */
 class operator_authorizer
 {
 public:
     explicit operator_authorizer(std::vector<key_hash> keys);
 
-    /** `authorization` is the value of the header. */
+    /** Returns whether an `Authorization` header contains a valid key. */
     bool operator()(std::string_view authorization) const;
 
 private:
--- a/src/libcyclamenrun/operators/request_story.cpp
+++ b/src/libcyclamenrun/operators/request_story.cpp
@@ -17,7 +17,7 @@
 namespace
 {
 
-/** A belief of a process, and the events that change it. */
+/** A log event that changes a part of a process's state. */
 struct belief_row {
     std::string_view about;
     log_event_name event;
@@ -49,13 +49,14 @@
     return found == beliefs.end() ? nullptr : &*found;
 }
 
-/** Of one upstream, not of the process as a whole. */
+/** Whether the state is about one upstream and not the whole process. */
 bool is_of_one_peer(std::string_view about)
 {
     return about == "upstream";
 }
 
-/** When the request came: a line of its end says how long it took. */
+/** Returns the arrival time of a request. A line that is logged at the end of
+ * the request contains its duration. */
 std::string came_at(const log_record& first)
 {
     const bool is_end =
@@ -136,7 +137,7 @@
         });
     const auto moment = came_at(*first);
     to << "\nwhat " << process << " believed at " << moment << ":\n";
-    // The directory has feeds of its own, each lost and regained by itself.
+    // Each feed of the directory is lost and regained separately.
     std::map<std::pair<std::string, std::string>, const log_record*> newest;
     for (const auto& belief : beliefs_) {
         const auto about = belief_of(belief.event)->about;
--- a/src/libcyclamenrun/operators/request_story.hpp
+++ b/src/libcyclamenrun/operators/request_story.hpp
@@ -12,9 +12,10 @@
 {
 
 /**
- * What the logs say of one request: the lines that carry its id, in their
- * order over all processes, what each of these processes believed when the
- * request came, and what they came to believe while it was served.
+ * The timeline of one request as reconstructed from logs. It consists of the
+ * lines with the request's id from all processes in order of time, the state
+ * of each of these processes at the arrival of the request, and the changes of
+ * that state while the request was served.
  */
 class request_story
 {
@@ -24,10 +25,10 @@
     {
     }
 
-    /** Takes one line of a log; lines may come in any order. */
+    /** Adds one line of a log; lines may be added in any order. */
     void take(const std::string& line);
 
-    /** No line carries the id. */
+    /** Whether no line has the id of the request. */
     bool empty() const { return steps_.empty(); }
     void print(std::ostream& to);
 
@@ -40,7 +41,7 @@
 
     std::string request_id_;
     std::vector<log_record> steps_;
-    /** Of all processes, whether they served the request or not. */
+    /** Of all processes, including those that did not serve the request. */
     std::vector<log_record> beliefs_;
 };
 
--- a/src/libcyclamenrun/operators/resource_file.cpp
+++ b/src/libcyclamenrun/operators/resource_file.cpp
@@ -38,7 +38,7 @@
     return std::nullopt;
 }
 
-/** Moves an entry's values into a resource; empty: no error. */
+/** Copies an entry's values into a resource; returns the errors found. */
 settings_errors convert(const service_entry& entry, v1::Resource& resource,
                         const settings_error& where)
 {
@@ -93,7 +93,7 @@
     return {};
 }
 
-/** Reads a whole resource file. */
+/** Converts a parsed resource file to resources and collects all errors. */
 class file_reader
 {
 public:
@@ -176,18 +176,19 @@
         {"name", &entry.name, required, 1, longest_name, "",
          "Name, of a-z, 0-9 and '-'."},
         {"kind", &entry.kind, required, 0, 0, "",
-         "Whether its upstreams are model engines or application runners."},
+         "Whether the service's upstreams are model engines or application "
+         "runners."},
         {"objective", &entry.objective, optional, 0, 32, "",
-         "What its decisions weigh most: stall_time or token_latency; models "
-         "only."},
+         "Objective that scheduling optimizes: stall_time or token_latency; "
+         "models only."},
         {"model", &entry.model, optional, 0, longest_model, "",
-         "Name of the model as callers give it; models only."},
+         "Name of the model in callers' requests; models only."},
         {"max_output_tokens", &entry.max_output_tokens, optional, 0, 1048576,
-         "tokens", "Longest answer; 0 is 65536."},
+         "tokens", "Maximum length of an answer; 0 means 65536."},
         {"max_prompt_tokens", &entry.max_prompt_tokens, optional, 0, 4194304,
-         "tokens", "Longest prompt; 0 is 131072."},
+         "tokens", "Maximum length of a prompt; 0 means 131072."},
         {"default_deadline_ms", &entry.default_deadline_ms, optional, 0, day_ms,
-         "ms", "Deadline of a request that names none; 0 is 600000."},
+         "ms", "Deadline of a request that sets none; 0 means 600000."},
     };
 }
 
@@ -197,15 +198,17 @@
         {"name", &entry.name, required, 1, longest_name, "",
          "Name, of a-z, 0-9 and '-'."},
         {"key_hash", &entry.key_hash, required, 1, 128, "",
-         "Salted hash of its key, from `cyclamenrunctl key new TEAM`."},
+         "Salted hash of the team's key, from `cyclamenrunctl key new TEAM`."},
         {"weight", &entry.weight, optional, 1, 1000, "",
-         "Share where teams compete."},
+         "Weight of the team's share when teams compete."},
         {"max_concurrent", &entry.max_concurrent, optional, 0, 1e6, "requests",
-         "Requests at once; 0 is no limit."},
+         "Maximum number of concurrent requests; 0 means no limit."},
         {"tokens_per_second", &entry.tokens_per_second, optional, 0, 1e9,
-         "tokens/s", "Prompt and output together; 0 is no limit."},
+         "tokens/s",
+         "Maximum rate of prompt and output tokens together; 0 means no "
+         "limit."},
         {"services", &entry.services, optional, 0, most_services, "",
-         "Services that it may use; empty is all."},
+         "Services that the team may use; empty means all."},
     };
 }
 
@@ -215,15 +218,15 @@
         {"name", &entry.name, required, 1, longest_name, "",
          "Name, of a-z, 0-9 and '-'."},
         {"service", &entry.service, required, 1, longest_name, "",
-         "Service whose engines are meant."},
+         "Service to whose engines the assignment applies."},
         {"model", &entry.model, required, 1, longest_model, "",
-         "Model to be loaded."},
+         "Model to load."},
         {"adapter", &entry.adapter, optional, 0, longest_model, "",
-         "Adapter to be loaded, if any."},
+         "Adapter to load, if any."},
         {"version", &entry.version, optional, 0, longest_model, "",
          "Version of the model."},
         {"role", &entry.role, optional, 0, 16, "",
-         "mixed, prefill or decode; empty is mixed."},
+         "Role of the engines: mixed, prefill or decode; empty means mixed."},
     };
 }
 
--- a/src/libcyclamenrun/operators/resource_file.hpp
+++ b/src/libcyclamenrun/operators/resource_file.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun
 {
 
-/** The members of one `[[service]]`, `[[team]]` or `[[assignment]]`. */
+/** The keys of one `[[service]]` table in a resource file. */
 struct service_entry {
     std::string name;
     upstream_kind kind = upstream_kind::model;
@@ -23,6 +23,7 @@
     std::uint64_t default_deadline_ms = 0;
 };
 
+/** The keys of one `[[team]]` table. */
 struct team_entry {
     std::string name;
     std::string key_hash;
@@ -32,6 +33,7 @@
     std::vector<std::string> services;
 };
 
+/** The keys of one `[[assignment]]` table. */
 struct assignment_entry {
     std::string name;
     std::string service;
@@ -46,9 +48,10 @@
 settings_table assignment_rows(assignment_entry& entry);
 
 /**
- * Resources as operators write them for `cyclamenrunctl apply`, in an order
- * in which they can be applied: services first, since the others name them.
- * Only the form is checked here; the entry checks the rules.
+ * Parses a file that an operator wrote for `cyclamenrunctl apply`. Returns the
+ * resources in an order in which they can be applied: services first, since
+ * teams and assignments refer to them. Checks only the syntax and the types;
+ * the entry checks the rules of the resources.
  */
 settings_outcome<std::vector<v1::Resource>>
 parse_resource_file(std::string_view text, const std::string& file);
--- a/src/libcyclamenrun/operators/rpc_client.cpp
+++ b/src/libcyclamenrun/operators/rpc_client.cpp
@@ -30,9 +30,9 @@
 }
 
 /**
- * Reads on until the end. Guards against a server that sends a byte now and
- * then: the socket's timeout starts anew with each, so the deadline is
- * checked as well.
+ * Reads the response to its end. The deadline is checked in addition to the
+ * socket's timeout, since that timeout restarts with each byte received and
+ * never expires for a server that sends a byte now and then.
  */
 rpc_outcome<std::string> read_response(std::istream& stream,
                                        time_point deadline)
@@ -51,7 +51,7 @@
     return body;
 }
 
-/** One call on a session of its own. */
+/** One call, with its own HTTP session. */
 class exchange
 {
 public:
@@ -98,7 +98,7 @@
 
     HTTPClientSession session_;
     time_point deadline_;
-    bool sent_ = false; ///< Whether the server may have got the request.
+    bool sent_ = false; ///< whether the server may have received the request
 };
 
 } // namespace
--- a/src/libcyclamenrun/operators/rpc_client.hpp
+++ b/src/libcyclamenrun/operators/rpc_client.hpp
@@ -13,13 +13,14 @@
 namespace cyclamenrun
 {
 
-/** Makes unary calls of the Connect protocol, a connection for each. */
+/** Makes unary calls of the Connect protocol, each on a new connection. */
 class rpc_client
 {
 public:
     rpc_client(ip_endpoint server, secret key);
 
-    /** `service` with its package. The call ends by `deadline`. */
+    /** Makes one call, which ends by `deadline`. `service` includes the
+     * package. */
     template <typename Response>
     rpc_outcome<Response>
     call(std::string_view service, std::string_view method,
--- a/src/libcyclamenrun/operators/rpc_code.hpp
+++ b/src/libcyclamenrun/operators/rpc_code.hpp
@@ -29,10 +29,10 @@
 std::string_view name_of(rpc_code code);
 std::optional<rpc_code> parse_rpc_code(std::string_view name);
 
-/** The HTTP status that goes with a code. */
+/** Returns the HTTP status for a code. */
 int http_status(rpc_code code);
 
-/** The code by which operators see a refusal. */
+/** Returns the code by which a refusal is reported to operators. */
 rpc_code rpc_code_of(refusal_reason reason);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/operators/rpc_codec.cpp
+++ b/src/libcyclamenrun/operators/rpc_codec.cpp
@@ -39,7 +39,7 @@
 {
     if (encoding == rpc_encoding::proto)
         return message.ParseFromString(body);
-    // A newer client may send fields that this release does not know.
+    // A newer client may send fields that are unknown to this release.
     google::protobuf::util::JsonParseOptions options;
     options.ignore_unknown_fields = true;
     return google::protobuf::util::JsonStringToMessage(body, &message, options)
--- a/src/libcyclamenrun/operators/rpc_codec.hpp
+++ b/src/libcyclamenrun/operators/rpc_codec.hpp
@@ -10,18 +10,20 @@
 namespace cyclamenrun
 {
 
-/** How a message is written in a body. */
+/** Encoding of a message in an HTTP body. */
 enum class rpc_encoding : std::uint8_t { proto, json };
 
-/** By the `Content-Type`, parameters such as a charset left aside. */
+/** Returns the encoding for a `Content-Type`; ignores parameters such as a
+ * charset. */
 std::optional<rpc_encoding> parse_rpc_encoding(std::string_view content_type);
 std::string_view content_type_of(rpc_encoding encoding);
 
-/** False when the body is not a message of that type. */
+/** Returns false if the body is not a message of that type. */
 bool decode_rpc_body(rpc_encoding encoding, const std::string& body,
                      google::protobuf::Message& message);
 
-/** Empty when the message cannot be written, as with text that is not UTF-8. */
+/** Empty if the message cannot be encoded, for example because a string is not
+ * valid UTF-8. */
 std::optional<std::string>
 encode_rpc_body(rpc_encoding encoding,
                 const google::protobuf::Message& message);
--- a/src/libcyclamenrun/operators/rpc_error.hpp
+++ b/src/libcyclamenrun/operators/rpc_error.hpp
@@ -11,13 +11,13 @@
 namespace cyclamenrun
 {
 
-/** A call that did not end with a response. */
+/** The error of a call that ended without a response. */
 struct rpc_error {
     rpc_code code = rpc_code::unknown;
     std::string message;
-    /** Whether the call may have taken effect nonetheless. */
+    /** Whether the call may have taken effect in spite of the error. */
     bool may_have_run = false;
-    /** How long the client should wait before it tries again. */
+    /** Time that the client should wait before it retries. */
     std::optional<milliseconds> retry_after = std::nullopt;
 
     bool operator==(const rpc_error&) const = default;
@@ -26,12 +26,14 @@
 rpc_error to_rpc_error(const refusal& why);
 
 /**
- * The body of an error answer: `{"code": ..., "message": ...,
- * "may_have_run": ...}`; the last is our own addition to Connect's members.
+ * Returns the body of an error response: `{"code": ..., "message": ...,
+ * "may_have_run": ...}`. `may_have_run` extends the members that the Connect
+ * protocol defines.
  */
 std::string write_rpc_error(const rpc_error& error);
 
-/** Reads such a body; `unknown` with the status for anything else. */
+/** Parses the body of an error response. For any other body, returns
+ * rpc_code::unknown with a message that contains the status. */
 rpc_error parse_rpc_error(std::string_view body, int http_status);
 
 template <typename Response>
--- a/src/libcyclamenrun/operators/rpc_http_handler.cpp
+++ b/src/libcyclamenrun/operators/rpc_http_handler.cpp
@@ -28,7 +28,7 @@
             write_rpc_error({code, std::move(message)})};
 }
 
-/** Empty for a body of more than `largest` bytes, of which no more is read. */
+/** Reads a body; stops and returns empty once it exceeds `largest` bytes. */
 std::optional<std::string> read_body(std::istream& stream, std::size_t largest)
 {
     constexpr std::size_t piece_size = 16384;
@@ -42,7 +42,8 @@
     return body;
 }
 
-/** What the client asks for, within bounds; else the default. */
+/** Returns the timeout that the client requests, up to the maximum; the default
+ * if the header is not a number. */
 milliseconds timeout_of(const std::string& header)
 {
     Poco::UInt64 asked = 0;
@@ -51,14 +52,16 @@
     return std::min(milliseconds(asked), longest_timeout);
 }
 
-/** In whole seconds, as the header wants it, and never too early. */
+/** Formats whole seconds, as the header requires; rounds up so that clients do
+ * not retry too early. */
 std::string retry_after_text(milliseconds time)
 {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(time);
     return std::to_string(seconds.count());
 }
 
-/** The path is the operator's own text; log_event() bounds and escapes it. */
+/** Logs a refused call. The path is untrusted; log_event() truncates and
+ * escapes it. */
 void log_refused(const Poco::Net::HTTPServerRequest& request,
                  const rpc_response& answer)
 {
@@ -90,7 +93,7 @@
     response.setContentType(answer.content_type);
     if (answer.retry_after)
         response.set("Retry-After", retry_after_text(*answer.retry_after));
-    // What is left of a refused body would be read as the next request.
+    // The unread rest of a refused body would be parsed as the next request.
     if (answer.status == content_too_large ||
         answer.status == method_not_allowed)
         response.setKeepAlive(false);
--- a/src/libcyclamenrun/operators/rpc_http_handler.hpp
+++ b/src/libcyclamenrun/operators/rpc_http_handler.hpp
@@ -9,7 +9,7 @@
 namespace cyclamenrun
 {
 
-/** Serves one HTTP request by a router. */
+/** Serves HTTP requests by passing them to an rpc_router. */
 class rpc_http_handler : public Poco::Net::HTTPRequestHandler
 {
 public:
--- a/src/libcyclamenrun/operators/rpc_router.cpp
+++ b/src/libcyclamenrun/operators/rpc_router.cpp
@@ -61,7 +61,7 @@
 rpc_error rpc_router::undecodable()
 {
     return {rpc_code::invalid_argument,
-            "the body is no message of this method's request type"};
+            "the body is not a message of this method's request type"};
 }
 
 rpc_error rpc_router::unencodable()
--- a/src/libcyclamenrun/operators/rpc_router.hpp
+++ b/src/libcyclamenrun/operators/rpc_router.hpp
@@ -12,13 +12,13 @@
 namespace cyclamenrun
 {
 
-/** One unary call as it comes over HTTP. */
+/** One unary call as received over HTTP. */
 struct rpc_request {
     std::string path; ///< `/PACKAGE.SERVICE/METHOD`
     std::string content_type;
-    std::string authorization; ///< value of the header, or empty
+    std::string authorization; ///< value of the header; empty if missing
     std::string body;
-    time_point deadline; ///< by which the client wants its answer
+    time_point deadline; ///< by which the client expects the answer
 };
 
 struct rpc_response {
@@ -29,14 +29,14 @@
 };
 
 /**
- * Finds the handler of a unary call of the Connect protocol, and decodes and
- * encodes its messages. Without I/O; methods are added before the first call
- * and the router is constant after that, so threads may share it.
+ * Dispatches unary calls of the Connect protocol to their handlers, and decodes
+ * and encodes the messages. Does no I/O. All methods are added before the first
+ * call, and the router does not change after that, so threads may share it.
  */
 class rpc_router
 {
 public:
-    /** Whether the value of an `Authorization` header may make calls. */
+    /** Returns whether the value of an `Authorization` header permits calls. */
     using authorizer = std::function<bool(std::string_view authorization)>;
 
     explicit rpc_router(authorizer authorize);
@@ -47,7 +47,8 @@
     template <typename Request, typename Response>
     using plain_handler = std::function<outcome<Response>(const Request&)>;
 
-    /** `service` with its package: `cyclamenrun.v1.QueryService`. */
+    /** Adds a method; `service` includes the package, such as
+     * `cyclamenrun.v1.QueryService`. */
     template <typename Request, typename Response>
     void add_method(std::string_view service, std::string_view method,
                     handler_with_deadline<Request, Response> handler);
