--- a/src/ctl/change_command.hpp
+++ b/src/ctl/change_command.hpp
@@ -14,17 +14,18 @@
 namespace cyclamenrun
 {
 
-/** Makes changes one after another and tells of each. */
+/** Applies changes one after another and prints the outcome of each. */
 class change_command
 {
 public:
     explicit change_command(const ctl_options& options);
 
-    /** Brings the resource to what is asked for, unless it is so already. */
+    /** Creates or updates a resource unless it already has this content. */
     exit_code put(const v1::Resource& resource);
     exit_code remove(v1::ResourceKind kind, const std::string& name);
 
-    /** Waits until all changes made are in force in every process known. */
+    /** Waits until all changes made by this command are in force in every known
+     * process. */
     exit_code wait_in_force() const;
 
 private:
@@ -38,7 +39,7 @@
 
     operator_session session_;
     bool json_;
-    /** What was in force of each kind when first looked at. */
+    /** Resources of each kind, as first queried. */
     std::map<v1::ResourceKind, v1::ListResourcesResponse> listed_;
     std::uint64_t newest_revision_ = 0;
 };
--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -37,7 +37,8 @@
     return v1::RESOURCE_KIND_ASSIGNMENT;
 }
 
-/** For CLI11: what is wrong with a resource's name, empty for nothing. */
+/** A validator for CLI11: returns the error in a resource's name, or an empty
+ * string. */
 std::string check_name(const std::string& name)
 {
     constexpr std::size_t longest = 63;
@@ -53,8 +54,9 @@
     return text;
 }
 
-/** From the file, or else from the environment: never from arguments, which
- * other users of the host can list. */
+/** Reads the operator's key from the file, or else from the environment.
+ * Command line arguments never contain the key, since other users of the host
+ * can list them. */
 settings_outcome<secret> read_key(const std::string& key_file)
 {
     if (!key_file.empty())
@@ -112,31 +114,34 @@
 {
     const auto kinds = CLI::IsMember({"service", "team", "assignment"});
     auto* apply = app_.add_subcommand(
-        "apply", "bring services, teams and assignments to what a file says");
+        "apply",
+        "create or update services, teams and assignments from a file");
     apply->add_option("FILE", file_, "TOML, see docs/settings.md")->required();
-    apply->add_flag("--wait", wait_, "until in force in every process known");
+    apply->add_flag("--wait", wait_,
+                    "wait until in force in every known process");
     auto* remove = app_.add_subcommand("delete", "delete one resource");
     remove->add_option("KIND", kind_)->required()->check(kinds);
     remove->add_option("NAME", name_)->required();
-    remove->add_flag("--wait", wait_, "until in force in every process known");
+    remove->add_flag("--wait", wait_,
+                     "wait until in force in every known process");
     auto* drain = app_.add_subcommand(
-        "drain", "give an upstream no new work and let the rest finish");
+        "drain", "send no new work to an upstream and let running work finish");
     drain->add_option("UPSTREAM", name_)->required();
 }
 
 void command_line::add_query_commands()
 {
     const auto kinds = CLI::IsMember({"services", "teams", "assignments"});
-    auto* show = app_.add_subcommand("show", "list what is in force");
+    auto* show = app_.add_subcommand("show", "list the resources in force");
     show->add_option("KIND", kind_)->required()->check(kinds);
     auto* find = app_.add_subcommand("find-change",
-                                     "tell what became of a change by its id");
+                                     "print the outcome of a change by its id");
     find->add_option("CHANGE-ID", name_)->required();
     app_.add_subcommand("revisions",
-                        "list which process has which revision in force");
+                        "list the revision in force in each process");
     auto* dump = app_.add_subcommand("dump", "print the state of a process");
     dump->add_option("--upstream", name_,
-                     "of this upstream's agent, not of the entry");
+                     "dump this upstream's agent instead of the entry");
 }
 
 void command_line::add_key_command()
@@ -151,10 +156,11 @@
 void command_line::add_explain_command()
 {
     auto* explain = app_.add_subcommand(
-        "explain", "tell the story of one request from the logs");
+        "explain", "print the timeline of one request from the logs");
     explain->add_option("REQUEST-ID", name_)->required();
-    explain->add_option("FILE", log_files_,
-                        "logs of any processes; none: standard input");
+    explain->add_option(
+        "FILE", log_files_,
+        "log files of any processes; standard input if none is named");
 }
 
 exit_code command_line::run_chosen()
@@ -187,7 +193,7 @@
     const auto entry = parse_ip_endpoint(entry_);
     if (!entry) {
         std::cerr << "error: --entry " << entry_
-                  << " is no IP:PORT such as 127.0.0.1:8081\n";
+                  << " is not an IP:PORT such as 127.0.0.1:8081\n";
         return exit_code::usage;
     }
     const auto key = read_key(key_file_);
--- a/src/ctl/command_line.hpp
+++ b/src/ctl/command_line.hpp
@@ -13,7 +13,7 @@
 namespace cyclamenrun
 {
 
-/** What the user typed; runs the command that was chosen. */
+/** Parses the command line and runs the selected command. */
 class command_line
 {
 public:
--- a/src/ctl/commands.hpp
+++ b/src/ctl/commands.hpp
@@ -12,7 +12,8 @@
 
 struct ctl_options;
 
-/** The commands of cyclamenrunctl; each prints and says how to end. */
+/** The commands of cyclamenrunctl. Each prints its result and returns the exit
+ * code of the process. */
 exit_code run_apply(const ctl_options& options, const std::string& file,
                     bool wait);
 exit_code run_delete(const ctl_options& options, v1::ResourceKind kind,
@@ -25,13 +26,14 @@
 exit_code run_revisions(const ctl_options& options);
 
 /**
- * Tells a request's story from logs: files, or standard input if there are
- * none. Talks to nobody.
+ * Prints the timeline of a request from log files, or from standard input if
+ * there are none. Makes no network calls.
  */
 exit_code run_explain(const std::string& request_id,
                       const std::vector<std::string>& files);
 
-/** Makes a key without talking to anyone; an empty team: an operator's. */
+/** Creates the key of a team, or an operator's key if `team` is empty. Makes no
+ * network calls. */
 exit_code run_new_key(const std::string& team);
 
 } // namespace cyclamenrun
--- a/src/ctl/ctl_options.hpp
+++ b/src/ctl/ctl_options.hpp
@@ -8,12 +8,12 @@
 namespace cyclamenrun
 {
 
-/** What all commands that talk to an entry share. */
+/** Options of all commands that call an entry. */
 struct ctl_options {
     ip_endpoint entry;
     secret key;
     bool json = false;
-    time_point deadline; ///< of the command as a whole
+    time_point deadline; ///< of the whole command
 };
 
 } // namespace cyclamenrun
--- a/src/ctl/explain_command.cpp
+++ b/src/ctl/explain_command.cpp
@@ -34,8 +34,8 @@
         take_lines(story, std::cin);
     if (story.empty()) {
         std::cerr << "error: no line has the request id " << request_id
-                  << "; a request that ended well is left out when the log is "
-                     "over its budget, see log_lines_dropped\n";
+                  << "; lines of successful requests are dropped when the log "
+                     "is over its budget, see log_lines_dropped\n";
         return exit_code::not_found;
     }
     story.print(std::cout);
--- a/src/ctl/message_printer.cpp
+++ b/src/ctl/message_printer.cpp
@@ -25,9 +25,10 @@
                 "operator_keys."};
     case rpc_code::unavailable:
         if (error.may_have_run)
-            return {exit_code::uncertain,
-                    "The entry went away during the call; ask another entry "
-                    "what is in force before you repeat it."};
+            return {
+                exit_code::uncertain,
+                "The connection to the entry was lost during the call; query "
+                "another entry for what is in force before you repeat it."};
         return {exit_code::unreachable,
                 "Nothing was changed. Check --entry, the entry's readiness "
                 "(GET /readyz) and the platform's log; then try again."};
--- a/src/ctl/message_printer.hpp
+++ b/src/ctl/message_printer.hpp
@@ -13,9 +13,11 @@
 /** Writes a response as JSON on standard output. */
 void print_json(const google::protobuf::Message& message);
 
-/** Tells of a failed call and what to do next; the code to end with. */
+/** Prints the error of a call and the next step for the operator; returns the
+ * exit code. */
 exit_code report_rpc_error(const rpc_error& error);
 
+/** Prints the errors of a file on standard error; returns the exit code. */
 exit_code report_file_errors(const settings_errors& errors);
 
 } // namespace cyclamenrun
--- a/src/ctl/operator_session.hpp
+++ b/src/ctl/operator_session.hpp
@@ -10,7 +10,7 @@
 namespace cyclamenrun
 {
 
-/** The operators' calls to one entry, typed. */
+/** Makes the typed calls of the operators' API to one entry. */
 class operator_session
 {
 public:
--- a/src/ctl/resource_printer.hpp
+++ b/src/ctl/resource_printer.hpp
@@ -8,14 +8,14 @@
 namespace cyclamenrun
 {
 
-/** A table of one kind of resource on standard output. */
+/** Prints a table of the resources of one kind on standard output. */
 void print_resources(v1::ResourceKind kind,
                      const v1::ListResourcesResponse& response);
 
-/** `service redactor`, as people name a resource. */
+/** Returns a readable name of a resource, such as `service redactor`. */
 std::string describe(v1::ResourceKind kind, const std::string& name);
 
-/** The whole of a resource on one line, keys' hashes left out. */
+/** Returns a whole resource on one line, without the hashes of keys. */
 std::string describe(const v1::Resource& resource);
 
 } // namespace cyclamenrun
--- a/src/ctl/revision_printer.hpp
+++ b/src/ctl/revision_printer.hpp
@@ -8,7 +8,7 @@
 namespace cyclamenrun
 {
 
-/** A table of which process has which revision in force. */
+/** Prints a table of the revision in force in each process. */
 void print_revisions(const v1::ListRevisionsResponse& response,
                      std::ostream& stream);
 
--- a/src/ctl/text_table.hpp
+++ b/src/ctl/text_table.hpp
@@ -8,13 +8,13 @@
 namespace cyclamenrun
 {
 
-/** Rows of text in columns as wide as their widest cell. */
+/** Writes rows of text in columns as wide as their widest cell. */
 class text_table
 {
 public:
     explicit text_table(std::vector<std::string> headings);
 
-    /** As many cells as there are headings. */
+    /** Adds a row; missing cells stay empty, excess cells are dropped. */
     void add(std::vector<std::string> cells);
     void write(std::ostream& stream) const;
 
