--- a/src/ctl/change_command.cpp
+++ b/src/ctl/change_command.cpp
@@ -18,7 +18,7 @@
 {
 
 constexpr std::size_t change_id_bytes = 12;
-constexpr milliseconds poll_pause{200};
+constexpr milliseconds poll_interval{200};
 
 std::string make_change_id()
 {
@@ -94,7 +94,7 @@
                           << " processes\n";
             return exit_code::ok;
         }
-        if (steady_now() + poll_pause >= session_.deadline()) {
+        if (steady_now() + poll_interval >= session_.deadline()) {
             std::cerr << "error: revision " << newest_revision_
                       << " is accepted but not yet in force everywhere\n";
             print_revisions(*response, std::cerr);
@@ -102,7 +102,7 @@
                          "behind, or wait with `cyclamenrunctl revisions`.\n";
             return exit_code::not_in_force;
         }
-        std::this_thread::sleep_for(poll_pause);
+        std::this_thread::sleep_for(poll_interval);
     }
 }
 
--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -17,7 +17,7 @@
 
 constexpr const char* key_variable = "CYCLAMENRUN_OPERATOR_KEY";
 constexpr const char* entry_variable = "CYCLAMENRUN_ENTRY";
-constexpr std::uint64_t longest_timeout_s = 3600;
+constexpr std::uint64_t max_timeout_s = 3600;
 
 std::string exit_codes_text()
 {
@@ -92,7 +92,7 @@
         const auto status = app_.exit(error);
         return status == 0 ? exit_code::ok : exit_code::usage;
     }
-    return run_chosen();
+    return run_selected();
 }
 
 void command_line::add_connection_options()
@@ -105,7 +105,7 @@
                     "file with the operator's key; else the variable "
                     "CYCLAMENRUN_OPERATOR_KEY");
     app_.add_option("--timeout", timeout_s_, "seconds for the whole command")
-        ->check(CLI::Range(std::uint64_t{1}, longest_timeout_s))
+        ->check(CLI::Range(std::uint64_t{1}, max_timeout_s))
         ->capture_default_str();
     app_.add_flag("--json", json_, "print the response as JSON");
 }
@@ -163,32 +163,32 @@
         "log files of any processes; standard input if none is named");
 }
 
-exit_code command_line::run_chosen()
+exit_code command_line::run_selected()
 {
     if (app_.got_subcommand("explain"))
         return run_explain(name_, log_files_);
     if (app_.got_subcommand("key"))
         return run_new_key(name_);
-    return connected([this](const ctl_options& options) {
-        const auto& chosen = app_.get_subcommands().front()->get_name();
-        if (chosen == "apply")
+    return run_with_entry([this](const ctl_options& options) {
+        const auto& selected = app_.get_subcommands().front()->get_name();
+        if (selected == "apply")
             return run_apply(options, file_, wait_);
-        if (chosen == "delete")
+        if (selected == "delete")
             return run_delete(options, kind_of(kind_), name_, wait_);
-        if (chosen == "show")
+        if (selected == "show")
             return run_show(options, kind_of(kind_));
-        if (chosen == "find-change")
+        if (selected == "find-change")
             return run_find_change(options, name_);
-        if (chosen == "drain")
+        if (selected == "drain")
             return run_drain(options, name_);
-        if (chosen == "dump")
+        if (selected == "dump")
             return run_dump(options, name_);
         return run_revisions(options);
     });
 }
 
 template <typename Command>
-exit_code command_line::connected(Command command) const
+exit_code command_line::run_with_entry(Command command) const
 {
     const auto entry = parse_ip_endpoint(entry_);
     if (!entry) {
--- a/src/ctl/command_line.hpp
+++ b/src/ctl/command_line.hpp
@@ -27,9 +27,9 @@
     void add_query_commands();
     void add_key_command();
     void add_explain_command();
-    exit_code run_chosen();
+    exit_code run_selected();
     template <typename Command>
-    exit_code connected(Command command) const;
+    exit_code run_with_entry(Command command) const;
 
     CLI::App app_;
     std::string entry_ = "127.0.0.1:8081";
--- a/src/ctl/explain_command.cpp
+++ b/src/ctl/explain_command.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-void take_lines(request_story& story, std::istream& from)
+void add_lines(request_story& story, std::istream& from)
 {
     for (std::string line; std::getline(from, line);)
         story.take(line);
@@ -28,10 +28,10 @@
             std::cerr << "error: " << file << " cannot be read\n";
             return exit_code::usage;
         }
-        take_lines(story, from);
+        add_lines(story, from);
     }
     if (files.empty())
-        take_lines(story, std::cin);
+        add_lines(story, std::cin);
     if (story.empty()) {
         std::cerr << "error: no line has the request id " << request_id
                   << "; lines of successful requests are dropped when the log "
--- a/src/ctl/text_table.cpp
+++ b/src/ctl/text_table.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-constexpr std::size_t gap = 2;
+constexpr std::size_t column_gap = 2;
 
 std::vector<std::size_t>
 widths_of(const std::vector<std::vector<std::string>>& rows)
@@ -41,7 +41,7 @@
         std::string line;
         for (std::size_t column = 0; column < widths.size(); ++column) {
             auto cell = row[column];
-            cell.resize(widths[column] + gap, ' ');
+            cell.resize(widths[column] + column_gap, ' ');
             line += cell;
         }
         line.erase(line.find_last_not_of(' ') + 1);
--- a/src/libcyclamenrun/observability/exported_metrics.cpp
+++ b/src/libcyclamenrun/observability/exported_metrics.cpp
@@ -74,7 +74,7 @@
     struct labelled_family {
         any_family family;
         std::vector<std::string> names;
-        std::set<std::vector<std::string>> known;
+        std::set<std::vector<std::string>> known_values;
     };
 
     any_family make_family(const exported_metric_row& row)
@@ -98,14 +98,15 @@
     static prometheus::Labels labels_of(labelled_family& family,
                                         label_values values)
     {
-        const std::vector<std::string> given(values);
-        const bool full = family.known.size() >= most_series;
-        const bool other = full && !family.known.contains(given);
-        if (!other)
-            family.known.insert(given);
+        const std::vector<std::string> value_list(values);
+        const bool full = family.known_values.size() >= max_series;
+        const bool overflows =
+            full && !family.known_values.contains(value_list);
+        if (!overflows)
+            family.known_values.insert(value_list);
         prometheus::Labels labels;
         for (std::size_t i = 0; i < family.names.size(); ++i)
-            labels[family.names[i]] = other ? "other" : given.at(i);
+            labels[family.names[i]] = overflows ? "other" : value_list.at(i);
         return labels;
     }
 
@@ -126,8 +127,8 @@
     registry_->series<Counter>(what, labels).Increment(by);
 }
 
-void exported_metrics::count_to(exported_metric what, label_values labels,
-                                double total)
+void exported_metrics::set_counter(exported_metric what, label_values labels,
+                                   double total)
 {
     auto& counter = registry_->series<Counter>(what, labels);
     counter.Increment(total - counter.Value());
@@ -154,12 +155,12 @@
 
 void export_dropped_lines(exported_metrics& metrics)
 {
-    const auto dropped = all_dropped_lines();
+    const auto dropped = total_dropped_lines();
     for (const auto severity :
          {log_severity::info, log_severity::warning, log_severity::error})
-        metrics.count_to(exported_metric::dropped_lines,
-                         {std::string(name_of(severity))},
-                         static_cast<double>(dropped.of(severity)));
+        metrics.set_counter(exported_metric::dropped_lines,
+                            {std::string(name_of(severity))},
+                            static_cast<double>(dropped.of(severity)));
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/observability/exported_metrics.hpp
+++ b/src/libcyclamenrun/observability/exported_metrics.hpp
@@ -14,7 +14,7 @@
 /**
  * Holds the counters, gauges and histograms of a process and writes them in
  * the Prometheus text exposition format. Memory is bounded: a metric has at
- * most `most_series` different sets of label values; samples of further sets
+ * most `max_series` different sets of label values; samples of further sets
  * are counted under the label value "other". Thread-safe.
  */
 class exported_metrics
@@ -31,12 +31,12 @@
     void count(exported_metric what, label_values labels = {}, double by = 1);
     void set(exported_metric what, label_values labels, double value);
     /** Raises a counter that is maintained elsewhere to `total`. */
-    void count_to(exported_metric what, label_values labels, double total);
+    void set_counter(exported_metric what, label_values labels, double total);
     void observe(exported_metric what, label_values labels, duration value);
 
     std::string text() const;
 
-    static constexpr std::size_t most_series = 256;
+    static constexpr std::size_t max_series = 256;
 
 private:
     class registry;
--- a/src/libcyclamenrun/observability/line_budget.cpp
+++ b/src/libcyclamenrun/observability/line_budget.cpp
@@ -9,17 +9,17 @@
 {
 
 /** Fraction of the budget that is reserved for warnings and errors. */
-constexpr double reserve_of_info = 0.5;
+constexpr double info_reserve = 0.5;
 /** Fraction of the budget that is reserved for errors. */
-constexpr double reserve_of_warnings = 0.1;
+constexpr double warning_reserve = 0.1;
 
-double reserve_of(log_severity severity)
+double reserved_fraction(log_severity severity)
 {
     switch (severity) {
     case log_severity::info:
-        return reserve_of_info;
+        return info_reserve;
     case log_severity::warning:
-        return reserve_of_warnings;
+        return warning_reserve;
     case log_severity::error:
         return 0;
     }
@@ -29,19 +29,20 @@
 } // namespace
 
 line_budget::line_budget(double lines_per_s)
-    : lines_per_s_(lines_per_s), left_(lines_per_s)
+    : lines_per_s_(lines_per_s), available_lines_(lines_per_s)
 {
 }
 
-bool line_budget::take(log_severity severity, time_point now)
+bool line_budget::try_consume(log_severity severity, time_point now)
 {
-    const std::chrono::duration<double> passed = now - filled_at_;
-    filled_at_ = now;
-    left_ = std::min(lines_per_s_,
-                     left_ + std::max(0.0, passed.count()) * lines_per_s_);
-    if (left_ < 1 + reserve_of(severity) * lines_per_s_)
+    const std::chrono::duration<double> passed = now - refilled_at_;
+    refilled_at_ = now;
+    available_lines_ = std::min(
+        lines_per_s_,
+        available_lines_ + std::max(0.0, passed.count()) * lines_per_s_);
+    if (available_lines_ < 1 + reserved_fraction(severity) * lines_per_s_)
         return false;
-    left_ -= 1;
+    available_lines_ -= 1;
     return true;
 }
 
--- a/src/libcyclamenrun/observability/line_budget.hpp
+++ b/src/libcyclamenrun/observability/line_budget.hpp
@@ -38,12 +38,12 @@
     explicit line_budget(double lines_per_s);
 
     /** Returns whether a line may be logged, and consumes budget if so. */
-    bool take(log_severity severity, time_point now);
+    bool try_consume(log_severity severity, time_point now);
 
 private:
     double lines_per_s_;
-    double left_;
-    time_point filled_at_{};
+    double available_lines_;
+    time_point refilled_at_{};
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/observability/line_output.cpp
+++ b/src/libcyclamenrun/observability/line_output.cpp
@@ -13,16 +13,16 @@
 {
 
 /** Longest wait in one poll of a descriptor that is not writable. */
-constexpr int look_ms = 100;
+constexpr int poll_timeout_ms = 100;
 /** Time for a slow reader to accept the last lines of a process. */
-constexpr int last_wait_ms = 200;
+constexpr int final_write_timeout_ms = 200;
 /** A pipe that polls as writable accepts this much without blocking. */
-constexpr std::size_t piece_bytes = PIPE_BUF;
+constexpr std::size_t max_write_bytes = PIPE_BUF;
 
 } // namespace
 
 line_output::line_output(int descriptor, std::size_t queued_bytes)
-    : descriptor_(descriptor), most_queued_(queued_bytes)
+    : descriptor_(descriptor), max_queued_bytes_(queued_bytes)
 {
 }
 
@@ -30,21 +30,21 @@
 {
     {
         const std::lock_guard lock(mutex_);
-        ended_ = true;
+        stopping_ = true;
     }
     changed_.notify_one();
     if (writer_.joinable())
         writer_.join();
-    if (!queue_.empty() && writable(last_wait_ms))
+    if (!queue_.empty() && writable(final_write_timeout_ms))
         write_some();
 }
 
 bool line_output::has_room(log_severity severity, std::size_t bytes) const
 {
     // The second half of the queue is reserved for warnings and errors.
-    const auto most =
-        severity == log_severity::info ? most_queued_ / 2 : most_queued_;
-    return queue_.size() + bytes <= most;
+    const auto limit = severity == log_severity::info ? max_queued_bytes_ / 2
+                                                      : max_queued_bytes_;
+    return queue_.size() + bytes <= limit;
 }
 
 bool line_output::put(log_severity severity, std::string_view line)
@@ -73,8 +73,9 @@
 {
     std::size_t done = 0;
     while (done < queue_.size() && writable(0)) {
-        const auto count = ::write(descriptor_, queue_.data() + done,
-                                   std::min(piece_bytes, queue_.size() - done));
+        const auto count =
+            ::write(descriptor_, queue_.data() + done,
+                    std::min(max_write_bytes, queue_.size() - done));
         if (count < 0 && errno == EINTR)
             continue;
         if (count <= 0) {
@@ -90,13 +91,13 @@
 void line_output::write_rest()
 {
     std::unique_lock lock(mutex_);
-    while (!ended_) {
+    while (!stopping_) {
         if (queue_.empty()) {
             changed_.wait(lock);
             continue;
         }
         lock.unlock();
-        const bool ready = writable(look_ms);
+        const bool ready = writable(poll_timeout_ms);
         lock.lock();
         if (ready)
             write_some();
--- a/src/libcyclamenrun/observability/line_output.hpp
+++ b/src/libcyclamenrun/observability/line_output.hpp
@@ -45,11 +45,11 @@
     void write_rest();
 
     const int descriptor_;
-    const std::size_t most_queued_;
+    const std::size_t max_queued_bytes_;
     std::mutex mutex_;
     std::string queue_;
     std::condition_variable changed_;
-    bool ended_ = false;
+    bool stopping_ = false;
     std::thread writer_; ///< writes queued lines; started on first need
 };
 
--- a/src/libcyclamenrun/observability/log_event.cpp
+++ b/src/libcyclamenrun/observability/log_event.cpp
@@ -31,7 +31,7 @@
         process_ = settings.process;
         writer_ = std::move(writer);
         budget_ = line_budget(settings.lines_per_s);
-        untold_ = {};
+        unreported_ = {};
     }
 
     /** Returns whether the budget allows a line of this severity; counts the
@@ -39,7 +39,7 @@
     bool admit(log_severity severity)
     {
         const std::lock_guard lock(mutex_);
-        if (budget_.take(severity, steady_now()))
+        if (budget_.try_consume(severity, steady_now()))
             return true;
         drop(severity);
         return false;
@@ -51,7 +51,7 @@
         const std::lock_guard lock(mutex_);
         if (!writer_)
             return;
-        if (!tell_dropped() || !writer_(severity, line))
+        if (!report_dropped() || !writer_(severity, line))
             drop(severity);
     }
 
@@ -71,26 +71,26 @@
 private:
     void drop(log_severity severity)
     {
-        untold_.add(severity);
+        unreported_.add(severity);
         all_.add(severity);
     }
 
     /** Logs the number of dropped lines; returns false if the writer has no
      * room for that line. */
-    bool tell_dropped()
+    bool report_dropped()
     {
-        if (!untold_.any())
+        if (!unreported_.any())
             return true;
         const std::array fields{
-            log_field(log_key::infos, untold_.of(log_severity::info)),
-            log_field(log_key::warnings, untold_.of(log_severity::warning)),
-            log_field(log_key::errors, untold_.of(log_severity::error))};
+            log_field(log_key::infos, unreported_.of(log_severity::info)),
+            log_field(log_key::warnings, unreported_.of(log_severity::warning)),
+            log_field(log_key::errors, unreported_.of(log_severity::error))};
         if (!writer_(log_severity::warning,
                      format(std::chrono::system_clock::now(),
                             log_severity::warning,
                             log_event_name::log_lines_dropped, fields)))
             return false;
-        untold_ = {};
+        unreported_ = {};
         return true;
     }
 
@@ -98,7 +98,7 @@
     std::string process_;
     log_writer writer_;
     line_budget budget_{log_settings::default_log_lines_per_s};
-    dropped_lines untold_;
+    dropped_lines unreported_;
     dropped_lines all_;
 };
 
@@ -108,7 +108,7 @@
     return the_target;
 }
 
-log_severity known_severity(google::LogSeverity severity)
+log_severity to_log_severity(google::LogSeverity severity)
 {
     return severity > google::GLOG_ERROR ? log_severity::error
                                          : static_cast<log_severity>(severity);
@@ -123,7 +123,7 @@
               const google::LogMessageTime&, const char* message,
               size_t size) override
     {
-        target().write(known_severity(severity), {message, size});
+        target().write(to_log_severity(severity), {message, size});
     }
 };
 
@@ -136,7 +136,7 @@
               const google::LogMessageTime&, const char* message,
               size_t size) override
     {
-        const auto known = known_severity(severity);
+        const auto known = to_log_severity(severity);
         const log_field text(log_key::detail, std::string_view(message, size));
         if (target().admit(known))
             target().write(
@@ -158,7 +158,7 @@
  * library reads /etc/localtime again each time, under a lock that all threads
  * share. Log lines are in UTC in any case.
  */
-void keep_time_in_utc()
+void set_time_zone_to_utc()
 {
     ::setenv("TZ", "UTC0", 1);
     ::tzset();
@@ -174,7 +174,7 @@
     };
 }
 
-dropped_lines all_dropped_lines()
+dropped_lines total_dropped_lines()
 {
     return target().dropped();
 }
@@ -182,7 +182,7 @@
 void start_logging(const log_settings& settings, log_writer writer)
 {
     static message_sink messages;
-    keep_time_in_utc();
+    set_time_zone_to_utc();
     target().start(settings, std::move(writer));
     FLAGS_logtostderr = false;
     FLAGS_stderrthreshold = google::NUM_SEVERITIES;
--- a/src/libcyclamenrun/observability/log_event.hpp
+++ b/src/libcyclamenrun/observability/log_event.hpp
@@ -16,7 +16,7 @@
  * Logs one event as one JSON line on standard output. Thread-safe and
  * non-blocking. Callers never pass prompt text as a field; keys are of type
  * `secret`, which log_field does not accept. Texts are truncated to
- * `longest_log_text` bytes.
+ * `max_log_text_bytes` bytes.
  */
 void log_event(log_severity severity, log_event_name event,
                std::initializer_list<log_field> fields = {});
@@ -26,7 +26,7 @@
                   log_severity severity, log_event_name event,
                   std::span<const log_field> fields);
 
-inline constexpr std::size_t longest_log_text = 1024;
+inline constexpr std::size_t max_log_text_bytes = 1024;
 
 } // namespace cyclamenrun
 
--- a/src/libcyclamenrun/observability/log_field.cpp
+++ b/src/libcyclamenrun/observability/log_field.cpp
@@ -66,7 +66,7 @@
 
 /** The id without its secret, in the form that callers receive: enough to find
  * the generation in the logs. */
-std::string public_part(const generation_id& generation)
+std::string without_secret(const generation_id& generation)
 {
     const auto whole = to_string(generation);
     return whole.substr(0, whole.rfind(':'));
@@ -84,7 +84,7 @@
 }
 
 log_field::log_field(log_key key, const generation_id& generation)
-    : log_field(key, public_part(generation))
+    : log_field(key, without_secret(generation))
 {
 }
 
--- a/src/libcyclamenrun/observability/log_line.cpp
+++ b/src/libcyclamenrun/observability/log_line.cpp
@@ -36,7 +36,7 @@
     std::string operator()(const std::string& text) const
     {
         const std::string_view all = text;
-        return json_quoted(all.substr(0, longest_log_text));
+        return json_quoted(all.substr(0, max_log_text_bytes));
     }
     std::string operator()(std::int64_t number) const
     {
--- a/src/libcyclamenrun/observability/logging.hpp
+++ b/src/libcyclamenrun/observability/logging.hpp
@@ -45,7 +45,7 @@
 void start_logging(const log_settings& settings, log_writer writer);
 
 /** Returns the number of lines dropped since the process started. */
-dropped_lines all_dropped_lines();
+dropped_lines total_dropped_lines();
 
 } // namespace cyclamenrun
 
--- a/src/libcyclamenrun/observability/metrics.cpp
+++ b/src/libcyclamenrun/observability/metrics.cpp
@@ -27,7 +27,7 @@
 
 // With fewer samples than markers the P-square estimator returns raw samples in
 // order of arrival, which are not quantiles.
-constexpr std::size_t fewest_samples = 2 * probabilities.size() + 3;
+constexpr std::size_t min_samples = 2 * probabilities.size() + 3;
 
 window_accumulator make_window()
 {
@@ -78,9 +78,9 @@
     {
         const auto previous_count = accumulators::count(previous_);
         const auto& source =
-            previous_count >= fewest_samples ? previous_ : current_;
+            previous_count >= min_samples ? previous_ : current_;
         result.recent_count = accumulators::count(source);
-        if (result.recent_count < fewest_samples)
+        if (result.recent_count < min_samples)
             return;
         const auto quantiles = accumulators::extended_p_square(source);
         result.recent_p50 = quantiles[0];
--- a/src/libcyclamenrun/observability/state_dump.cpp
+++ b/src/libcyclamenrun/observability/state_dump.cpp
@@ -18,7 +18,7 @@
     return text.str();
 }
 
-std::string omitted(std::size_t bytes)
+std::string omission_marker(std::size_t bytes)
 {
     Poco::JSON::Object object;
     object.set("omitted", true);
@@ -52,7 +52,7 @@
         each.writer(object);
         auto text = text_of(object);
         if (text.size() > section_bytes_)
-            text = omitted(text.size());
+            text = omission_marker(text.size());
         dump += dump.empty() ? "{" : ",";
         dump += json_quoted(each.name) + ':' + text;
     }
--- a/src/libcyclamenrun/observability/state_dump_list.cpp
+++ b/src/libcyclamenrun/observability/state_dump_list.cpp
@@ -3,8 +3,8 @@
 namespace cyclamenrun
 {
 
-state_dump_list::state_dump_list(std::size_t most_shown)
-    : most_shown_(most_shown), items_(new Poco::JSON::Array)
+state_dump_list::state_dump_list(std::size_t max_shown)
+    : max_shown_(max_shown), items_(new Poco::JSON::Array)
 {
 }
 
--- a/src/libcyclamenrun/observability/state_dump_list.hpp
+++ b/src/libcyclamenrun/observability/state_dump_list.hpp
@@ -15,11 +15,11 @@
 class state_dump_list
 {
 public:
-    explicit state_dump_list(std::size_t most_shown = default_most_shown);
+    explicit state_dump_list(std::size_t max_shown = default_max_shown);
 
     /** Whether a further item would be shown; if not, the caller can skip
      * building it. */
-    bool shows_more() const { return items_->size() < most_shown_; }
+    bool shows_more() const { return items_->size() < max_shown_; }
     void add(const Poco::JSON::Object& item);
     /** Counts an item without showing it. */
     void count() { ++total_; }
@@ -27,10 +27,10 @@
     /** Writes `NAME: {"total": N, "items": [...]}` into `object`. */
     void write(Poco::JSON::Object& object, const std::string& name) const;
 
-    static constexpr std::size_t default_most_shown = 200;
+    static constexpr std::size_t default_max_shown = 200;
 
 private:
-    const std::size_t most_shown_;
+    const std::size_t max_shown_;
     std::size_t total_ = 0;
     Poco::JSON::Array::Ptr items_;
 };
--- a/src/libcyclamenrun/operators/change_sender.cpp
+++ b/src/libcyclamenrun/operators/change_sender.cpp
@@ -8,10 +8,10 @@
 namespace
 {
 
-constexpr milliseconds attempt_time{10000};
-constexpr milliseconds pause{500};
+constexpr milliseconds attempt_timeout{10000};
+constexpr milliseconds retry_interval{500};
 
-bool is_settled(const rpc_outcome<v1::ApplyChangeResponse>& answer)
+bool is_final(const rpc_outcome<v1::ApplyChangeResponse>& answer)
 {
     if (!answer)
         return !answer.error().may_have_run;
@@ -37,7 +37,7 @@
 change_sender::send(const v1::ChangeRecord& change, time_point deadline) const
 {
     auto answer = send_once(change, deadline);
-    if (is_settled(answer))
+    if (is_final(answer))
         return answer;
     // From here on an error of a later attempt is not final: the change of an
     // earlier attempt may be on the log.
@@ -46,16 +46,17 @@
         if (find(change, deadline, found))
             return found;
         answer = send_once(change, deadline);
-        if (answer && is_settled(answer))
+        if (answer && is_final(answer))
             return answer;
-        hooks_.wait(std::min(pause, time_left(deadline, hooks_.now())));
+        hooks_.wait(
+            std::min(retry_interval, time_left(deadline, hooks_.now())));
     }
     return unknown_response(change);
 }
 
 time_point change_sender::attempt_deadline(time_point deadline) const
 {
-    return std::min<time_point>(deadline, hooks_.now() + attempt_time);
+    return std::min<time_point>(deadline, hooks_.now() + attempt_timeout);
 }
 
 rpc_outcome<v1::ApplyChangeResponse>
--- a/src/libcyclamenrun/operators/log_record.cpp
+++ b/src/libcyclamenrun/operators/log_record.cpp
@@ -17,7 +17,7 @@
 
 /** Returns whether a JSON member is not among log_record::fields: it is a
  * member of log_record, or the severity, which is not kept. */
-bool has_own_place(const std::string& name)
+bool is_separate_member(const std::string& name)
 {
     return name == "time" || name == "severity" || name == "process" ||
            name == "event" || name == "request_id";
@@ -61,7 +61,7 @@
     record.process = json_string(*object, "process").value_or("");
     record.request_id = json_string(*object, "request_id").value_or("");
     for (const auto& name : object->getNames()) {
-        if (!has_own_place(name))
+        if (!is_separate_member(name))
             record.fields.emplace_back(name, object->get(name).toString());
     }
     return record;
--- a/src/libcyclamenrun/operators/request_story.cpp
+++ b/src/libcyclamenrun/operators/request_story.cpp
@@ -18,46 +18,45 @@
 {
 
 /** A log event that changes a part of a process's state. */
-struct belief_row {
+struct state_event_row {
     std::string_view about;
     log_event_name event;
 };
 
-constexpr std::array beliefs{
-    belief_row{"process", log_event_name::process_started},
-    belief_row{"process", log_event_name::process_ready},
-    belief_row{"process", log_event_name::process_stopping},
-    belief_row{"configuration", log_event_name::configuration_applied},
-    belief_row{"lease", log_event_name::lease_renewed},
-    belief_row{"lease", log_event_name::lease_ended},
-    belief_row{"directory", log_event_name::directory_lost},
-    belief_row{"directory", log_event_name::directory_regained},
-    belief_row{"settings", log_event_name::settings_reloaded},
-    belief_row{"crashes", log_event_name::crash_seen},
-    belief_row{"upstream", log_event_name::upstream_leaving},
-    belief_row{"upstream", log_event_name::upstream_lost},
-    belief_row{"upstream", log_event_name::upstream_recovered},
-    belief_row{"log", log_event_name::log_lines_dropped},
+constexpr std::array state_events{
+    state_event_row{"process", log_event_name::process_started},
+    state_event_row{"process", log_event_name::process_ready},
+    state_event_row{"process", log_event_name::process_stopping},
+    state_event_row{"configuration", log_event_name::configuration_applied},
+    state_event_row{"lease", log_event_name::lease_renewed},
+    state_event_row{"lease", log_event_name::lease_ended},
+    state_event_row{"directory", log_event_name::directory_lost},
+    state_event_row{"directory", log_event_name::directory_regained},
+    state_event_row{"settings", log_event_name::settings_reloaded},
+    state_event_row{"crashes", log_event_name::crash_seen},
+    state_event_row{"upstream", log_event_name::upstream_leaving},
+    state_event_row{"upstream", log_event_name::upstream_lost},
+    state_event_row{"upstream", log_event_name::upstream_recovered},
+    state_event_row{"log", log_event_name::log_lines_dropped},
 };
 
-const belief_row* belief_of(const std::string& event)
+const state_event_row* find_state_event(const std::string& event)
 {
-    const auto found =
-        std::find_if(beliefs.begin(), beliefs.end(), [&](const auto& row) {
-            return name_of(row.event) == event;
-        });
-    return found == beliefs.end() ? nullptr : &*found;
+    const auto found = std::find_if(
+        state_events.begin(), state_events.end(),
+        [&](const auto& row) { return name_of(row.event) == event; });
+    return found == state_events.end() ? nullptr : &*found;
 }
 
 /** Whether the state is about one upstream and not the whole process. */
-bool is_of_one_peer(std::string_view about)
+bool is_about_one_upstream(std::string_view about)
 {
     return about == "upstream";
 }
 
 /** Returns the arrival time of a request. A line that is logged at the end of
  * the request contains its duration. */
-std::string came_at(const log_record& first)
+std::string arrival_time(const log_record& first)
 {
     const bool is_end =
         first.event != name_of(log_event_name::request_admitted);
@@ -90,14 +89,15 @@
         return;
     if (record->request_id == request_id_)
         steps_.push_back(std::move(*record));
-    else if (record->request_id.empty() && belief_of(record->event) != nullptr)
-        beliefs_.push_back(std::move(*record));
+    else if (record->request_id.empty() &&
+             find_state_event(record->event) != nullptr)
+        state_events_.push_back(std::move(*record));
 }
 
 void request_story::sort()
 {
     std::stable_sort(steps_.begin(), steps_.end(), by_time);
-    std::stable_sort(beliefs_.begin(), beliefs_.end(), by_time);
+    std::stable_sort(state_events_.begin(), state_events_.end(), by_time);
 }
 
 std::set<std::string> request_story::processes() const
@@ -124,50 +124,52 @@
     sort();
     to << "request " << request_id_ << '\n';
     for (const auto& process : processes())
-        print_beliefs(to, process);
+        print_initial_state(to, process);
     print_steps(to);
 }
 
-void request_story::print_beliefs(std::ostream& to,
-                                  const std::string& process) const
+void request_story::print_initial_state(std::ostream& to,
+                                        const std::string& process) const
 {
     const auto first =
         std::find_if(steps_.begin(), steps_.end(), [&](const log_record& step) {
             return step.process == process;
         });
-    const auto moment = came_at(*first);
+    const auto moment = arrival_time(*first);
     to << "\nwhat " << process << " believed at " << moment << ":\n";
     // Each feed of the directory is lost and regained separately.
     std::map<std::pair<std::string, std::string>, const log_record*> newest;
-    for (const auto& belief : beliefs_) {
-        const auto about = belief_of(belief.event)->about;
-        if (belief.process == process && belief.time <= moment &&
-            !is_of_one_peer(about))
-            newest[{std::string(about), belief.field("name")}] = &belief;
+    for (const auto& state_event : state_events_) {
+        const auto about = find_state_event(state_event.event)->about;
+        if (state_event.process == process && state_event.time <= moment &&
+            !is_about_one_upstream(about))
+            newest[{std::string(about), state_event.field("name")}] =
+                &state_event;
     }
     if (newest.empty())
         to << "  nothing is in the logs\n";
-    for (const auto& [key, belief] : newest) {
-        const auto ago = ms_between(belief->time, moment);
+    for (const auto& [key, state_event] : newest) {
+        const auto ago = ms_between(state_event->time, moment);
         to << "  " << std::left << std::setw(14) << key.first << ' '
-           << belief->event << ' ' << ago.value_or(-1) << " ms before";
-        print_fields(to, *belief);
+           << state_event->event << ' ' << ago.value_or(-1) << " ms before";
+        print_fields(to, *state_event);
     }
 }
 
 void request_story::print_steps(std::ostream& to) const
 {
-    const auto begin = came_at(steps_.front());
+    const auto begin = arrival_time(steps_.front());
     const auto own_processes = processes();
     const auto peers = upstreams();
     auto lines = steps_;
-    for (const auto& belief : beliefs_) {
+    for (const auto& state_event : state_events_) {
         const bool meanwhile =
-            belief.time >= begin && belief.time <= steps_.back().time;
-        const bool of_peer = !is_of_one_peer(belief_of(belief.event)->about) ||
-                             peers.contains(belief.field("upstream"));
-        if (meanwhile && of_peer && own_processes.contains(belief.process))
-            lines.push_back(belief);
+            state_event.time >= begin && state_event.time <= steps_.back().time;
+        const bool of_peer = !is_about_one_upstream(
+                                 find_state_event(state_event.event)->about) ||
+                             peers.contains(state_event.field("upstream"));
+        if (meanwhile && of_peer && own_processes.contains(state_event.process))
+            lines.push_back(state_event);
     }
     std::stable_sort(lines.begin(), lines.end(), by_time);
     to << "\nwhat happened, in ms since " << begin
--- a/src/libcyclamenrun/operators/request_story.hpp
+++ b/src/libcyclamenrun/operators/request_story.hpp
@@ -36,13 +36,14 @@
     void sort();
     std::set<std::string> processes() const;
     std::set<std::string> upstreams() const;
-    void print_beliefs(std::ostream& to, const std::string& process) const;
+    void print_initial_state(std::ostream& to,
+                             const std::string& process) const;
     void print_steps(std::ostream& to) const;
 
     std::string request_id_;
     std::vector<log_record> steps_;
     /** Of all processes, including those that did not serve the request. */
-    std::vector<log_record> beliefs_;
+    std::vector<log_record> state_events_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/operators/resource_file.cpp
+++ b/src/libcyclamenrun/operators/resource_file.cpp
@@ -10,9 +10,9 @@
 
 constexpr auto required = settings_presence::required;
 constexpr auto optional = settings_presence::optional;
-constexpr double longest_name = 63;
-constexpr double longest_model = 128;
-constexpr double most_services = 256;
+constexpr double max_name_bytes = 63;
+constexpr double max_model_bytes = 128;
+constexpr double max_services = 256;
 constexpr double day_ms = 86400000;
 
 std::string_view name_in_file(v1::Objective objective)
@@ -173,7 +173,7 @@
 settings_table service_rows(service_entry& entry)
 {
     return {
-        {"name", &entry.name, required, 1, longest_name, "",
+        {"name", &entry.name, required, 1, max_name_bytes, "",
          "Name, of a-z, 0-9 and '-'."},
         {"kind", &entry.kind, required, 0, 0, "",
          "Whether the service's upstreams are model engines or application "
@@ -181,7 +181,7 @@
         {"objective", &entry.objective, optional, 0, 32, "",
          "Objective that scheduling optimizes: stall_time or token_latency; "
          "models only."},
-        {"model", &entry.model, optional, 0, longest_model, "",
+        {"model", &entry.model, optional, 0, max_model_bytes, "",
          "Name of the model in callers' requests; models only."},
         {"max_output_tokens", &entry.max_output_tokens, optional, 0, 1048576,
          "tokens", "Maximum length of an answer; 0 means 65536."},
@@ -195,7 +195,7 @@
 settings_table team_rows(team_entry& entry)
 {
     return {
-        {"name", &entry.name, required, 1, longest_name, "",
+        {"name", &entry.name, required, 1, max_name_bytes, "",
          "Name, of a-z, 0-9 and '-'."},
         {"key_hash", &entry.key_hash, required, 1, 128, "",
          "Salted hash of the team's key, from `cyclamenrunctl key new TEAM`."},
@@ -207,7 +207,7 @@
          "tokens/s",
          "Maximum rate of prompt and output tokens together; 0 means no "
          "limit."},
-        {"services", &entry.services, optional, 0, most_services, "",
+        {"services", &entry.services, optional, 0, max_services, "",
          "Services that the team may use; empty means all."},
     };
 }
@@ -215,15 +215,15 @@
 settings_table assignment_rows(assignment_entry& entry)
 {
     return {
-        {"name", &entry.name, required, 1, longest_name, "",
+        {"name", &entry.name, required, 1, max_name_bytes, "",
          "Name, of a-z, 0-9 and '-'."},
-        {"service", &entry.service, required, 1, longest_name, "",
+        {"service", &entry.service, required, 1, max_name_bytes, "",
          "Service to whose engines the assignment applies."},
-        {"model", &entry.model, required, 1, longest_model, "",
+        {"model", &entry.model, required, 1, max_model_bytes, "",
          "Model to load."},
-        {"adapter", &entry.adapter, optional, 0, longest_model, "",
+        {"adapter", &entry.adapter, optional, 0, max_model_bytes, "",
          "Adapter to load, if any."},
-        {"version", &entry.version, optional, 0, longest_model, "",
+        {"version", &entry.version, optional, 0, max_model_bytes, "",
          "Version of the model."},
         {"role", &entry.role, optional, 0, 16, "",
          "Role of the engines: mixed, prefill or decode; empty means mixed."},
--- a/src/libcyclamenrun/operators/rpc_client.cpp
+++ b/src/libcyclamenrun/operators/rpc_client.cpp
@@ -15,7 +15,7 @@
 using Poco::Net::HTTPClientSession;
 using Poco::Net::HTTPRequest;
 
-constexpr std::size_t largest_response = 16U << 20U;
+constexpr std::size_t max_response_bytes = 16U << 20U;
 
 Poco::Timespan timespan_until(time_point deadline)
 {
@@ -37,12 +37,12 @@
 rpc_outcome<std::string> read_response(std::istream& stream,
                                        time_point deadline)
 {
-    constexpr std::size_t piece_size = 16384;
+    constexpr std::size_t chunk_bytes = 16384;
     std::string body;
-    std::string piece(piece_size, '\0');
-    while (stream.read(piece.data(), piece_size) || stream.gcount() > 0) {
-        body.append(piece, 0, static_cast<std::size_t>(stream.gcount()));
-        if (body.size() > largest_response)
+    std::string chunk(chunk_bytes, '\0');
+    while (stream.read(chunk.data(), chunk_bytes) || stream.gcount() > 0) {
+        body.append(chunk, 0, static_cast<std::size_t>(stream.gcount()));
+        if (body.size() > max_response_bytes)
             return tl::unexpected(rpc_error{rpc_code::resource_exhausted,
                                             "the response is too large", true});
         if (steady_now() >= deadline)
--- a/src/libcyclamenrun/operators/rpc_error.cpp
+++ b/src/libcyclamenrun/operators/rpc_error.cpp
@@ -8,13 +8,13 @@
 namespace cyclamenrun
 {
 
-rpc_error to_rpc_error(const refusal& why)
+rpc_error to_rpc_error(const refusal& cause)
 {
-    std::string message(name_of(why.reason));
-    if (!why.detail.empty())
-        message += ": " + why.detail;
-    return {rpc_code_of(why.reason), std::move(message),
-            why.kind != refusal_kind::not_run, why.retry_after};
+    std::string message(name_of(cause.reason));
+    if (!cause.detail.empty())
+        message += ": " + cause.detail;
+    return {rpc_code_of(cause.reason), std::move(message),
+            cause.kind != refusal_kind::not_run, cause.retry_after};
 }
 
 std::string write_rpc_error(const rpc_error& error)
--- a/src/libcyclamenrun/operators/rpc_error.hpp
+++ b/src/libcyclamenrun/operators/rpc_error.hpp
@@ -23,7 +23,7 @@
     bool operator==(const rpc_error&) const = default;
 };
 
-rpc_error to_rpc_error(const refusal& why);
+rpc_error to_rpc_error(const refusal& cause);
 
 /**
  * Returns the body of an error response: `{"code": ..., "message": ...,
--- a/src/libcyclamenrun/operators/rpc_http_handler.cpp
+++ b/src/libcyclamenrun/operators/rpc_http_handler.cpp
@@ -19,7 +19,7 @@
 constexpr int method_not_allowed = 405;
 constexpr int content_too_large = 413;
 constexpr milliseconds default_timeout{10000};
-constexpr milliseconds longest_timeout{60000};
+constexpr milliseconds max_timeout{60000};
 constexpr milliseconds write_timeout{10000};
 
 rpc_response error_response(int status, rpc_code code, std::string message)
@@ -31,11 +31,11 @@
 /** Reads a body; stops and returns empty once it exceeds `largest` bytes. */
 std::optional<std::string> read_body(std::istream& stream, std::size_t largest)
 {
-    constexpr std::size_t piece_size = 16384;
+    constexpr std::size_t chunk_bytes = 16384;
     std::string body;
-    std::string piece(piece_size, '\0');
-    while (stream.read(piece.data(), piece_size) || stream.gcount() > 0) {
-        body.append(piece, 0, static_cast<std::size_t>(stream.gcount()));
+    std::string chunk(chunk_bytes, '\0');
+    while (stream.read(chunk.data(), chunk_bytes) || stream.gcount() > 0) {
+        body.append(chunk, 0, static_cast<std::size_t>(stream.gcount()));
         if (body.size() > largest)
             return std::nullopt;
     }
@@ -46,10 +46,10 @@
  * if the header is not a number. */
 milliseconds timeout_of(const std::string& header)
 {
-    Poco::UInt64 asked = 0;
-    if (!Poco::NumberParser::tryParseUnsigned64(header, asked))
+    Poco::UInt64 requested = 0;
+    if (!Poco::NumberParser::tryParseUnsigned64(header, requested))
         return default_timeout;
-    return std::min(milliseconds(asked), longest_timeout);
+    return std::min(milliseconds(requested), max_timeout);
 }
 
 /** Formats whole seconds, as the header requires; rounds up so that clients do
@@ -76,8 +76,8 @@
 } // namespace
 
 rpc_http_handler::rpc_http_handler(std::shared_ptr<const rpc_router> router,
-                                   std::size_t largest_body)
-    : router_(std::move(router)), largest_body_(largest_body)
+                                   std::size_t max_body_bytes)
+    : router_(std::move(router)), max_body_bytes_(max_body_bytes)
 {
 }
 
@@ -106,11 +106,11 @@
     if (request.getMethod() != Poco::Net::HTTPRequest::HTTP_POST)
         return error_response(method_not_allowed, rpc_code::unimplemented,
                               "calls are sent by POST");
-    auto body = read_body(request.stream(), largest_body_);
+    auto body = read_body(request.stream(), max_body_bytes_);
     if (!body)
         return error_response(content_too_large, rpc_code::resource_exhausted,
                               "a body has at most " +
-                                  std::to_string(largest_body_) + " bytes");
+                                  std::to_string(max_body_bytes_) + " bytes");
     return router_->handle(
         {request.getURI(), request.getContentType(),
          request.get("Authorization", ""), std::move(*body),
--- a/src/libcyclamenrun/operators/rpc_http_handler.hpp
+++ b/src/libcyclamenrun/operators/rpc_http_handler.hpp
@@ -13,19 +13,20 @@
 class rpc_http_handler : public Poco::Net::HTTPRequestHandler
 {
 public:
-    explicit rpc_http_handler(std::shared_ptr<const rpc_router> router,
-                              std::size_t largest_body = default_largest_body);
+    explicit rpc_http_handler(
+        std::shared_ptr<const rpc_router> router,
+        std::size_t max_body_bytes = default_max_body_bytes);
 
     void handleRequest(Poco::Net::HTTPServerRequest& request,
                        Poco::Net::HTTPServerResponse& response) override;
 
-    static constexpr std::size_t default_largest_body = 1048576;
+    static constexpr std::size_t default_max_body_bytes = 1048576;
 
 private:
     rpc_response respond(Poco::Net::HTTPServerRequest& request) const;
 
     std::shared_ptr<const rpc_router> router_;
-    std::size_t largest_body_;
+    std::size_t max_body_bytes_;
 };
 
 } // namespace cyclamenrun
--- a/tests/product/fake_entry.cpp
+++ b/tests/product/fake_entry.cpp
@@ -14,7 +14,7 @@
 namespace
 {
 
-constexpr std::size_t largest_body = 4096;
+constexpr std::size_t max_body_bytes = 4096;
 constexpr milliseconds request_time{20000};
 
 class handler_factory : public Poco::Net::HTTPRequestHandlerFactory
@@ -28,7 +28,7 @@
     Poco::Net::HTTPRequestHandler*
     createRequestHandler(const Poco::Net::HTTPServerRequest&) override
     {
-        return new rpc_http_handler(router_, largest_body);
+        return new rpc_http_handler(router_, max_body_bytes);
     }
 
 private:
--- a/tests/product/test_exported_metrics.cpp
+++ b/tests/product/test_exported_metrics.cpp
@@ -34,7 +34,7 @@
 TEST(exported_metrics, have_a_bounded_number_of_series)
 {
     exported_metrics metrics;
-    for (std::size_t i = 0; i < exported_metrics::most_series + 50; ++i)
+    for (std::size_t i = 0; i < exported_metrics::max_series + 50; ++i)
         metrics.count(exported_metric::refusals, {"r" + std::to_string(i)});
     const auto text = metrics.text();
     EXPECT_THAT(text, HasSubstr("{reason=\"other\"} 50"));
--- a/tests/product/test_logging.cpp
+++ b/tests/product/test_logging.cpp
@@ -210,19 +210,21 @@
     line_budget budget(100);
     const time_point now{std::chrono::hours(1)};
     int infos = 0;
-    while (budget.take(log_severity::info, now))
+    while (budget.try_consume(log_severity::info, now))
         ++infos;
     int warnings = 0;
-    while (budget.take(log_severity::warning, now))
+    while (budget.try_consume(log_severity::warning, now))
         ++warnings;
     int errors = 0;
-    while (budget.take(log_severity::error, now))
+    while (budget.try_consume(log_severity::error, now))
         ++errors;
     EXPECT_EQ(infos, 50);
     EXPECT_EQ(warnings, 40);
     EXPECT_EQ(errors, 10);
-    EXPECT_FALSE(budget.take(log_severity::info, now + milliseconds(500)));
-    EXPECT_TRUE(budget.take(log_severity::info, now + milliseconds(600)));
+    EXPECT_FALSE(
+        budget.try_consume(log_severity::info, now + milliseconds(500)));
+    EXPECT_TRUE(
+        budget.try_consume(log_severity::info, now + milliseconds(600)));
 }
 
 // Whatever comes, and at whatever times, no second takes more than two
@@ -239,7 +241,7 @@
         while (!taken.empty() && taken.front() < now - milliseconds(1000))
             taken.pop_front();
         for (int i = 0; i < 3; ++i) {
-            if (budget.take(log_severity::error, now))
+            if (budget.try_consume(log_severity::error, now))
                 taken.push_back(now);
         }
         RC_ASSERT(taken.size() <= 2 * lines_per_s);
