--- a/tests/product/fake_entry.cpp
+++ b/tests/product/fake_entry.cpp
@@ -15,7 +15,7 @@
 {
 
 constexpr std::size_t max_body_bytes = 4096;
-constexpr milliseconds request_time{20000};
+constexpr milliseconds request_timeout{20000};
 
 class handler_factory : public Poco::Net::HTTPRequestHandlerFactory
 {
@@ -60,7 +60,7 @@
         [this](const v1::ListRevisionsRequest&) { return revisions(); });
     server_ = std::make_unique<Poco::Net::HTTPServer>(
         new handler_factory(std::move(router)), threads_,
-        listen_with_deadline({"127.0.0.1", 0}, request_time),
+        listen_with_deadline({"127.0.0.1", 0}, request_timeout),
         new Poco::Net::HTTPServerParams);
     server_->start();
 }
@@ -85,13 +85,13 @@
 void fake_entry::change_before_next_apply(const v1::Resource& resource)
 {
     const std::lock_guard lock(mutex_);
-    racing_change_ = std::make_unique<v1::Resource>(resource);
+    concurrent_change_ = std::make_unique<v1::Resource>(resource);
 }
 
 int fake_entry::records() const
 {
     const std::lock_guard lock(mutex_);
-    return records_;
+    return record_count_;
 }
 
 std::uint64_t fake_entry::revision_of(const std::string& name) const
@@ -106,9 +106,9 @@
 {
     const std::lock_guard lock(mutex_);
     const auto& change = request.change();
-    if (racing_change_) {
-        put(change.name(), change.kind(), *racing_change_);
-        racing_change_.reset();
+    if (concurrent_change_) {
+        put(change.name(), change.kind(), *concurrent_change_);
+        concurrent_change_.reset();
     }
     v1::ApplyChangeResponse response;
     auto& state = states_[change.name()];
@@ -121,9 +121,9 @@
     put(change.name(), change.kind(), change.resource());
     if (!change.has_resource())
         state.clear_resource();
-    auto& known = outcomes_[change.change_id()];
-    known.set_accepted(true);
-    known.set_revision(revision_);
+    auto& outcome_entry = outcomes_[change.change_id()];
+    outcome_entry.set_accepted(true);
+    outcome_entry.set_revision(revision_);
     response.mutable_accepted()->set_revision(revision_);
     if (lost_answers_-- > 0)
         return tl::unexpected(
@@ -136,10 +136,10 @@
 {
     const std::lock_guard lock(mutex_);
     v1::FindChangeResponse response;
-    const auto known = outcomes_.find(request.change_id());
-    response.set_found(known != outcomes_.end());
+    const auto outcome_entry = outcomes_.find(request.change_id());
+    response.set_found(outcome_entry != outcomes_.end());
     if (response.found())
-        *response.mutable_outcome() = known->second;
+        *response.mutable_outcome() = outcome_entry->second;
     response.set_revision(revision_);
     return response;
 }
@@ -172,7 +172,7 @@
 void fake_entry::put(const std::string& name, v1::ResourceKind kind,
                      const v1::Resource& resource)
 {
-    ++records_;
+    ++record_count_;
     auto& state = states_[name];
     state.set_revision(++revision_);
     state.set_name(name);
--- a/tests/product/fake_entry.hpp
+++ b/tests/product/fake_entry.hpp
@@ -16,7 +16,7 @@
 namespace cyclamenrun
 {
 
-/** An entry's operator address with a configuration of its own, for tests. */
+/** Serves an entry's operator API from an in-memory configuration. */
 class fake_entry
 {
 public:
@@ -28,11 +28,12 @@
     ip_endpoint address() const;
     const secret& key() const { return key_; }
 
-    /** The next changes take effect, but their answers say unknown. */
+    /** Makes the next `count` changes take effect but answers them with an
+     * unknown outcome. */
     void lose_answers(int count);
-    /** Another operator changes the resource behind the client's back. */
+    /** Applies a change of another operator just before the next change. */
     void change_before_next_apply(const v1::Resource& resource);
-    /** How many records the log would hold. */
+    /** Returns the number of records that the log would contain. */
     int records() const;
     std::uint64_t revision_of(const std::string& name) const;
 
@@ -52,9 +53,9 @@
     std::map<std::string, v1::ResourceState> states_;
     std::map<std::string, v1::ChangeOutcome> outcomes_;
     std::uint64_t revision_ = 0;
-    int records_ = 0;
+    int record_count_ = 0;
     int lost_answers_ = 0;
-    std::unique_ptr<v1::Resource> racing_change_;
+    std::unique_ptr<v1::Resource> concurrent_change_;
     Poco::ThreadPool threads_;
     std::unique_ptr<Poco::Net::HTTPServer> server_;
 };
--- a/tests/product/test_change_sender.cpp
+++ b/tests/product/test_change_sender.cpp
@@ -33,7 +33,8 @@
     return response;
 }
 
-/** Virtual time and scripted answers; the last of each is repeated. */
+/** Runs a sender with virtual time and scripted answers; the last answer of
+ * each list is repeated. */
 class change_sender_test : public testing::Test
 {
 protected:
@@ -45,11 +46,11 @@
         const change_sender sender({
             [&](const v1::ApplyChangeRequest& request, time_point) {
                 EXPECT_EQ(request.change().change_id(), "c-1");
-                return next(applies, applied);
+                return next(applies, apply_calls);
             },
             [&](const v1::FindChangeRequest& request, time_point) {
                 EXPECT_EQ(request.change_id(), "c-1");
-                return next(finds, asked);
+                return next(finds, find_calls);
             },
             [this] { return now; },
             [this](milliseconds time) { now += time; },
@@ -64,35 +65,36 @@
     }
 
     time_point now{};
-    std::size_t applied = 0;
-    std::size_t asked = 0;
+    std::size_t apply_calls = 0;
+    std::size_t find_calls = 0;
 };
 
 /**
- * An operator sees "failed" for a change that is in force. The entry appends
- * the change, then dies before it answers; the client takes that for a
- * failure. Cause: a lost answer is not a lost change.
+ * Guards against reporting a failure for a change that is in force: the entry
+ * appends the change and crashes before it answers, and the client treats the
+ * lost answer as a failed change.
  */
-TEST_F(change_sender_test, a_lost_answer_is_settled_by_the_changes_id)
+TEST_F(change_sender_test, a_lost_answer_is_resolved_by_the_change_id)
 {
     const auto answer = send({apply_error(true)}, {found(true, 7)});
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->accepted().revision(), 7U);
-    EXPECT_EQ(applied, 1U);
+    EXPECT_EQ(apply_calls, 1U);
 }
 
 /**
- * An operator sees "nothing was changed", and the change comes into force
- * later. The first attempt's answer is lost; the second finds the entry not
- * ready and is refused as not run, which is true of that attempt only.
+ * Guards against reporting "nothing was changed" for a change that comes into
+ * force later: the answer of the first attempt is lost, and the second attempt
+ * is refused as not run because the entry is not ready. That refusal is valid
+ * for the second attempt only.
  */
-TEST_F(change_sender_test, a_later_refusal_does_not_settle_an_earlier_attempt)
+TEST_F(change_sender_test, a_later_refusal_does_not_decide_an_earlier_attempt)
 {
     const auto answer =
         send({apply_error(true), apply_error(false)}, {found(false, 0)});
     ASSERT_TRUE(answer);
     EXPECT_EQ(answer->unknown().change_id(), "c-1");
-    EXPECT_GT(applied, 2U);
+    EXPECT_GT(apply_calls, 2U);
 }
 
 TEST_F(change_sender_test, a_change_that_never_arrived_is_sent_again)
@@ -107,8 +109,8 @@
 {
     const auto answer = send({apply_error(false)}, {found(false, 0)});
     EXPECT_FALSE(answer);
-    EXPECT_EQ(applied, 1U);
-    EXPECT_EQ(asked, 0U);
+    EXPECT_EQ(apply_calls, 1U);
+    EXPECT_EQ(find_calls, 0U);
 }
 
 } // namespace
--- a/tests/product/test_ctl.cpp
+++ b/tests/product/test_ctl.cpp
@@ -20,7 +20,7 @@
     std::string output; ///< standard output and error together
 };
 
-/** Runs the real client against a fake entry. */
+/** Runs the cyclamenrunctl program against a fake entry. */
 class ctl_test : public testing::Test
 {
 protected:
@@ -42,9 +42,9 @@
                              " 2>&1";
         auto* pipe = popen(command.c_str(), "r"); // NOLINT(cert-env33-c)
         ctl_result result;
-        std::array<char, 256> piece{};
-        while (std::fgets(piece.data(), piece.size(), pipe) != nullptr)
-            result.output += piece.data();
+        std::array<char, 256> buffer{};
+        while (std::fgets(buffer.data(), buffer.size(), pipe) != nullptr)
+            result.output += buffer.data();
         const auto status = pclose(pipe);
         result.code = static_cast<exit_code>(WEXITSTATUS(status));
         return result;
@@ -73,11 +73,11 @@
 }
 
 /**
- * An operator applies a file, the platform's log is slow, and the answer is
- * lost after the change came into force. The client must say accepted, and
- * must not put a second record on the log.
+ * The platform's log is slow, and the answer to a change is lost after the
+ * change came into force. The client must report the change as accepted and
+ * must not append a second record to the log.
  */
-TEST_F(ctl_test, a_lost_answer_makes_neither_a_failure_nor_a_second_change)
+TEST_F(ctl_test, a_lost_answer_causes_neither_a_failure_nor_a_second_change)
 {
     entry.lose_answers(1);
     const auto result = run("apply " + file("resources.toml"));
@@ -86,8 +86,9 @@
 }
 
 /**
- * Two operators change one service at once. The second must be told, and
- * shown what is in force, instead of overwriting it unseen.
+ * Two operators change the same service concurrently. The client of the second
+ * must report the conflict and print the resource in force, and must not
+ * overwrite it.
  */
 TEST_F(ctl_test, a_conflict_shows_the_winner)
 {
@@ -100,7 +101,7 @@
     EXPECT_THAT(result.output, testing::HasSubstr("\"model\":\"m-2\""));
 }
 
-TEST_F(ctl_test, what_was_deleted_can_be_made_again)
+TEST_F(ctl_test, a_deleted_resource_can_be_created_again)
 {
     run("apply " + file("resources.toml"));
     EXPECT_EQ(run("delete service redactor").code, exit_code::ok);
@@ -110,7 +111,7 @@
     EXPECT_EQ(entry.revision_of("redactor"), 3U);
 }
 
-TEST_F(ctl_test, a_wrong_file_is_refused_before_anything_is_sent)
+TEST_F(ctl_test, an_invalid_file_is_rejected_before_anything_is_sent)
 {
     std::ofstream(folder / "wrong.toml")
         << "[[service]]\nname = 'a'\nkind = 'modell'\n[[teem]]\n"
--- a/tests/product/test_entry_program.cpp
+++ b/tests/product/test_entry_program.cpp
@@ -23,7 +23,7 @@
 using testing::HasSubstr;
 using testing_support::child_process;
 
-/** An entry with four threads, and a platform that is not there. */
+/** Settings of an entry with four threads and an unreachable platform. */
 class entry_program : public testing::Test
 {
 protected:
@@ -42,7 +42,7 @@
     Poco::TemporaryFile settings;
 };
 
-/** Sends requests until the entry takes no more, and reads no answer. */
+/** Sends requests without reading answers until the entry reads no more. */
 Poco::Net::StreamSocket stall(const ip_endpoint& entry)
 {
     Poco::Net::StreamSocket socket;
@@ -57,7 +57,8 @@
             socket.sendBytes(requests.data(),
                              static_cast<int>(requests.size()));
     } catch (const Poco::Exception&) {
-        // Both directions are full now, or the entry has closed.
+        // The buffers of both directions are full, or the entry has closed the
+        // connection.
         return socket;
     }
 }
@@ -67,7 +68,7 @@
     try {
         caller.sendBytes("G", 1);
     } catch (const Poco::Exception&) {
-        // The entry has closed.
+        // The entry has closed the connection.
     }
 }
 
@@ -83,11 +84,11 @@
 }
 
 /**
- * Nobody is served any more, though the entry is up and idle. A few callers
- * keep their connections open and stop to read; each holds a thread in a
- * write that never ends, until none is left.
+ * Guards against an idle entry that serves no requests: callers that keep their
+ * connections open and stop reading each block a thread in a write without
+ * end, until no thread is free.
  */
-TEST_F(entry_program, callers_that_stop_reading_do_not_keep_threads)
+TEST_F(entry_program, callers_that_stop_reading_do_not_occupy_threads)
 {
     child_process entry("cyclamenrun-entry", {"--settings", settings.path()});
     const auto address = parse_ip_endpoint(entry.wait_until_ready());
@@ -100,11 +101,11 @@
 }
 
 /**
- * Nobody is served any more, though the entry is up and idle. A few callers
- * send their requests a byte at a time; each byte comes before the timeout of
- * a read, so each holds a thread until it is done, which is never.
+ * Guards against an idle entry that serves no requests: callers that send their
+ * requests byte by byte each occupy a thread without end, since each byte
+ * arrives before the timeout of a read.
  */
-TEST_F(entry_program, callers_that_send_byte_by_byte_do_not_keep_threads)
+TEST_F(entry_program, callers_that_send_byte_by_byte_do_not_occupy_threads)
 {
     child_process entry("cyclamenrun-entry", {"--settings", settings.path()});
     const auto address = parse_ip_endpoint(entry.wait_until_ready());
@@ -112,8 +113,8 @@
     std::vector<Poco::Net::StreamSocket> callers(4);
     for (auto& caller : callers)
         caller.connect({address->host, address->port});
-    // Connections get their threads in the order in which they came, so the
-    // one that follows waits until one of these has ended.
+    // Threads are assigned to connections in order of arrival, so the next
+    // connection waits until one of these has ended.
     const std::jthread slow([&](const std::stop_token& stop) {
         while (!stop.stop_requested()) {
             for (auto& caller : callers)
@@ -124,7 +125,7 @@
     EXPECT_EQ(health(*address), 200);
 }
 
-TEST_F(entry_program, check_tells_all_errors_and_defaults_can_be_printed)
+TEST_F(entry_program, check_reports_all_errors_and_defaults_can_be_printed)
 {
     std::ofstream(settings.path(), std::ios::app) << "thraeds = 9\n";
     child_process check("cyclamenrun-entry",
--- a/tests/product/test_exported_metrics.cpp
+++ b/tests/product/test_exported_metrics.cpp
@@ -11,7 +11,7 @@
 using testing::HasSubstr;
 using testing::Not;
 
-TEST(exported_metrics, are_written_as_prometheus_reads_them)
+TEST(exported_metrics, are_written_in_the_prometheus_text_format)
 {
     exported_metrics metrics;
     metrics.count(exported_metric::refusals, {"no_route"});
@@ -29,8 +29,8 @@
                                 "{route=\"a\",le=\"0.5\"} 1"));
 }
 
-// Operators rename routes day after day; a process that runs for a year must
-// not keep a series for each name there ever was.
+// Guards against unbounded memory use: routes are renamed over time, and a
+// process that runs for a year must not keep a series for each former name.
 TEST(exported_metrics, have_a_bounded_number_of_series)
 {
     exported_metrics metrics;
--- a/tests/product/test_keys.cpp
+++ b/tests/product/test_keys.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-TEST(team_authenticator, a_key_opens_its_own_team_only)
+TEST(team_authenticator, a_key_authenticates_only_its_own_team)
 {
     const auto north = make_team_key("north");
     const auto south = make_team_key("south");
@@ -17,7 +17,7 @@
         {{"north", make_key_hash(north)}, {"south", make_key_hash(south)}});
     EXPECT_EQ(teams.authenticate("Bearer " + north.reveal()), "north");
     EXPECT_EQ(teams.authenticate("bearer " + south.reveal()), "south");
-    // The south's secret under the north's name, and the reverse.
+    // The secret of one team with the name of the other.
     const auto swapped = "north" + south.reveal().substr(5);
     EXPECT_FALSE(teams.authenticate("Bearer " + swapped));
     for (const std::string wrong :
@@ -28,7 +28,7 @@
         teams.authenticate("Bearer north." + std::string(100000, 'a')));
 }
 
-TEST(key_hash, survives_its_text_and_refuses_others)
+TEST(key_hash, round_trips_as_text_and_rejects_malformed_text)
 {
     const auto hash = make_key_hash(secret("k"));
     EXPECT_EQ(parse_key_hash(to_string(hash)), hash);
@@ -36,7 +36,7 @@
     EXPECT_FALSE(parse_key_hash("zz" + to_string(hash).substr(2)));
 }
 
-TEST(secret, does_not_show_when_printed)
+TEST(secret, is_masked_when_printed)
 {
     std::ostringstream stream;
     stream << secret("visible");
--- a/tests/product/test_logging.cpp
+++ b/tests/product/test_logging.cpp
@@ -26,22 +26,22 @@
 namespace
 {
 
-/** Catches log lines in place of standard output. */
-class log_catcher
+/** Captures log lines in place of standard output. */
+class log_capture
 {
 public:
-    explicit log_catcher(log_severity least = log_severity::info)
+    explicit log_capture(log_severity min_severity = log_severity::info)
     {
-        start_logging({"test", least, 1e6},
+        start_logging({"test", min_severity, 1e6},
                       [this](log_severity, std::string_view line) {
                           const std::lock_guard lock(mutex_);
                           lines_.emplace_back(line);
                           return true;
                       });
     }
-    ~log_catcher() { start_logging({}, nullptr); }
-    log_catcher(const log_catcher&) = delete;
-    log_catcher& operator=(const log_catcher&) = delete;
+    ~log_capture() { start_logging({}, nullptr); }
+    log_capture(const log_capture&) = delete;
+    log_capture& operator=(const log_capture&) = delete;
 
     std::vector<std::string> lines() const
     {
@@ -60,43 +60,43 @@
 }
 
 static_assert(!std::is_constructible_v<log_field, log_key, secret>,
-              "a key must not get into a log event by mistake");
+              "log events must not accept keys");
 
 TEST(logging, an_event_carries_typed_fields_but_no_generation_secret)
 {
-    const log_catcher caught;
+    const log_capture captured;
     const generation_id generation{"vm-1", 7, 3, 123456789};
     log_event(log_severity::warning, log_event_name::request_refused,
               {{log_key::request_id, "r-1"},
                {log_key::generation, generation},
                {log_key::reason, refusal_reason::queue_full},
                {log_key::tokens, 12U}});
-    ASSERT_EQ(caught.lines().size(), 1U);
-    const auto line = parse(caught.lines().front());
+    ASSERT_EQ(captured.lines().size(), 1U);
+    const auto line = parse(captured.lines().front());
     EXPECT_EQ(line->getValue<std::string>("event"), "request_refused");
     EXPECT_EQ(line->getValue<std::string>("severity"), "warning");
     EXPECT_EQ(line->getValue<std::string>("reason"), "queue_full");
     EXPECT_EQ(line->getValue<int>("tokens"), 12);
-    EXPECT_THAT(caught.lines().front(),
+    EXPECT_THAT(captured.lines().front(),
                 testing::AllOf(testing::HasSubstr("vm-1:7:3"),
                                testing::Not(testing::HasSubstr("75bcd15"))));
 }
 
 TEST(logging, lines_of_libraries_are_json_and_low_severities_are_dropped)
 {
-    const log_catcher caught(log_severity::warning);
+    const log_capture captured(log_severity::warning);
     log_event(log_severity::info, log_event_name::request_finished);
     LOG(ERROR) << "quoted \"text\"\nsecond line";
-    ASSERT_EQ(caught.lines().size(), 1U);
-    const auto line = parse(caught.lines().front());
+    ASSERT_EQ(captured.lines().size(), 1U);
+    const auto line = parse(captured.lines().front());
     EXPECT_EQ(line->getValue<std::string>("event"), "library_message");
     EXPECT_EQ(line->getValue<std::string>("detail"),
               "quoted \"text\"\nsecond line");
 }
 
-TEST(logging, many_threads_never_mix_their_lines)
+TEST(logging, concurrent_threads_do_not_mix_lines)
 {
-    const log_catcher caught;
+    const log_capture captured;
     std::vector<std::jthread> threads;
     for (unsigned thread = 0; thread < 4; ++thread) {
         threads.emplace_back([thread] {
@@ -107,26 +107,26 @@
     }
     threads.clear();
     std::set<int> counts;
-    for (const auto& line : caught.lines())
+    for (const auto& line : captured.lines())
         counts.insert(parse(line)->getValue<int>("count"));
     EXPECT_EQ(counts.size(), 200U);
 }
 
-/** Callers choose request ids and paths: any bytes must leave one JSON line. */
+/** Callers choose request ids and paths: any bytes must yield one JSON line. */
 RC_GTEST_PROP(logging, hostile_text_leaves_one_line_of_json,
               (const std::vector<std::uint8_t>& bytes))
 {
-    const log_catcher caught;
+    const log_capture captured;
     const std::string text(bytes.begin(), bytes.end());
     log_event(log_severity::info, log_event_name::caller_refused,
               {{log_key::path, text}});
-    const auto lines = caught.lines();
+    const auto lines = captured.lines();
     RC_ASSERT(lines.size() == 1U);
     RC_ASSERT(lines.front().find('\n') == std::string::npos);
     RC_ASSERT(parse(lines.front())->has("path"));
 }
 
-/** A pipe that nobody reads until the test does. */
+/** A pipe that is not read until the test calls read_lines(). */
 class unread_pipe
 {
 public:
@@ -141,17 +141,18 @@
 
     int writing_end() const { return ends_[1]; }
 
-    /** Reads until so many lines have come, or for ten seconds. */
+    /** Reads until `count` lines have arrived, or until no data arrives for ten
+     * seconds. */
     std::vector<std::string> read_lines(std::size_t count) const
     {
         std::string text;
-        std::array<char, 65536> piece{};
+        std::array<char, 65536> buffer{};
         pollfd wanted{ends_[0], POLLIN, 0};
         while (static_cast<std::size_t>(
                    std::count(text.begin(), text.end(), '\n')) < count &&
                ::poll(&wanted, 1, 10000) > 0) {
-            const auto size = ::read(ends_[0], piece.data(), piece.size());
-            text.append(piece.data(), static_cast<std::size_t>(size));
+            const auto size = ::read(ends_[0], buffer.data(), buffer.size());
+            text.append(buffer.data(), static_cast<std::size_t>(size));
         }
         std::vector<std::string> lines;
         std::istringstream whole(text);
@@ -164,25 +165,25 @@
     std::array<int, 2> ends_{};
 };
 
-// The collector of the logs hangs: nobody reads the pipe. A process that
-// wrote on would stop in the middle of a request. Lines of what went well are
-// left out first, and nothing that was taken is lost.
-TEST(line_output, waits_for_no_reader_and_leaves_out_what_went_well_first)
+// The log collector hangs and does not read the pipe, so a blocking write would
+// stop the process in the middle of a request. Lines of severity info must be
+// dropped first, and no accepted line may be lost.
+TEST(line_output, does_not_block_and_drops_info_lines_first)
 {
     constexpr std::size_t queue = 1000000;
     const unread_pipe pipe;
     const std::string line(999, 'x');
     std::size_t infos = 0;
     std::size_t errors = 0;
-    const auto began = steady_now();
+    const auto start = steady_now();
     {
         line_output output(pipe.writing_end(), queue);
         while (output.put(log_severity::info, line))
             ++infos;
         while (output.put(log_severity::error, line))
             ++errors;
-        EXPECT_LT(steady_now() - began, std::chrono::seconds(5));
-        // 64 KiB lie in the pipe itself.
+        EXPECT_LT(steady_now() - start, std::chrono::seconds(5));
+        // The pipe itself buffers 64 KiB.
         EXPECT_NEAR(static_cast<double>(infos), 565, 20);
         EXPECT_NEAR(static_cast<double>(errors), 500, 20);
         const auto lines = pipe.read_lines(infos + errors);
@@ -193,7 +194,7 @@
     }
 }
 
-TEST(line_output, a_reader_that_has_gone_stops_nothing)
+TEST(line_output, a_closed_reader_does_not_block)
 {
     std::array<int, 2> ends{};
     ASSERT_EQ(::pipe(ends.data()), 0);
@@ -205,7 +206,7 @@
     ::close(ends[1]);
 }
 
-TEST(line_budget, keeps_a_part_for_what_went_wrong)
+TEST(line_budget, reserves_a_part_for_warnings_and_errors)
 {
     line_budget budget(100);
     const time_point now{std::chrono::hours(1)};
@@ -227,8 +228,8 @@
         budget.try_consume(log_severity::info, now + milliseconds(600)));
 }
 
-// Whatever comes, and at whatever times, no second takes more than two
-// seconds' worth of lines: one that was saved up, and one that is earned.
+// No interval of one second may contain more lines than the budget of two
+// seconds: the saved burst and the budget of that second.
 RC_GTEST_PROP(line_budget, holds_over_any_second,
               (const std::vector<std::uint8_t>& gaps_ms))
 {
@@ -248,9 +249,9 @@
     }
 }
 
-// A flood of requests: their lines are over the budget. An engineer who
-// misses one must see that lines are missing, and of what kind.
-TEST(logging, tells_what_the_budget_left_out)
+// A flood of requests exceeds the budget of lines. The log must show how many
+// lines of which severity are missing.
+TEST(logging, reports_lines_dropped_by_the_budget)
 {
     std::vector<std::string> lines;
     start_logging({"test", log_severity::info, 10},
@@ -263,17 +264,17 @@
     log_event(log_severity::warning, log_event_name::request_refused);
     start_logging({}, nullptr);
     ASSERT_EQ(lines.size(), 7U);
-    const auto told = parse(lines[5]);
-    EXPECT_EQ(told->getValue<std::string>("event"), "log_lines_dropped");
-    EXPECT_EQ(told->getValue<int>("infos"), 20);
-    EXPECT_EQ(told->getValue<int>("warnings"), 0);
+    const auto report = parse(lines[5]);
+    EXPECT_EQ(report->getValue<std::string>("event"), "log_lines_dropped");
+    EXPECT_EQ(report->getValue<int>("infos"), 20);
+    EXPECT_EQ(report->getValue<int>("warnings"), 0);
     EXPECT_EQ(parse(lines[6])->getValue<std::string>("event"),
               "request_refused");
 }
 
-// The output has no room for a while. What it turns away is counted, and the
-// count itself is told again until there is room for it.
-TEST(logging, tells_what_the_output_left_out_once_it_has_room)
+// The output rejects lines for a while. Rejected lines must be counted, and the
+// report of the count must be retried until the output accepts it.
+TEST(logging, reports_lines_dropped_by_the_output_once_it_has_room)
 {
     std::vector<std::string> lines;
     bool room = false;
--- a/tests/product/test_rpc.cpp
+++ b/tests/product/test_rpc.cpp
@@ -19,7 +19,7 @@
 
 const std::string find_path = "/cyclamenrun.v1.QueryService/FindChange";
 
-/** Finds a change by the id it is asked for, and only that of "known". */
+/** Serves FindChange: finds the id "known", refuses the id "busy". */
 rpc_router make_router(const secret& key)
 {
     rpc_router router(operator_authorizer({make_key_hash(key)}));
@@ -71,7 +71,7 @@
     EXPECT_TRUE(response.found());
 }
 
-TEST_F(rpc_router_test, what_is_wrong_with_a_call_is_told_by_code)
+TEST_F(rpc_router_test, errors_of_a_call_are_reported_by_code)
 {
     EXPECT_EQ(code_of(handle("application/json", "{")), "invalid_argument");
     EXPECT_EQ(handle("text/plain", "{}").status, 415);
@@ -86,7 +86,7 @@
     EXPECT_EQ(code_of(elsewhere), "unimplemented");
 }
 
-/** Whatever an operator's client sends, the answer is a typed one. */
+/** Any body must yield a response or a typed error. */
 RC_GTEST_PROP(rpc_router, any_body_gets_an_answer_or_a_typed_error,
               (const std::vector<std::uint8_t>& bytes, bool as_json))
 {
@@ -103,7 +103,7 @@
               code_of(response) == "invalid_argument");
 }
 
-TEST(rpc_over_http, a_call_goes_through_and_a_wrong_key_is_refused)
+TEST(rpc_over_http, a_call_succeeds_and_a_wrong_key_is_refused)
 {
     const fake_entry entry;
     const auto deadline = steady_now() + milliseconds(20000);
@@ -136,7 +136,7 @@
     EXPECT_FALSE(response.getKeepAlive());
 }
 
-TEST(rpc_over_http, nobody_listening_means_that_nothing_ran)
+TEST(rpc_over_http, a_refused_connection_means_that_nothing_ran)
 {
     const auto closed =
         Poco::Net::ServerSocket(Poco::Net::SocketAddress("127.0.0.1", 0));
--- a/tests/product/test_state_dump.cpp
+++ b/tests/product/test_state_dump.cpp
@@ -38,7 +38,7 @@
     EXPECT_FALSE(late.recent_p50) << "one sample has no quantiles";
 }
 
-TEST(state_dump, stays_bounded_and_valid_whatever_the_sections_hold)
+TEST(state_dump, stays_bounded_and_valid_for_any_section)
 {
     state_dump dump(4000);
     dump.add_section("large", [](Poco::JSON::Object& object) {
@@ -60,7 +60,7 @@
     EXPECT_EQ(list->getArray("items")->size(), 2U);
 }
 
-TEST(state_dump, tells_of_process_and_metrics_but_not_of_keys)
+TEST(state_dump, contains_process_and_metrics_but_no_keys)
 {
     agent_settings settings;
     settings.name = "vm-7";
--- a/tests/product/test_watching.cpp
+++ b/tests/product/test_watching.cpp
@@ -19,7 +19,7 @@
 using testing::NiceMock;
 using testing::Return;
 
-/** Keeps the lines that one test logs. */
+/** Captures the lines that a test logs. */
 class watching : public testing::Test
 {
 protected:
@@ -58,9 +58,9 @@
 };
 
 /**
- * The platform's log is out for an hour and is asked all the time. Operators
- * must find one line when it began and one when it ended, not thousands; a
- * rate limit is no outage.
+ * The platform's log is unavailable for an hour while it is read continuously.
+ * The outage must be logged as one line at its start and one at its end, not as
+ * one line per attempt. A rate limit does not count as an outage.
  */
 TEST_F(watching, an_outage_of_the_log_is_two_lines)
 {
@@ -87,7 +87,7 @@
     EXPECT_EQ(measured.summary(metric::log_append_duration, now).count, 1U);
 }
 
-TEST_F(watching, a_list_of_vms_is_logged_by_its_changes)
+TEST_F(watching, changes_of_the_list_of_vms_are_logged)
 {
     logging_vm_list journal;
     vm first{"vm-1", "127.0.0.1:1", "r", "d", "s", vm_state::live};
