--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -41,9 +41,9 @@
  * string. */
 std::string check_name(const std::string& name)
 {
-    constexpr std::size_t longest = 63;
+    constexpr std::size_t max_bytes = 63;
     constexpr const char* allowed = "abcdefghijklmnopqrstuvwxyz0123456789-";
-    const bool is_good = !name.empty() && name.size() <= longest &&
+    const bool is_good = !name.empty() && name.size() <= max_bytes &&
                          name.find_first_not_of(allowed) == std::string::npos;
     return is_good ? "" : "a name has 1 to 63 of a-z, 0-9 and '-'";
 }
--- a/src/libcyclamenrun/observability/exported_metrics.cpp
+++ b/src/libcyclamenrun/observability/exported_metrics.cpp
@@ -56,11 +56,11 @@
     }
 
     template <typename Series, typename... Buckets>
-    Series& series(exported_metric what, label_values values,
+    Series& series(exported_metric id, label_values values,
                    const Buckets&... buckets)
     {
         const std::lock_guard lock(mutex_);
-        auto& family = families_.at(static_cast<std::size_t>(what));
+        auto& family = families_.at(static_cast<std::size_t>(id));
         auto* const typed = std::get<Family<Series>*>(family.family);
         return typed->Add(labels_of(family, values), buckets...);
     }
@@ -121,30 +121,29 @@
 
 exported_metrics::~exported_metrics() = default;
 
-void exported_metrics::count(exported_metric what, label_values labels,
-                             double by)
+void exported_metrics::count(exported_metric id, label_values labels, double by)
 {
-    registry_->series<Counter>(what, labels).Increment(by);
+    registry_->series<Counter>(id, labels).Increment(by);
 }
 
-void exported_metrics::set_counter(exported_metric what, label_values labels,
+void exported_metrics::set_counter(exported_metric id, label_values labels,
                                    double total)
 {
-    auto& counter = registry_->series<Counter>(what, labels);
+    auto& counter = registry_->series<Counter>(id, labels);
     counter.Increment(total - counter.Value());
 }
 
-void exported_metrics::set(exported_metric what, label_values labels,
+void exported_metrics::set(exported_metric id, label_values labels,
                            double value)
 {
-    registry_->series<Gauge>(what, labels).Set(value);
+    registry_->series<Gauge>(id, labels).Set(value);
 }
 
-void exported_metrics::observe(exported_metric what, label_values labels,
+void exported_metrics::observe(exported_metric id, label_values labels,
                                duration value)
 {
     const std::chrono::duration<double> seconds = value;
-    registry_->series<Histogram>(what, labels, bucket_bounds_s)
+    registry_->series<Histogram>(id, labels, bucket_bounds_s)
         .Observe(seconds.count());
 }
 
--- a/src/libcyclamenrun/observability/exported_metrics.hpp
+++ b/src/libcyclamenrun/observability/exported_metrics.hpp
@@ -28,11 +28,11 @@
     exported_metrics& operator=(const exported_metrics&) = delete;
 
     /** Adds to a counter; label values in the order of the label names. */
-    void count(exported_metric what, label_values labels = {}, double by = 1);
-    void set(exported_metric what, label_values labels, double value);
+    void count(exported_metric id, label_values labels = {}, double by = 1);
+    void set(exported_metric id, label_values labels, double value);
     /** Raises a counter that is maintained elsewhere to `total`. */
-    void set_counter(exported_metric what, label_values labels, double total);
-    void observe(exported_metric what, label_values labels, duration value);
+    void set_counter(exported_metric id, label_values labels, double total);
+    void observe(exported_metric id, label_values labels, duration value);
 
     std::string text() const;
 
--- a/src/libcyclamenrun/observability/metrics.cpp
+++ b/src/libcyclamenrun/observability/metrics.cpp
@@ -102,20 +102,20 @@
 
 metrics::~metrics() = default;
 
-void metrics::record(metric what, double value, time_point now)
+void metrics::record(metric id, double value, time_point now)
 {
-    shards_[static_cast<std::size_t>(what)]->record(value, now);
+    shards_[static_cast<std::size_t>(id)]->record(value, now);
 }
 
-void metrics::record(metric what, duration value, time_point now)
+void metrics::record(metric id, duration value, time_point now)
 {
     using fractional_ms = std::chrono::duration<double, std::milli>;
-    record(what, fractional_ms(value).count(), now);
+    record(id, fractional_ms(value).count(), now);
 }
 
-metric_summary metrics::summary(metric what, time_point now) const
+metric_summary metrics::summary(metric id, time_point now) const
 {
-    return shards_[static_cast<std::size_t>(what)]->summary(now);
+    return shards_[static_cast<std::size_t>(id)]->summary(now);
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/observability/metrics.hpp
+++ b/src/libcyclamenrun/observability/metrics.hpp
@@ -36,10 +36,10 @@
     metrics(const metrics&) = delete;
     metrics& operator=(const metrics&) = delete;
 
-    void record(metric what, double value, time_point now);
-    void record(metric what, duration value, time_point now);
+    void record(metric id, double value, time_point now);
+    void record(metric id, duration value, time_point now);
 
-    metric_summary summary(metric what, time_point now) const;
+    metric_summary summary(metric id, time_point now) const;
 
     /** Quantiles cover between one and two windows. */
     static constexpr milliseconds window{60000};
--- a/src/libcyclamenrun/operators/rpc_http_handler.cpp
+++ b/src/libcyclamenrun/operators/rpc_http_handler.cpp
@@ -28,15 +28,16 @@
             write_rpc_error({code, std::move(message)})};
 }
 
-/** Reads a body; stops and returns empty once it exceeds `largest` bytes. */
-std::optional<std::string> read_body(std::istream& stream, std::size_t largest)
+/** Reads a body; stops and returns empty once it exceeds `max_bytes` bytes. */
+std::optional<std::string> read_body(std::istream& stream,
+                                     std::size_t max_bytes)
 {
     constexpr std::size_t chunk_bytes = 16384;
     std::string body;
     std::string chunk(chunk_bytes, '\0');
     while (stream.read(chunk.data(), chunk_bytes) || stream.gcount() > 0) {
         body.append(chunk, 0, static_cast<std::size_t>(stream.gcount()));
-        if (body.size() > largest)
+        if (body.size() > max_bytes)
             return std::nullopt;
     }
     return body;
