--- a/src/ctl/change_command.cpp
+++ b/src/ctl/change_command.cpp
@@ -98,8 +98,8 @@
             std::cerr << "error: revision " << newest_revision_
                       << " is accepted but not yet in force everywhere\n";
             print_revisions(*response, std::cerr);
-            std::cerr << "It stays accepted. Look at the processes that lag "
-                         "behind, or wait with `cyclamenrunctl revisions`.\n";
+            std::cerr << "It stays accepted. Check the processes with an older "
+                         "revision, or watch `cyclamenrunctl revisions`.\n";
             return exit_code::not_in_force;
         }
         std::this_thread::sleep_for(poll_interval);
@@ -141,7 +141,7 @@
         return exit_code::invalid;
     }
     std::cerr << "error: " << what << ": it is not known whether the change "
-              << record.change_id() << " will come into force\nAsk with "
+              << record.change_id() << " will come into force\nQuery it with "
               << "`cyclamenrunctl find-change " << record.change_id()
               << "` once the platform's log answers again.\n";
     return exit_code::uncertain;
@@ -156,8 +156,8 @@
               << "In force is: "
               << (conflict.has_winner() ? describe(conflict.winner())
                                         : "nothing, it was deleted")
-              << "\nNothing was changed; look at it, then apply yours again "
-                 "if it is still meant.\n";
+              << "\nNothing was changed; review the resource in force, then "
+                 "apply your change again if it is still needed.\n";
     return exit_code::conflict;
 }
 
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -101,8 +101,8 @@
     if (!response->found()) {
         std::cerr << "error: no change " << change_id << " as of revision "
                   << response->revision()
-                  << "\nIf it was sent a moment ago, ask again; else apply it "
-                     "again.\n";
+                  << "\nIf it was sent recently, repeat the query; otherwise "
+                     "apply it again.\n";
         return exit_code::not_found;
     }
     if (!options.json)
--- a/src/ctl/message_printer.cpp
+++ b/src/ctl/message_printer.cpp
@@ -35,7 +35,7 @@
     case rpc_code::deadline_exceeded:
         return {error.may_have_run ? exit_code::uncertain
                                    : exit_code::unreachable,
-                "Try again, or ask another entry; --timeout gives more time."};
+                "Try again, or use another entry; --timeout allows more time."};
     case rpc_code::not_found:
         return {exit_code::not_found,
                 "Check the name: `cyclamenrunctl revisions` lists processes, "
