--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -17,7 +17,7 @@
 
 constexpr const char* key_variable = "CYCLAMENRUN_OPERATOR_KEY";
 constexpr const char* entry_variable = "CYCLAMENRUN_ENTRY";
-constexpr std::uint64_t longest_timeout_s = 3600;
+constexpr std::uint64_t max_timeout_s = 3600;
 
 std::string exit_codes_text()
 {
@@ -37,12 +37,13 @@
     return v1::RESOURCE_KIND_ASSIGNMENT;
 }
 
-/** For CLI11: what is wrong with a resource's name, empty for nothing. */
+/** A validator for CLI11: returns the error in a resource's name, or an empty
+ * string. */
 std::string check_name(const std::string& name)
 {
-    constexpr std::size_t longest = 63;
+    constexpr std::size_t max_bytes = 63;
     constexpr const char* allowed = "abcdefghijklmnopqrstuvwxyz0123456789-";
-    const bool is_good = !name.empty() && name.size() <= longest &&
+    const bool is_good = !name.empty() && name.size() <= max_bytes &&
                          name.find_first_not_of(allowed) == std::string::npos;
     return is_good ? "" : "a name has 1 to 63 of a-z, 0-9 and '-'";
 }
@@ -53,8 +54,9 @@
     return text;
 }
 
-/** From the file, or else from the environment: never from arguments, which
- * other users of the host can list. */
+/** Reads the operator's key from the file, or else from the environment.
+ * Command line arguments never contain the key, since other users of the host
+ * can list them. */
 settings_outcome<secret> read_key(const std::string& key_file)
 {
     if (!key_file.empty())
@@ -90,7 +92,7 @@
         const auto status = app_.exit(error);
         return status == 0 ? exit_code::ok : exit_code::usage;
     }
-    return run_chosen();
+    return run_selected();
 }
 
 void command_line::add_connection_options()
@@ -103,7 +105,7 @@
                     "file with the operator's key; else the variable "
                     "CYCLAMENRUN_OPERATOR_KEY");
     app_.add_option("--timeout", timeout_s_, "seconds for the whole command")
-        ->check(CLI::Range(std::uint64_t{1}, longest_timeout_s))
+        ->check(CLI::Range(std::uint64_t{1}, max_timeout_s))
         ->capture_default_str();
     app_.add_flag("--json", json_, "print the response as JSON");
 }
@@ -112,31 +114,34 @@
 {
     const auto kinds = CLI::IsMember({"service", "team", "assignment"});
     auto* apply = app_.add_subcommand(
-        "apply", "bring services, teams and assignments to what a file says");
+        "apply",
+        "create or update services, teams and assignments from a file");
     apply->add_option("FILE", file_, "TOML, see docs/settings.md")->required();
-    apply->add_flag("--wait", wait_, "until in force in every process known");
+    apply->add_flag("--wait", wait_,
+                    "wait until in force in every known process");
     auto* remove = app_.add_subcommand("delete", "delete one resource");
     remove->add_option("KIND", kind_)->required()->check(kinds);
     remove->add_option("NAME", name_)->required();
-    remove->add_flag("--wait", wait_, "until in force in every process known");
+    remove->add_flag("--wait", wait_,
+                     "wait until in force in every known process");
     auto* drain = app_.add_subcommand(
-        "drain", "give an upstream no new work and let the rest finish");
+        "drain", "send no new work to an upstream and let running work finish");
     drain->add_option("UPSTREAM", name_)->required();
 }
 
 void command_line::add_query_commands()
 {
     const auto kinds = CLI::IsMember({"services", "teams", "assignments"});
-    auto* show = app_.add_subcommand("show", "list what is in force");
+    auto* show = app_.add_subcommand("show", "list the resources in force");
     show->add_option("KIND", kind_)->required()->check(kinds);
     auto* find = app_.add_subcommand("find-change",
-                                     "tell what became of a change by its id");
+                                     "print the outcome of a change by its id");
     find->add_option("CHANGE-ID", name_)->required();
     app_.add_subcommand("revisions",
-                        "list which process has which revision in force");
+                        "list the revision in force in each process");
     auto* dump = app_.add_subcommand("dump", "print the state of a process");
     dump->add_option("--upstream", name_,
-                     "of this upstream's agent, not of the entry");
+                     "dump this upstream's agent instead of the entry");
 }
 
 void command_line::add_key_command()
@@ -151,43 +156,44 @@
 void command_line::add_explain_command()
 {
     auto* explain = app_.add_subcommand(
-        "explain", "tell the story of one request from the logs");
+        "explain", "print the timeline of one request from the logs");
     explain->add_option("REQUEST-ID", name_)->required();
-    explain->add_option("FILE", log_files_,
-                        "logs of any processes; none: standard input");
+    explain->add_option(
+        "FILE", log_files_,
+        "log files of any processes; standard input if none is named");
 }
 
-exit_code command_line::run_chosen()
+exit_code command_line::run_selected()
 {
     if (app_.got_subcommand("explain"))
         return run_explain(name_, log_files_);
     if (app_.got_subcommand("key"))
         return run_new_key(name_);
-    return connected([this](const ctl_options& options) {
-        const auto& chosen = app_.get_subcommands().front()->get_name();
-        if (chosen == "apply")
+    return run_with_entry([this](const ctl_options& options) {
+        const auto& selected = app_.get_subcommands().front()->get_name();
+        if (selected == "apply")
             return run_apply(options, file_, wait_);
-        if (chosen == "delete")
+        if (selected == "delete")
             return run_delete(options, kind_of(kind_), name_, wait_);
-        if (chosen == "show")
+        if (selected == "show")
             return run_show(options, kind_of(kind_));
-        if (chosen == "find-change")
+        if (selected == "find-change")
             return run_find_change(options, name_);
-        if (chosen == "drain")
+        if (selected == "drain")
             return run_drain(options, name_);
-        if (chosen == "dump")
+        if (selected == "dump")
             return run_dump(options, name_);
         return run_revisions(options);
     });
 }
 
 template <typename Command>
-exit_code command_line::connected(Command command) const
+exit_code command_line::run_with_entry(Command command) const
 {
     const auto entry = parse_ip_endpoint(entry_);
     if (!entry) {
         std::cerr << "error: --entry " << entry_
-                  << " is no IP:PORT such as 127.0.0.1:8081\n";
+                  << " is not an IP:PORT such as 127.0.0.1:8081\n";
         return exit_code::usage;
     }
     const auto key = read_key(key_file_);
--- a/src/ctl/message_printer.cpp
+++ b/src/ctl/message_printer.cpp
@@ -25,16 +25,17 @@
                 "operator_keys."};
     case rpc_code::unavailable:
         if (error.may_have_run)
-            return {exit_code::uncertain,
-                    "The entry went away during the call; ask another entry "
-                    "what is in force before you repeat it."};
+            return {
+                exit_code::uncertain,
+                "The connection to the entry was lost during the call; query "
+                "another entry for what is in force before you repeat it."};
         return {exit_code::unreachable,
                 "Nothing was changed. Check --entry, the entry's readiness "
                 "(GET /readyz) and the platform's log; then try again."};
     case rpc_code::deadline_exceeded:
         return {error.may_have_run ? exit_code::uncertain
                                    : exit_code::unreachable,
-                "Try again, or ask another entry; --timeout gives more time."};
+                "Try again, or use another entry; --timeout allows more time."};
     case rpc_code::not_found:
         return {exit_code::not_found,
                 "Check the name: `cyclamenrunctl revisions` lists processes, "
--- a/src/libcyclamenrun/observability/exported_metrics.cpp
+++ b/src/libcyclamenrun/observability/exported_metrics.cpp
@@ -26,9 +26,8 @@
 using prometheus::Gauge;
 using prometheus::Histogram;
 
-/** Upper ends of the buckets, in seconds: from a local call to the longest
- * generation. */
-const Histogram::BucketBoundaries bucket_ends{
+/** Upper bounds in seconds, from a local call to the longest generation. */
+const Histogram::BucketBoundaries bucket_bounds_s{
     0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2, 4, 8, 16, 32, 64};
 
 using any_family =
@@ -45,7 +44,7 @@
 
 } // namespace
 
-/** The library's registry with one family for each metric. */
+/** Wraps the Prometheus registry; holds one family for each metric. */
 class exported_metrics::registry
 {
 public:
@@ -57,11 +56,11 @@
     }
 
     template <typename Series, typename... Buckets>
-    Series& series(exported_metric what, label_values values,
+    Series& series(exported_metric id, label_values values,
                    const Buckets&... buckets)
     {
         const std::lock_guard lock(mutex_);
-        auto& family = families_.at(static_cast<std::size_t>(what));
+        auto& family = families_.at(static_cast<std::size_t>(id));
         auto* const typed = std::get<Family<Series>*>(family.family);
         return typed->Add(labels_of(family, values), buckets...);
     }
@@ -75,7 +74,7 @@
     struct labelled_family {
         any_family family;
         std::vector<std::string> names;
-        std::set<std::vector<std::string>> known;
+        std::set<std::vector<std::string>> known_values;
     };
 
     any_family make_family(const exported_metric_row& row)
@@ -93,20 +92,21 @@
             return &prometheus::BuildHistogram().Name(name).Help(help).Register(
                 registry_);
         }
-        throw std::logic_error("metric of no kind");
+        throw std::logic_error("metric has an unknown kind");
     }
 
     static prometheus::Labels labels_of(labelled_family& family,
                                         label_values values)
     {
-        const std::vector<std::string> given(values);
-        const bool full = family.known.size() >= most_series;
-        const bool other = full && !family.known.contains(given);
-        if (!other)
-            family.known.insert(given);
+        const std::vector<std::string> value_list(values);
+        const bool full = family.known_values.size() >= max_series;
+        const bool overflows =
+            full && !family.known_values.contains(value_list);
+        if (!overflows)
+            family.known_values.insert(value_list);
         prometheus::Labels labels;
         for (std::size_t i = 0; i < family.names.size(); ++i)
-            labels[family.names[i]] = other ? "other" : given.at(i);
+            labels[family.names[i]] = overflows ? "other" : value_list.at(i);
         return labels;
     }
 
@@ -121,30 +121,29 @@
 
 exported_metrics::~exported_metrics() = default;
 
-void exported_metrics::count(exported_metric what, label_values labels,
-                             double by)
+void exported_metrics::count(exported_metric id, label_values labels, double by)
 {
-    registry_->series<Counter>(what, labels).Increment(by);
+    registry_->series<Counter>(id, labels).Increment(by);
 }
 
-void exported_metrics::count_to(exported_metric what, label_values labels,
-                                double total)
+void exported_metrics::set_counter(exported_metric id, label_values labels,
+                                   double total)
 {
-    auto& counter = registry_->series<Counter>(what, labels);
+    auto& counter = registry_->series<Counter>(id, labels);
     counter.Increment(total - counter.Value());
 }
 
-void exported_metrics::set(exported_metric what, label_values labels,
+void exported_metrics::set(exported_metric id, label_values labels,
                            double value)
 {
-    registry_->series<Gauge>(what, labels).Set(value);
+    registry_->series<Gauge>(id, labels).Set(value);
 }
 
-void exported_metrics::observe(exported_metric what, label_values labels,
+void exported_metrics::observe(exported_metric id, label_values labels,
                                duration value)
 {
     const std::chrono::duration<double> seconds = value;
-    registry_->series<Histogram>(what, labels, bucket_ends)
+    registry_->series<Histogram>(id, labels, bucket_bounds_s)
         .Observe(seconds.count());
 }
 
@@ -155,12 +154,12 @@
 
 void export_dropped_lines(exported_metrics& metrics)
 {
-    const auto dropped = all_dropped_lines();
+    const auto dropped = total_dropped_lines();
     for (const auto severity :
          {log_severity::info, log_severity::warning, log_severity::error})
-        metrics.count_to(exported_metric::dropped_lines,
-                         {std::string(name_of(severity))},
-                         static_cast<double>(dropped.of(severity)));
+        metrics.set_counter(exported_metric::dropped_lines,
+                            {std::string(name_of(severity))},
+                            static_cast<double>(dropped.of(severity)));
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/observability/log_event.cpp
+++ b/src/libcyclamenrun/observability/log_event.cpp
@@ -19,8 +19,8 @@
 {
 
 /**
- * Where lines go. The name and the writer are set by start_logging() before
- * there are threads; the counts are under the lock.
+ * The destination of log lines. start_logging() sets the process name and the
+ * writer before other threads start; the lock protects the counts.
  */
 class log_target
 {
@@ -31,26 +31,27 @@
         process_ = settings.process;
         writer_ = std::move(writer);
         budget_ = line_budget(settings.lines_per_s);
-        untold_ = {};
+        unreported_ = {};
     }
 
-    /** Whether a line of this severity may be built at all. */
+    /** Returns whether the budget allows a line of this severity; counts the
+     * line as dropped if not. Called before the line is built. */
     bool admit(log_severity severity)
     {
         const std::lock_guard lock(mutex_);
-        if (budget_.take(severity, steady_now()))
+        if (budget_.try_consume(severity, steady_now()))
             return true;
         drop(severity);
         return false;
     }
 
-    /** glog calls it under its own lock. */
+    /** Writes a line. glog holds its own lock during the call. */
     void write(log_severity severity, std::string_view line)
     {
         const std::lock_guard lock(mutex_);
         if (!writer_)
             return;
-        if (!tell_dropped() || !writer_(severity, line))
+        if (!report_dropped() || !writer_(severity, line))
             drop(severity);
     }
 
@@ -70,25 +71,26 @@
 private:
     void drop(log_severity severity)
     {
-        untold_.add(severity);
+        unreported_.add(severity);
         all_.add(severity);
     }
 
-    /** False if there is no room for that either. */
-    bool tell_dropped()
+    /** Logs the number of dropped lines; returns false if the writer has no
+     * room for that line. */
+    bool report_dropped()
     {
-        if (!untold_.any())
+        if (!unreported_.any())
             return true;
         const std::array fields{
-            log_field(log_key::infos, untold_.of(log_severity::info)),
-            log_field(log_key::warnings, untold_.of(log_severity::warning)),
-            log_field(log_key::errors, untold_.of(log_severity::error))};
+            log_field(log_key::infos, unreported_.of(log_severity::info)),
+            log_field(log_key::warnings, unreported_.of(log_severity::warning)),
+            log_field(log_key::errors, unreported_.of(log_severity::error))};
         if (!writer_(log_severity::warning,
                      format(std::chrono::system_clock::now(),
                             log_severity::warning,
                             log_event_name::log_lines_dropped, fields)))
             return false;
-        untold_ = {};
+        unreported_ = {};
         return true;
     }
 
@@ -96,7 +98,7 @@
     std::string process_;
     log_writer writer_;
     line_budget budget_{log_settings::default_log_lines_per_s};
-    dropped_lines untold_;
+    dropped_lines unreported_;
     dropped_lines all_;
 };
 
@@ -106,13 +108,13 @@
     return the_target;
 }
 
-log_severity known_severity(google::LogSeverity severity)
+log_severity to_log_severity(google::LogSeverity severity)
 {
     return severity > google::GLOG_ERROR ? log_severity::error
                                          : static_cast<log_severity>(severity);
 }
 
-/** Takes finished lines; glog calls it under its own lock. */
+/** Receives our own formatted lines; glog calls it under its own lock. */
 class line_sink : public google::LogSink
 {
 public:
@@ -121,11 +123,11 @@
               const google::LogMessageTime&, const char* message,
               size_t size) override
     {
-        target().write(known_severity(severity), {message, size});
+        target().write(to_log_severity(severity), {message, size});
     }
 };
 
-/** Takes what libraries log in text. */
+/** Receives the text messages that libraries log. */
 class message_sink : public google::LogSink
 {
 public:
@@ -134,7 +136,7 @@
               const google::LogMessageTime&, const char* message,
               size_t size) override
     {
-        const auto known = known_severity(severity);
+        const auto known = to_log_severity(severity);
         const log_field text(log_key::detail, std::string_view(message, size));
         if (target().admit(known))
             target().write(
@@ -151,11 +153,12 @@
 }
 
 /**
- * Guards against a slow clock: glog works out the offset of the time zone for
- * each line, and with TZ unset the C library reads /etc/localtime anew each
- * time, under a lock that all threads share. Our lines are in UTC anyway.
+ * Sets the time zone of the process to UTC, which makes logging cheaper: glog
+ * computes the time zone's offset for each line, and with TZ unset the C
+ * library reads /etc/localtime again each time, under a lock that all threads
+ * share. Log lines are in UTC in any case.
  */
-void keep_time_in_utc()
+void set_time_zone_to_utc()
 {
     ::setenv("TZ", "UTC0", 1);
     ::tzset();
@@ -171,7 +174,7 @@
     };
 }
 
-dropped_lines all_dropped_lines()
+dropped_lines total_dropped_lines()
 {
     return target().dropped();
 }
@@ -179,7 +182,7 @@
 void start_logging(const log_settings& settings, log_writer writer)
 {
     static message_sink messages;
-    keep_time_in_utc();
+    set_time_zone_to_utc();
     target().start(settings, std::move(writer));
     FLAGS_logtostderr = false;
     FLAGS_stderrthreshold = google::NUM_SEVERITIES;
--- a/src/libcyclamenrun/observability/metrics.cpp
+++ b/src/libcyclamenrun/observability/metrics.cpp
@@ -25,9 +25,9 @@
 
 constexpr std::array probabilities{0.5, 0.99};
 
-// With fewer samples than markers the estimate holds raw samples in the
-// order in which they came, which are no quantiles.
-constexpr std::size_t fewest_samples = 2 * probabilities.size() + 3;
+// With fewer samples than markers the P-square estimator returns raw samples in
+// order of arrival, which are not quantiles.
+constexpr std::size_t min_samples = 2 * probabilities.size() + 3;
 
 window_accumulator make_window()
 {
@@ -37,7 +37,7 @@
 
 } // namespace
 
-/** One metric under its lock, with two windows of which one is complete. */
+/** One metric with its lock, a complete and a current window. */
 class metrics::shard
 {
 public:
@@ -78,9 +78,9 @@
     {
         const auto previous_count = accumulators::count(previous_);
         const auto& source =
-            previous_count >= fewest_samples ? previous_ : current_;
+            previous_count >= min_samples ? previous_ : current_;
         result.recent_count = accumulators::count(source);
-        if (result.recent_count < fewest_samples)
+        if (result.recent_count < min_samples)
             return;
         const auto quantiles = accumulators::extended_p_square(source);
         result.recent_p50 = quantiles[0];
@@ -102,20 +102,20 @@
 
 metrics::~metrics() = default;
 
-void metrics::record(metric what, double value, time_point now)
+void metrics::record(metric id, double value, time_point now)
 {
-    shards_[static_cast<std::size_t>(what)]->record(value, now);
+    shards_[static_cast<std::size_t>(id)]->record(value, now);
 }
 
-void metrics::record(metric what, duration value, time_point now)
+void metrics::record(metric id, duration value, time_point now)
 {
     using fractional_ms = std::chrono::duration<double, std::milli>;
-    record(what, fractional_ms(value).count(), now);
+    record(id, fractional_ms(value).count(), now);
 }
 
-metric_summary metrics::summary(metric what, time_point now) const
+metric_summary metrics::summary(metric id, time_point now) const
 {
-    return shards_[static_cast<std::size_t>(what)]->summary(now);
+    return shards_[static_cast<std::size_t>(id)]->summary(now);
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/operators/rpc_client.cpp
+++ b/src/libcyclamenrun/operators/rpc_client.cpp
@@ -15,7 +15,7 @@
 using Poco::Net::HTTPClientSession;
 using Poco::Net::HTTPRequest;
 
-constexpr std::size_t largest_response = 16U << 20U;
+constexpr std::size_t max_response_bytes = 16U << 20U;
 
 Poco::Timespan timespan_until(time_point deadline)
 {
@@ -30,19 +30,19 @@
 }
 
 /**
- * Reads on until the end. Guards against a server that sends a byte now and
- * then: the socket's timeout starts anew with each, so the deadline is
- * checked as well.
+ * Reads the response to its end. The deadline is checked in addition to the
+ * socket's timeout, since that timeout restarts with each byte received and
+ * never expires for a server that sends a byte now and then.
  */
 rpc_outcome<std::string> read_response(std::istream& stream,
                                        time_point deadline)
 {
-    constexpr std::size_t piece_size = 16384;
+    constexpr std::size_t chunk_bytes = 16384;
     std::string body;
-    std::string piece(piece_size, '\0');
-    while (stream.read(piece.data(), piece_size) || stream.gcount() > 0) {
-        body.append(piece, 0, static_cast<std::size_t>(stream.gcount()));
-        if (body.size() > largest_response)
+    std::string chunk(chunk_bytes, '\0');
+    while (stream.read(chunk.data(), chunk_bytes) || stream.gcount() > 0) {
+        body.append(chunk, 0, static_cast<std::size_t>(stream.gcount()));
+        if (body.size() > max_response_bytes)
             return tl::unexpected(rpc_error{rpc_code::resource_exhausted,
                                             "the response is too large", true});
         if (steady_now() >= deadline)
@@ -51,7 +51,7 @@
     return body;
 }
 
-/** One call on a session of its own. */
+/** One call, with its own HTTP session. */
 class exchange
 {
 public:
@@ -98,7 +98,7 @@
 
     HTTPClientSession session_;
     time_point deadline_;
-    bool sent_ = false; ///< Whether the server may have got the request.
+    bool sent_ = false; ///< whether the server may have received the request
 };
 
 } // namespace
