--- a/src/agent/main.cpp
+++ b/src/agent/main.cpp
@@ -8,7 +8,7 @@
     agent_settings settings;
     daemon_program program;
     program.name = "cyclamenrun-agent";
-    program.description = "The gate of one upstream.";
+    program.description = "Controls access to one upstream.";
     program.default_settings = default_agent_settings;
     program.read_settings = [&](const std::string& file) {
         return read_agent_settings(file).map([&](agent_settings read) {
--- a/src/libcyclamenrun/agent/agent_process.cpp
+++ b/src/libcyclamenrun/agent/agent_process.cpp
@@ -21,7 +21,7 @@
 
 constexpr milliseconds drain_poll{50};
 constexpr milliseconds log_call_limit{5'000};
-/** Sessions listed one by one in a dump; more are only counted. */
+/** A dump lists at most this number of sessions; the rest are only counted. */
 constexpr std::size_t most_dumped_sessions = 200;
 
 gate_settings gate_settings_of(const agent_settings& settings,
--- a/src/libcyclamenrun/agent/agent_process.hpp
+++ b/src/libcyclamenrun/agent/agent_process.hpp
@@ -20,7 +20,10 @@
 class platform_log_client;
 class upstream_driver;
 
-/** All of an agent: the gate of its upstream and what stands around it. */
+/**
+ * The agent process: the gate of one upstream, the server that entries
+ * connect to, the upstream driver and, for a model engine, the order worker.
+ */
 class agent_process
 {
 public:
@@ -29,12 +32,16 @@
     agent_process& operator=(const agent_process&) = delete;
     ~agent_process();
 
-    /** Where entries reach it; the port is the one that was free. */
+    /**
+     * The address that entries connect to. If the settings name port 0, this
+     * has the port that the system chose.
+     */
     std::string address() const;
 
     /**
-     * A planned stop: takes no new work, lets what runs end and its answers
-     * be fetched. False if that took longer than the settings allow.
+     * Performs a planned stop: refuses new work and waits until the running
+     * work has ended and entries have fetched its answers. Returns false if
+     * this takes longer than the drain timeout in the settings.
      */
     bool drain();
 
--- a/src/libcyclamenrun/agent/agent_server.cpp
+++ b/src/libcyclamenrun/agent/agent_server.cpp
@@ -46,8 +46,8 @@
 
 agent_server::~agent_server()
 {
-    // The loop's timers run on its thread, and so does this, so none of them
-    // is half way through when the object goes.
+    // Timers run on the loop's thread. Clearing the flag on the same thread
+    // ensures that no timer callback is running while the object is destroyed.
     std::promise<void> done;
     loop_.post([this, &done] {
         *alive_ = false;
@@ -242,7 +242,8 @@
     reply.set_config_revision(hooks_.revision());
     reply.set_load_change(gate_.load_change());
     reply.set_marks_version(gate_.marks_version());
-    // A peer that knows a later version knew another incarnation's.
+    // A version later than the current one comes from an earlier incarnation
+    // of this agent, so the entry gets all marks.
     const auto seen =
         request.marks_seen() > reply.marks_version() ? 0 : request.marks_seen();
     for (auto& mark : gate_.marks_since(seen))
--- a/src/libcyclamenrun/agent/agent_server.hpp
+++ b/src/libcyclamenrun/agent/agent_server.hpp
@@ -22,24 +22,25 @@
 class link_server;
 class server_stream;
 
-/** What an agent answers beside what its gate knows. */
+/** Callbacks for requests that concern the process and not the gate. */
 struct agent_server_hooks {
-    /** The state of the whole process as JSON. */
+    /** Returns the state of the whole process as JSON. */
     std::function<std::string()> dump;
-    /** Takes configuration from an entry's heartbeat. */
+    /** Applies the configuration delta in an entry's heartbeat. */
     std::function<void(const link::Heartbeat&)> configuration;
-    /** The configuration's revision that is in force here. */
+    /** Returns the configuration revision in force in this process. */
     std::function<std::uint64_t()> revision;
-    /** The whole configuration in force, for an entry that has none. */
+    /** Returns the whole configuration, for an entry that has none. */
     std::function<std::string()> state;
 };
 
 /**
- * Serves the gate of an upstream to entries, over links.
+ * Serves the gate of an upstream to entries over links.
  *
- * A heartbeat is answered when there is news or its time is up, so entries
- * hear at once of a drain, a lost engine or a mark, and a quiet agent costs
- * one small exchange an interval.
+ * Heartbeats are long polls: the agent replies when its state changes or when
+ * the requested wait ends. Entries therefore learn of a drain, a lost engine
+ * or a poison mark at once, and an agent without changes costs one small
+ * exchange per heartbeat interval.
  */
 class agent_server
 {
@@ -54,8 +55,9 @@
     Poco::Net::SocketAddress address() const;
     void stop_accepting();
 
-    /** The gate's hooks call these. */
+    /** Called by the gate when a reader has frames to pull. */
     void wake(reader_id reader);
+    /** Called by the gate when its load or poison marks change. */
     void news();
 
 private:
@@ -80,7 +82,7 @@
     void answer_heartbeats();
     bool has_news(const link::Heartbeat& request) const;
     link::HeartbeatReply reply_to(const link::Heartbeat& request) const;
-    /** The revisions in force at the entries that beat with this agent. */
+    /** Revisions in force at the entries that send heartbeats to this agent. */
     std::string entry_revisions() const;
     void schedule_tick();
 
@@ -94,7 +96,7 @@
     std::list<pending_heartbeat> heartbeats_;
     configuration_revisions entries_;
 
-    /** Timers on the loop outlive this object; they look here first. */
+    /** Checked by timer callbacks, since they can outlive this object. */
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
     std::unique_ptr<link_server> server_;
 };
--- a/src/libcyclamenrun/agent/upstream_driver.cpp
+++ b/src/libcyclamenrun/agent/upstream_driver.cpp
@@ -16,7 +16,7 @@
 constexpr int http_unavailable = 503;
 constexpr int run_stack_bytes = 256 * 1024;
 constexpr int idle_thread_seconds = 30;
-/** How long an engine may take to drop what it was told to cancel. */
+/** How long the driver waits for an engine to end cancelled runs. */
 constexpr milliseconds cancel_patience{5'000};
 constexpr milliseconds cancel_poll{50};
 
@@ -64,7 +64,7 @@
 
 } // namespace
 
-/** One run on a thread of the pool; deletes itself when done. */
+/** One run on a thread of the pool. Deletes itself when the run ends. */
 class upstream_driver::run_task : public Poco::Runnable
 {
 public:
@@ -121,8 +121,8 @@
         }
         active_[order.work] = active;
     }
-    // Guards against a stop that came before the run was entered above: the
-    // gate had changed its mind by then, which wanted() shows.
+    // Guards against a stop() that came before the run was added to active_
+    // and so had no effect. The gate then no longer wants the work item.
     if (!gate_->wanted(order.work)) {
         forget(order.work);
         return;
@@ -134,10 +134,11 @@
         (void)task.release();
     } catch (const Poco::NoThreadAvailableException&) {
         forget(order.work);
-        gate_->run_failed(order.work,
-                          not_run(refusal_reason::queue_full,
-                                  "the agent has no thread to spare"),
-                          clock_());
+        gate_->run_failed(
+            order.work,
+            not_run(refusal_reason::queue_full,
+                    "the agent has no free thread for the request"),
+            clock_());
     }
 }
 
@@ -224,8 +225,8 @@
 void upstream_driver::generation_failed(const run_order& order,
                                         const engine_error& error)
 {
-    // Whether the engine is gone, or only this run, decides what is held
-    // against the request: that is for the watcher to find out at once.
+    // A lost engine can make the request a suspect; a failure of only this run
+    // does not. The engine is polled at once to tell the two cases apart.
     if (hints_at_loss(error.failure) && gate_->wanted(order.work) &&
         !look_at_engine()) {
         engine_is_lost();
@@ -291,7 +292,7 @@
     return true;
 }
 
-/** An engine that makes tokens is there, however long it takes to answer. */
+/** An engine that sends tokens is alive even if it doesn't answer polls. */
 bool upstream_driver::heard_lately() const
 {
     const std::scoped_lock lock(mutex_);
@@ -303,17 +304,19 @@
     const bool busy = gate_->load(clock_()).running() > 0;
     const bool woken =
         pause(busy ? settings_.busy_probe : settings_.idle_probe);
-    // Guards against a late look at an engine that was idle and has begun to
-    // work: if it froze now, its callers would wait for the idle look.
+    // Guards against late detection of an engine that freezes just after it
+    // starts its first run: without this wait the next poll would come only
+    // after the idle interval.
     if (woken && !busy)
         pause(settings_.busy_probe);
 }
 
 /**
- * Guards against work of an earlier incarnation that still runs on the
- * engine: nobody will read it, and it takes memory that admission would count
- * on. It is cancelled before anything is admitted, and what the engine still
- * holds after that counts as taken.
+ * Guards against runs that an earlier incarnation of the agent left on the
+ * engine: no reader fetches their output, and they use memory that admission
+ * counts as free. The driver cancels these runs before the gate admits any
+ * work. If some runs don't end in time, the driver reports the engine's used
+ * memory as used by work outside this process.
  */
 bool upstream_driver::take_over()
 {
--- a/src/libcyclamenrun/agent/upstream_driver.hpp
+++ b/src/libcyclamenrun/agent/upstream_driver.hpp
@@ -26,17 +26,17 @@
     upstream_kind kind = upstream_kind::model;
     std::uint32_t max_running = 64;
     http_limits http;
-    /** Between looks at an engine that runs nothing. */
+    /** Interval between polls of an engine without runs. */
     milliseconds idle_probe{5'000};
-    /** Between looks at one that runs something, or does not answer. */
+    /** Interval between polls of an engine that has runs or doesn't answer. */
     milliseconds busy_probe{1'000};
     milliseconds probe_timeout{2'000};
 };
 
 /**
- * Runs on the upstream what the gate has admitted and tells the gate what
- * came of it. Each run has a thread of its own, since the upstream's client
- * blocks; one more watches the engine.
+ * Runs admitted work on the upstream and reports the results to the gate.
+ * Each run has its own thread, since the upstream's client blocks. One more
+ * thread polls the engine.
  */
 class upstream_driver
 {
@@ -46,16 +46,16 @@
     upstream_driver& operator=(const upstream_driver&) = delete;
     ~upstream_driver();
 
-    /** To be called once, before anything is started. */
+    /** Sets the gate and starts polling. Call once, before start(). */
     void attach(gate& gate);
     void start(const run_order& order);
     void stop(work_id work);
-    /** Cancels all that still runs and waits for the threads. */
+    /** Cancels all runs and waits for all threads to end. */
     void shut_down();
 
-    /** Gives the engine an order and waits for its answer. */
+    /** Sends an order to the engine and waits for the answer. */
     order_result give(const engine_order& order);
-    /** Called on the watcher's thread when a new life of it has come up. */
+    /** Sets a hook that the polling thread calls when the engine is ready. */
     void on_engine_started(std::function<void()> hook);
 
 private:
@@ -73,12 +73,12 @@
 
     void watch();
     bool take_over();
-    /** False if it does not answer, or in another life. */
+    /** False if the engine does not answer, or has restarted. */
     bool look_at_engine();
     bool heard_lately() const;
-    /** Waits until the next look at the engine is due. */
+    /** Waits until the next poll of the engine is due. */
     void rest();
-    /** True if something made it shorter. */
+    /** Waits; returns true if woken before the time is up. */
     bool pause(milliseconds pause);
     bool stopping() const;
     void engine_is_lost();
@@ -92,11 +92,11 @@
     mutable std::mutex mutex_;
     std::condition_variable changed_;
     std::unordered_map<work_id, std::shared_ptr<active_run>> active_;
-    std::uint64_t epoch_ = 0; // of the engine's life that we run on; 0: none
+    std::uint64_t epoch_ = 0; // the engine's epoch; 0: no engine
     bool stopping_ = false;
     bool look_now_ = false;
     std::function<void()> engine_started_;
-    std::atomic<time_point> heard_at_{time_point{}}; ///< the last token
+    std::atomic<time_point> heard_at_{time_point{}};
 
     Poco::ThreadPool threads_;
     std::thread watcher_;
--- a/src/libcyclamenrun/entry/caller_error.hpp
+++ b/src/libcyclamenrun/entry/caller_error.hpp
@@ -8,11 +8,14 @@
 namespace cyclamenrun
 {
 
-/** A refusal as the JSON body that callers get. */
+/** Formats a refusal as the JSON error body for callers. */
 std::string caller_error_body(const refusal& why,
                               const std::string& request_id);
 
-/** Whole seconds for the Retry-After header, rounded up; empty for none. */
+/**
+ * The value of the Retry-After header in whole seconds, rounded up, or empty if
+ * the refusal has no retry time.
+ */
 std::string retry_after_seconds(const refusal& why);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/entry/caller_http_handler.cpp
+++ b/src/libcyclamenrun/entry/caller_http_handler.cpp
@@ -35,7 +35,7 @@
             header(request, "Last-Event-ID")};
 }
 
-/** The service in `/v1/services/SERVICE/calls`, or empty. */
+/** The name between `/v1/services/` and `suffix`, or empty. */
 std::string service_in(std::string_view path, std::string_view suffix)
 {
     if (!path.starts_with(services_prefix) || !path.ends_with(suffix) ||
@@ -54,7 +54,10 @@
     return bytes;
 }
 
-/** A caller's own id comes back as it was, if it is printable and short. */
+/**
+ * The request id in the response: the caller's own id if it is printable and
+ * short, otherwise the generated one.
+ */
 std::string shown_request_id(const std::string& callers_id,
                              const std::string& own_id)
 {
@@ -79,8 +82,8 @@
     try {
         handled = route(request, response);
     } catch (const Poco::Exception& error) {
-        // The caller's connection broke or it sent too slowly; there is
-        // nobody left to tell.
+        // The connection broke or the caller sent too slowly, so no response
+        // can be written.
         log_event(log_severity::info, log_event_name::caller_timed_out,
                   {{log_key::request_id, request_id_},
                    {log_key::detail, error.displayText()}});
@@ -92,7 +95,8 @@
     log_event(log_severity::info, log_event_name::caller_refused,
               {{log_key::request_id, request_id_},
                {log_key::reason, handled.error().reason}});
-    // What is left of the body unread would be taken for the next request.
+    // On a kept connection, unread bytes of the body would be parsed as the
+    // next request.
     response.setKeepAlive(false);
     http_caller_writer writer(request, response, {request_id_, {}, {}, false});
     writer.refuse(handled.error());
@@ -102,8 +106,8 @@
                                          http_response& response)
 {
     if (header_bytes(request) > limits_.max_header_bytes)
-        return tl::unexpected(
-            not_run(refusal_reason::too_large, "the headers are too long"));
+        return tl::unexpected(not_run(refusal_reason::too_large,
+                                      "the request headers are too large"));
     const auto& method = request.getMethod();
     const auto path = request.getURI().substr(0, request.getURI().find('?'));
     if (method == "GET" && (path == "/healthz" || path == "/readyz")) {
@@ -113,8 +117,9 @@
     if (method == "GET" && path == "/v1/generations")
         return resume(request, response);
     if (method != "POST")
-        return tl::unexpected(not_run(refusal_reason::bad_request,
-                                      "no such method at this path"));
+        return tl::unexpected(
+            not_run(refusal_reason::bad_request,
+                    "this path does not support the HTTP method"));
     if (path == "/v1/completions")
         return complete(completion_shape::completions, request, response);
     if (path == "/v1/chat/completions")
@@ -123,8 +128,7 @@
         return call(service, request, response);
     if (const auto service = service_in(path, tickets_suffix); !service.empty())
         return ticket(service, request, response);
-    return tl::unexpected(
-        not_run(refusal_reason::bad_request, "there is nothing at this path"));
+    return tl::unexpected(not_run(refusal_reason::bad_request, "unknown path"));
 }
 
 outcome<void> caller_http_handler::complete(completion_shape shape,
@@ -233,7 +237,7 @@
 outcome<std::string> caller_http_handler::read_body(http_request& request) const
 {
     const auto too_large =
-        not_run(refusal_reason::too_large, "the body is too long");
+        not_run(refusal_reason::too_large, "the request body is too large");
     if (request.hasContentLength() &&
         static_cast<std::size_t>(request.getContentLength64()) >
             limits_.max_body_bytes)
@@ -250,7 +254,8 @@
     if (request.hasContentLength() &&
         body.size() < static_cast<std::size_t>(request.getContentLength64()))
         return tl::unexpected(
-            not_run(refusal_reason::bad_request, "the body was cut short"));
+            not_run(refusal_reason::bad_request,
+                    "the request body is shorter than Content-Length"));
     return body;
 }
 
--- a/src/libcyclamenrun/entry/caller_http_handler.hpp
+++ b/src/libcyclamenrun/entry/caller_http_handler.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun
 {
 
-/** Bounds on what one HTTP request of a caller may hold. */
+/** Limits on one HTTP request of a caller. */
 struct caller_http_limits {
     std::size_t max_body_bytes = std::size_t{1} << 20U;
     std::size_t max_header_bytes = 16384;
@@ -20,8 +20,8 @@
 };
 
 /**
- * One HTTP request of a caller: finds out what is asked for, checks it and
- * hands it to the core. Everything wrong with it is answered by type.
+ * Handles one HTTP request of a caller: routes it, validates it and passes it
+ * to the core. An invalid request gets a response with the refusal's reason.
  */
 class caller_http_handler : public Poco::Net::HTTPRequestHandler
 {
@@ -51,7 +51,7 @@
     std::string request_id_;
 };
 
-/** Makes a handler for each request. */
+/** Creates a handler for each request. */
 class caller_http_factory : public Poco::Net::HTTPRequestHandlerFactory
 {
 public:
--- a/src/libcyclamenrun/entry/caller_request.cpp
+++ b/src/libcyclamenrun/entry/caller_request.cpp
@@ -27,8 +27,9 @@
 }
 
 /**
- * Unique, and begins with the caller's own id where that is printable and
- * short, so that logs of all processes can be searched by it.
+ * Makes a unique request id. It begins with the caller's own id if that is
+ * printable and short, so that the logs of all processes can be searched for
+ * the caller's id.
  */
 std::string draw_request_id(const std::string& callers_id)
 {
@@ -48,10 +49,10 @@
     const auto* end = headers.deadline_ms.data() + headers.deadline_ms.size();
     const auto read = std::from_chars(headers.deadline_ms.data(), end, left);
     if (read.ec != std::errc{} || read.ptr != end)
-        return tl::unexpected(bad("X-Deadline-Ms is not a whole number"));
+        return tl::unexpected(bad("X-Deadline-Ms must be a whole number"));
     if (left <= 0)
         return tl::unexpected(not_run(refusal_reason::deadline_passed,
-                                      "X-Deadline-Ms leaves no time"));
+                                      "X-Deadline-Ms must be positive"));
     return now + std::min(milliseconds(left), limits.longest_deadline);
 }
 
@@ -62,10 +63,10 @@
         return by_default;
     if (value == "true" || value == "false")
         return value == "true";
-    return tl::unexpected(bad(std::string(name) + " is true or false"));
+    return tl::unexpected(bad(std::string(name) + " must be true or false"));
 }
 
-/** Whether the work may repeat and until when it is waited for. */
+/** Sets whether the request is idempotent, and its deadline. */
 outcome<void> read_terms(const caller_headers& headers,
                          const v1::Service& service,
                          const caller_limits& limits, bool idempotent,
@@ -85,7 +86,7 @@
     return {};
 }
 
-/** The texts of a chat's messages, or nothing if it isn't one. */
+/** The roles and texts of a chat's messages, or nothing if they are invalid. */
 std::optional<std::string> prompt_of_messages(const Poco::JSON::Object& body)
 {
     const auto messages = json_array(body, "messages");
@@ -112,7 +113,8 @@
     const auto asked = json_u64(body, "max_tokens");
     if (!asked || *asked == 0 ||
         *asked > std::numeric_limits<std::uint32_t>::max())
-        return tl::unexpected(bad("max_tokens is a whole number, 1 or more"));
+        return tl::unexpected(
+            bad("max_tokens must be a whole number, 1 or more"));
     return static_cast<std::uint32_t>(*asked);
 }
 
@@ -122,7 +124,7 @@
         return false;
     const auto value = body.get("stream");
     if (!value.isBoolean())
-        return tl::unexpected(bad("stream is true or false"));
+        return tl::unexpected(bad("stream must be true or false"));
     return value.convert<bool>();
 }
 
@@ -135,10 +137,10 @@
     if (header == "stream" && stream)
         return delivery_mode::stream;
     return tl::unexpected(
-        bad("X-Delivery is whole, or stream if the body says stream"));
+        bad("X-Delivery must be whole, or stream if the body sets stream"));
 }
 
-/** The engine's own bound is set, so that no answer outgrows ours. */
+/** Sets `max_tokens` in the body, so that the engine enforces our limit. */
 std::string body_for_engine(const std::string& body, std::uint32_t max_tokens)
 {
     auto object = parse_json_object(body);
@@ -185,7 +187,7 @@
     completion_body parsed;
     const auto service = json_string(*object, "model");
     if (!service)
-        return tl::unexpected(bad("model names no service"));
+        return tl::unexpected(bad("model must be the name of a service"));
     parsed.service = *service;
 
     const auto prompt = shape == completion_shape::chat
@@ -194,11 +196,11 @@
     if (!prompt)
         return tl::unexpected(
             bad(shape == completion_shape::chat
-                    ? "messages is a list of objects with role and content"
-                    : "prompt is a string"));
+                    ? "messages must be a list of objects with role and content"
+                    : "prompt must be a string"));
     if (prompt->size() > limits.max_prompt_bytes)
         return tl::unexpected(
-            not_run(refusal_reason::too_large, "the prompt is too long"));
+            not_run(refusal_reason::too_large, "the prompt is too large"));
     parsed.prompt = *prompt;
 
     const auto max_tokens = max_tokens_of(*object);
@@ -220,7 +222,7 @@
 {
     if (service.kind() != v1::SERVICE_KIND_MODEL)
         return tl::unexpected(
-            bad("this service answers calls, not completions"));
+            bad("this service accepts calls, not completions"));
     const auto most_prompt = service.max_prompt_tokens() > 0
                                  ? service.max_prompt_tokens()
                                  : default_max_prompt_tokens;
@@ -263,7 +265,7 @@
 {
     if (service.kind() != v1::SERVICE_KIND_APPLICATION)
         return tl::unexpected(
-            bad("this service answers completions, not calls"));
+            bad("this service accepts completions, not calls"));
     if (!parse_json_object(body))
         return tl::unexpected(bad("the body is not a JSON object"));
     relay_request request;
@@ -293,7 +295,8 @@
 {
     const auto position = parse_stream_position(headers.last_event_id);
     if (!position)
-        return tl::unexpected(bad("Last-Event-ID names no token"));
+        return tl::unexpected(
+            bad("Last-Event-ID is not a position in a stream"));
     const auto deadline =
         deadline_of(headers, limits.default_deadline, limits, now);
     if (!deadline)
--- a/src/libcyclamenrun/entry/caller_request.hpp
+++ b/src/libcyclamenrun/entry/caller_request.hpp
@@ -13,7 +13,7 @@
 namespace cyclamenrun
 {
 
-/** The headers of a caller's request that mean something here. */
+/** The headers of a caller's request that an entry reads. */
 struct caller_headers {
     std::string authorization;
     std::string request_id;
@@ -24,21 +24,21 @@
     std::string last_event_id;
 };
 
-/** Bounds on what a caller may send and ask for. */
+/** Limits on a caller's prompt and deadline. */
 struct caller_limits {
     std::size_t max_prompt_bytes = std::size_t{512} << 10U;
     milliseconds default_deadline{600'000};
     milliseconds longest_deadline{3'600'000};
 };
 
-/** The two shapes of a generation request that clients know. */
+/** The format of a generation request and of its response. */
 enum class completion_shape : std::uint8_t { completions, chat };
 
-/** A generation request as far as its body alone says. */
+/** The fields of a generation request's body. */
 struct completion_body {
     std::string service;          ///< the `model` member
-    std::string prompt;           ///< all texts that the engine will read
-    std::uint32_t max_tokens = 0; ///< 0: not said
+    std::string prompt;           ///< all text that the engine reads
+    std::uint32_t max_tokens = 0; ///< 0: not set
     bool stream = false;
 };
 
@@ -46,7 +46,7 @@
                                                const std::string& body,
                                                const caller_limits& limits);
 
-/** The request that the relay runs; `service` is the one in force. */
+/** Makes the relay's request; `service` is the current configuration. */
 outcome<relay_request>
 make_completion_request(completion_shape shape, const completion_body& parsed,
                         const std::string& body, const caller_headers& headers,
@@ -63,13 +63,19 @@
                                            const caller_limits& limits,
                                            time_point now);
 
-/** Printable without spaces, and neither empty nor over `longest`. */
+/**
+ * True if the id is printable ASCII without spaces, not empty, and not longer
+ * than `longest`.
+ */
 bool is_usable_id(const std::string& callers_id, std::size_t longest);
 
-/** How many tokens a prompt has, about: the engine's tokenizer isn't here. */
+/** Estimates a prompt's tokens; the entry has no tokenizer of the engine. */
 std::uint32_t estimate_tokens(std::size_t bytes);
 
-/** Chained hashes of the prompt's blocks: equal as far as prompts are. */
+/**
+ * Chained hashes of the prompt's blocks. Two prompts have equal hashes for the
+ * blocks of their common prefix.
+ */
 std::vector<std::uint64_t> prefix_blocks_of(const std::string& prompt);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/entry/caller_writer.hpp
+++ b/src/libcyclamenrun/entry/caller_writer.hpp
@@ -8,8 +8,8 @@
 {
 
 /**
- * Writes an outcome to a caller. False from a write says that the caller is
- * gone or takes too long; nothing more is written then.
+ * Writes an outcome to a caller. A write returns false if the caller has
+ * disconnected or reads too slowly; no further write may follow.
  */
 class caller_writer
 {
@@ -23,7 +23,7 @@
     virtual bool end(const write_end& end) = 0;
     virtual bool answer(const write_answer& answer) = 0;
     virtual bool refuse(const refusal& why) = 0;
-    /** Whether the caller has closed its side. */
+    /** True if the caller has closed its connection. */
     virtual bool gone() = 0;
 };
 
--- a/src/libcyclamenrun/entry/entry_core.cpp
+++ b/src/libcyclamenrun/entry/entry_core.cpp
@@ -18,9 +18,12 @@
 constexpr milliseconds not_ready_pause{1000};
 constexpr std::size_t news_shards = 16;
 constexpr std::size_t most_agents_asked = 24;
-/** Entries that bring a fresh agent its first configuration. */
+/** Number of entries that send a new agent its first configuration. */
 constexpr std::uint64_t first_bringers = 3;
-/** Replies without a configuration after which any entry brings it. */
+/**
+ * After this number of replies without a configuration, any entry sends the
+ * configuration to the agent.
+ */
 constexpr int patient_replies = 3;
 constexpr milliseconds fresh_agent_wait{500};
 
@@ -29,7 +32,7 @@
     return {agent.upstream, agent.address};
 }
 
-/** A caller without tokens of its own to lose may be told to go elsewhere. */
+/** Refuses a request that has not started, so the caller can retry it. */
 refusal not_ready_refusal()
 {
     return not_run(refusal_reason::not_ready,
@@ -121,7 +124,7 @@
     request.team_weight = std::max<std::uint32_t>(1, caller.team->weight());
     const auto started_at = clock_();
     relay_result result;
-    // What a caller comes back for has been let in before.
+    // A resumed request has already passed the team's limits.
     const bool resumes = request.resume_after.has_value();
     if (draining_ && !resumes)
         result.refused = not_ready_refusal();
@@ -153,7 +156,7 @@
 {
     if (service.kind() != v1::SERVICE_KIND_APPLICATION)
         return tl::unexpected(not_run(refusal_reason::bad_request,
-                                      "this service takes no calls"));
+                                      "this service does not accept calls"));
     if (draining_)
         return tl::unexpected(not_ready_refusal());
     relay_request request;
@@ -166,9 +169,10 @@
         return tl::unexpected(target.error());
     const auto clock = routes_.clock_of(target->upstream, now);
     if (!clock || clock->incarnation != target->incarnation)
-        return tl::unexpected(not_run(refusal_reason::no_upstream,
-                                      "the agent was just replaced",
-                                      not_ready_pause));
+        return tl::unexpected(
+            not_run(refusal_reason::no_upstream,
+                    "the agent was replaced while the ticket was made",
+                    not_ready_pause));
     const auto life = static_cast<std::uint64_t>(settings_.ticket_life.count());
     return tickets_.mint({target->upstream, target->incarnation,
                           caller.team->name(), service.name(),
@@ -241,7 +245,7 @@
     links_.watch(agents);
 }
 
-/** A VM that is gone must not hold up a wait for all revisions. */
+/** Removes VMs that left the list, so no wait for all revisions blocks. */
 void entry_core::forget_unlisted(const vm_list& list)
 {
     std::set<std::string> listed;
@@ -263,11 +267,11 @@
     const auto agent = routes_.members().find(upstream);
     if (!agent)
         return tl::unexpected(not_run(refusal_reason::no_upstream,
-                                      "no upstream of this name is listed"));
+                                      "no upstream with this name is listed"));
     const auto answer = ask(address_of(*agent), path, frame)->wait(deadline);
     if (!answer)
-        return tl::unexpected(
-            outcome_unknown(refusal_reason::agent_lost, "no answer in time"));
+        return tl::unexpected(outcome_unknown(
+            refusal_reason::agent_lost, "the agent did not answer in time"));
     return *answer;
 }
 
@@ -282,8 +286,9 @@
 
 void entry_core::gather_entry_revisions(time_point deadline)
 {
-    // Each entry beats with many agents, so a few of these, spread over all
-    // services, know every entry; asking all would carry megabytes a look.
+    // Each entry sends heartbeats to many agents, so a few agents, spread over
+    // all services, know every entry. Querying all agents would transfer
+    // megabytes per call.
     std::vector<std::shared_ptr<agent_question>> questions;
     const auto agents = routes_.members().subset();
     const auto stride =
@@ -329,10 +334,10 @@
 }
 
 /**
- * Guards against a flood when an agent or an entry starts: were each entry to
- * send the whole configuration to each agent that has none yet, one agent's
- * start would cost a hundred copies of it. A few bring it at once; the others
- * only if that does not help.
+ * Guards against a thundering herd when an agent or an entry starts: if each
+ * entry sent the whole configuration to each agent without one, the start of
+ * one agent would cost a hundred copies. A few entries send it at once; the
+ * others send it only if the agent still has none after several replies.
  */
 bool entry_core::brings_configuration(const std::string& upstream,
                                       const agent_news& known) const
@@ -372,9 +377,9 @@
         log_severity::info, log_event_name::link_closed,
         {{log_key::upstream, upstream}, {log_key::reason, name_of(failure)}});
     const auto now = clock_();
-    // One event is one sign: were a lost connection taken for a missed
-    // heartbeat as well, each agent whose connection breaks once would be a
-    // suspect. That it can't be reached again is the second sign.
+    // One event counts as one failure signal. If a lost connection also
+    // counted as a missed heartbeat, an agent would become a suspect whenever
+    // its connection breaks once. A failed reconnect is the second signal.
     const bool was_connected = failure == link_failure::connection_lost ||
                                failure == link_failure::reset_by_peer;
     if (was_connected)
@@ -388,8 +393,8 @@
 {
     routes_.members().on_failure(agent.upstream, now);
     const auto known = routes_.members().find(agent.upstream);
-    // A loss that has another explanation is not held against a request: the
-    // VM was going anyway, or its whole failure domain is cut off.
+    // A request is not marked if the loss has another cause: the VM was
+    // already leaving, or its whole failure domain is cut off.
     const bool explained = !known || known->state == upstream_state::leaving ||
                            known->state == upstream_state::gone ||
                            routes_.members().is_cut(known->failure_domain);
@@ -403,9 +408,10 @@
 }
 
 /**
- * News goes out at once and not with the next heartbeat: a caller whose
- * request brought an upstream down sends it again at once, by another entry,
- * and a change of configuration is to be in force everywhere within seconds.
+ * Changes are sent at once, not with the next heartbeat. A caller whose request
+ * crashed an upstream retries at once through another entry, which needs the
+ * poison mark by then, and a configuration change must be in force everywhere
+ * within seconds.
  */
 void entry_core::tell_agents()
 {
--- a/src/libcyclamenrun/entry/entry_core.hpp
+++ b/src/libcyclamenrun/entry/entry_core.hpp
@@ -32,7 +32,6 @@
 class caller_writer;
 class link_loop;
 
-/** How an entry's core is set up. */
 struct entry_core_settings {
     std::string name;
     std::string link_key;
@@ -46,15 +45,15 @@
     milliseconds poison_life{3'600'000};
 };
 
-/** Who calls, and the configuration that the whole request sees. */
+/** The caller's team and the configuration used for the whole request. */
 struct caller_session {
     configuration_store::view_pointer view;
-    const v1::Team* team = nullptr; ///< lives as long as the view
+    const v1::Team* team = nullptr; ///< valid as long as the view
 };
 
 /**
- * What an entry knows and decides, without the HTTP around it. All of its
- * state is a cache: any entry can serve any caller at any time.
+ * The state and decisions of an entry, independent of HTTP. All state is a
+ * cache, so any entry can serve any caller at any time.
  */
 class entry_core
 {
@@ -68,29 +67,32 @@
 
     outcome<caller_session>
     authenticate(const std::string& authorization) const;
-    /** The service in force, if the team may use it. */
+    /** The current configuration of a service, if the team may use it. */
     outcome<const v1::Service*> service(const caller_session& caller,
                                         const std::string& name) const;
-    /** Runs the request to its outcome on the calling thread. */
+    /** Runs the request to completion on the calling thread. */
     relay_result serve(const caller_session& caller, relay_request request,
                        caller_writer& writer);
-    /** A ticket for one call; its text and which upstream it names. */
+    /** Chooses an upstream and makes a ticket for one call to it. */
     outcome<link::Ticket> mint_ticket(const caller_session& caller,
                                       const v1::Service& service);
 
     void on_vm_list(const vm_list& list);
-    /** One message to an agent and its one answer, waited for. */
+    /** Sends one message to an agent and waits for its answer. */
     outcome<std::string> ask_agent(const std::string& upstream,
                                    const std::string& path,
                                    const std::string& frame,
                                    time_point deadline);
 
-    /** Asks the agents of the subset which entries hold which revision. */
+    /** Queries agents of the subset for the revisions in force at entries. */
     void gather_entry_revisions(time_point deadline);
 
-    /** Says not ready, so that the balancer sends no more; all still works. */
+    /**
+     * Reports not ready, so that the load balancer sends no more requests.
+     * Requests are still served.
+     */
     void start_stopping() { stopping_ = true; }
-    /** Refuses new work from now on; what runs goes on. */
+    /** Refuses new work; running requests continue. */
     void start_draining() { draining_ = true; }
     bool ready() const { return !stopping_ && configuration_.ready(); }
     int active_requests() const { return active_; }
@@ -104,11 +106,11 @@
     time_point now() const { return clock_(); }
 
 private:
-    /** What an agent has said in its last heartbeat. */
+    /** The state that an agent reported in its last heartbeat reply. */
     struct agent_news {
         std::uint64_t load_change = 0;
         std::uint64_t revision = 0;
-        int empty_replies = 0; ///< in a row, with no configuration
+        int empty_replies = 0; ///< consecutive, without a configuration
         bool heard = false;
     };
     using agent_news_map = std::unordered_map<std::string, agent_news>;
@@ -128,7 +130,8 @@
     void on_link_failure(const std::string& upstream, link_failure failure);
     void on_agent_lost(std::uint64_t fingerprint, const route_target& agent,
                        time_point now);
-    /** Sends every agent of the subset what it has not been told yet. */
+    /** Sends a heartbeat with all unsent changes to each agent of the subset.
+     */
     void tell_agents();
     void log_outcome(const relay_request& request, const relay& relay,
                      const relay_result& result) const;
@@ -145,7 +148,7 @@
     metrics metrics_;
     std::atomic<std::size_t> entries_ = 1;
     std::mutex listed_mutex_;
-    std::set<std::string> listed_; ///< VMs of the last list
+    std::set<std::string> listed_; ///< ids in the last VM list
     std::atomic<bool> stopping_ = false;
     std::atomic<bool> draining_ = false;
     std::atomic<int> active_ = 0;
--- a/src/libcyclamenrun/entry/entry_process.cpp
+++ b/src/libcyclamenrun/entry/entry_process.cpp
@@ -39,7 +39,7 @@
 constexpr int operator_threads = 16;
 constexpr int idle_thread_seconds = 60;
 constexpr milliseconds log_call_limit{5'000};
-/** A log that is slow by half a minute still brings what it has. */
+/** Long enough to read from a log whose answers are 30 s late. */
 constexpr milliseconds tail_call_limit{45'000};
 constexpr milliseconds operator_deadline{10'000};
 constexpr milliseconds peer_answer_wait{1'000};
@@ -80,7 +80,7 @@
     return params;
 }
 
-/** Makes a handler of operators' calls for each request. */
+/** Creates a handler for each RPC request of an operator. */
 class operator_factory : public Poco::Net::HTTPRequestHandlerFactory
 {
 public:
@@ -193,8 +193,9 @@
 }
 
 /**
- * Guards against an outage of the log during which VMs are replaced: each new
- * entry would stay unready until the log is back, and in the end all would.
+ * Guards against VM replacement during an outage of the log: each new entry
+ * would stay unready until the log is back, and in the end no entry would be
+ * ready. New entries therefore get the configuration from agents.
  */
 void entry_process::recover_by_peers()
 {
@@ -285,7 +286,8 @@
 entry_process::drain_upstream(const v1::DrainUpstreamRequest& request)
 {
     link::Drain drain;
-    // A message without fields would be an empty frame.
+    // Sets a field explicitly, since a message without fields is an empty
+    // frame.
     drain.set_reclaim_in_ms(0);
     const auto answer = core_->ask_agent(request.upstream(), "/drain",
                                          drain.SerializeAsString(),
--- a/src/libcyclamenrun/entry/entry_process.hpp
+++ b/src/libcyclamenrun/entry/entry_process.hpp
@@ -30,7 +30,10 @@
 class snapshot_writer;
 class vm_list_watcher;
 
-/** All of an entry: its core and the servers and threads around it. */
+/**
+ * The entry process: the core, the HTTP servers for callers and operators, and
+ * the configuration log and VM list readers.
+ */
 class entry_process
 {
 public:
@@ -39,14 +42,16 @@
     entry_process& operator=(const entry_process&) = delete;
     ~entry_process();
 
-    /** Where callers and operators reach it. */
+    /** The address that callers connect to. */
     std::string address() const;
+    /** The address that operators connect to. */
     std::string operator_address() const;
 
     /**
-     * A planned stop: says not ready, gives the balancer time, takes no more
-     * callers, and lets those that are served get their answers. False if
-     * that took longer than the settings allow.
+     * Performs a planned stop: reports not ready, waits for the load balancer
+     * to react, refuses new callers, and waits until the running requests are
+     * answered. Returns false if this takes longer than the drain timeout in
+     * the settings.
      */
     bool drain();
 
@@ -69,7 +74,7 @@
     state_dump dump_;
 
     cancellation stop_log_;
-    std::unique_ptr<platform_log_client> log_;      // for appends
+    std::unique_ptr<platform_log_client> log_;      // for appends and snapshots
     std::unique_ptr<platform_log_client> tail_log_; // for the tail
     std::unique_ptr<logging_platform_log> logged_;
     std::unique_ptr<logging_platform_log> logged_tail_;
--- a/src/libcyclamenrun/entry/http_caller_writer.cpp
+++ b/src/libcyclamenrun/entry/http_caller_writer.cpp
@@ -15,7 +15,10 @@
 namespace
 {
 
-/** One event: an id line only where the caller can resume after it. */
+/**
+ * Appends one server-sent event. It has an id line only if the caller can
+ * resume after it.
+ */
 void append_event(std::string& out, const std::string& id,
                   const std::string& data)
 {
--- a/src/libcyclamenrun/entry/http_caller_writer.hpp
+++ b/src/libcyclamenrun/entry/http_caller_writer.hpp
@@ -16,18 +16,19 @@
 namespace cyclamenrun
 {
 
-/** How answers to one caller look. */
+/** The format of the answer to one request. */
 struct answer_format {
     std::string request_id;
     std::string service;
     completion_shape shape = completion_shape::completions;
-    bool events = false; ///< server-sent events, else one JSON body
+    bool events = false; ///< server-sent events; otherwise one JSON body
 };
 
 /**
- * Writes an outcome as HTTP. Tokens go out as server-sent events, each with
- * an id by which the caller can resume after it. A refusal after the first
- * token has no status line left to change, and goes out as an event `error`.
+ * Writes an outcome as an HTTP response. Tokens are sent as server-sent events,
+ * each with an id after which the caller can resume. A refusal after the first
+ * token is sent as an `error` event, since the status line has already been
+ * sent.
  */
 class http_caller_writer : public caller_writer
 {
--- a/src/libcyclamenrun/entry/metrics_caller_writer.hpp
+++ b/src/libcyclamenrun/entry/metrics_caller_writer.hpp
@@ -11,11 +11,11 @@
 
 class metrics;
 
-/** Passes an answer on to its caller and measures how steadily it flows. */
+/** Forwards writes to another writer and records the gaps between tokens. */
 class metrics_caller_writer : public caller_writer
 {
 public:
-    /** The caller has waited since `started_at`. */
+    /** `started_at` is when the request arrived. */
     metrics_caller_writer(caller_writer& writer, metrics& measured,
                           clock_function clock, time_point started_at);
 
--- a/src/libcyclamenrun/entry/metrics_of_outcome.hpp
+++ b/src/libcyclamenrun/entry/metrics_of_outcome.hpp
@@ -10,7 +10,7 @@
 struct relay_request;
 struct relay_result;
 
-/** Records how a caller's request ended that came at `started_at`. */
+/** Records the result of a request that arrived at `started_at`. */
 void record_outcome(metrics& measured, const relay_request& request,
                     const relay_result& result, time_point started_at,
                     time_point now);
--- a/src/libcyclamenrun/entry/relay_mailbox.hpp
+++ b/src/libcyclamenrun/entry/relay_mailbox.hpp
@@ -13,7 +13,7 @@
 namespace cyclamenrun
 {
 
-/** What a stream to an agent brought. */
+/** A frame received on a stream to an agent, or the loss of the stream. */
 struct relay_event {
     stream_number stream = 0;
     bool lost = false;
@@ -22,15 +22,15 @@
 };
 
 /**
- * Carries events from the links' threads to the thread that serves a caller.
- * Shared by both, so a late event finds it though the caller has been served.
- * What waits here is bounded by the streams' flow-control windows.
+ * Queues events from the links' threads for the thread that serves a caller.
+ * Both sides share ownership, since an event can arrive after the caller has
+ * been served. The streams' flow-control windows bound the size of the queue.
  */
 class relay_mailbox
 {
 public:
     void put(relay_event event);
-    /** The next event, or nothing at `deadline`. */
+    /** Waits for the next event; returns nothing if none comes in time. */
     std::optional<relay_event> take(time_point deadline);
 
 private:
--- a/src/libcyclamenrun/entry/relay_runner.cpp
+++ b/src/libcyclamenrun/entry/relay_runner.cpp
@@ -12,7 +12,7 @@
 namespace
 {
 
-/** How soon a caller that closed while it waits is noticed. */
+/** Interval between checks whether a waiting caller has disconnected. */
 constexpr milliseconds caller_check{250};
 
 client_handlers handlers_for(const std::shared_ptr<relay_mailbox>& mailbox,
@@ -23,7 +23,7 @@
         mailbox->put({stream, false, false, std::move(frame)});
     };
     handlers.on_end = [mailbox, stream](stream_end end) {
-        // After a final frame the relay looks at this stream no more.
+        // The relay ignores a stream's end after the stream's final frame.
         mailbox->put(
             {stream, true, end.clean || end.request_may_have_left, {}});
     };
@@ -31,8 +31,9 @@
 }
 
 /**
- * An acknowledgement must not follow: the caller has not got its answer and
- * may come back for it.
+ * Whether an action may be performed after the caller has disconnected. An
+ * acknowledgement may not: the caller did not get its answer and can resume,
+ * so the agent must keep the answer.
  */
 bool may_follow_a_lost_caller(const relay_action& action)
 {
@@ -83,15 +84,16 @@
     }
     link::AgentFrame frame;
     if (!frame.ParseFromString(event.frame)) {
-        // Looks like a frame of nobody's request, and fails closed as one.
+        // The relay rejects a frame with another request's id, so an
+        // unparsable frame is passed to it as one.
         frame.Clear();
         frame.set_request_id("unparsable");
     }
     if (frame.has_load())
         hooks_.load(frame.load());
     perform(state, state.relay.on_frame(event.stream, frame, clock_()));
-    // Only what has been written on lets the agent send more, so a slow
-    // caller holds its generation's tokens back at the agent.
+    // The agent may send more only after the frame has been written to the
+    // caller, so that tokens for a slow caller stay at the agent.
     const auto stream = state.streams.find(event.stream);
     if (stream != state.streams.end())
         stream->second->consumed(event.frame.size());
--- a/src/libcyclamenrun/entry/relay_runner.hpp
+++ b/src/libcyclamenrun/entry/relay_runner.hpp
@@ -19,21 +19,22 @@
 class client_stream;
 struct agent_address;
 
-/** How a runner reaches agents, and what it tells of a request's way. */
+/** Callbacks for finding agents and for reporting a request's progress. */
 struct relay_runner_hooks {
-    /** Where an agent is, if the VM list or the settings know. */
+    /** Returns an agent's address, or nothing if the agent is not known. */
     std::function<std::optional<agent_address>(const std::string& upstream)>
         find;
     std::function<void(const relay_request& request,
                        const std::string& upstream)>
         dispatched;
+    /** The request no longer counts towards the upstream's load. */
     std::function<void(const std::string& upstream)> settled;
     std::function<void(const link::LoadReport& load)> load;
-    /** So many tokens have gone to the team. */
+    /** A number of tokens were sent to the team. */
     std::function<void(const std::string& team, std::uint64_t tokens)> made;
 };
 
-/** How a request ended, for logs and metrics. */
+/** The result of a request, for logs and metrics. */
 struct relay_result {
     bool complete = false;
     bool caller_gone = false;
@@ -44,8 +45,8 @@
 };
 
 /**
- * Runs a relay on the calling thread: carries out its actions, and brings it
- * what the links, the clock and the caller do, until it is done.
+ * Runs a relay on the calling thread: performs the relay's actions and passes
+ * it the events of the links, the clock and the caller until it is done.
  */
 class relay_runner
 {
--- a/src/libcyclamenrun/entry/team_authenticator.cpp
+++ b/src/libcyclamenrun/entry/team_authenticator.cpp
@@ -36,9 +36,9 @@
 }
 
 /**
- * Guards against probing for names of teams: an unknown one would be refused
- * without hashing, and so sooner than a known one. It is compared with the
- * hash of a key that nobody has instead.
+ * Guards against probing for team names by response time: a request for an
+ * unknown team would be refused sooner if its key were not hashed. The key is
+ * therefore compared with the hash of a random key that no caller has.
  */
 const key_hash& team_authenticator::hash_of(std::string_view team) const
 {
--- a/src/libcyclamenrun/entry/team_authenticator.hpp
+++ b/src/libcyclamenrun/entry/team_authenticator.hpp
@@ -18,9 +18,10 @@
 };
 
 /**
- * Finds the team of a caller. A key reads `TEAM.SECRET`, so that one hash is
- * compared, however many teams there are. Made anew for each revision of the
- * configuration and constant after that, so threads may share it.
+ * Authenticates callers by their team's key. A key has the form `TEAM.SECRET`,
+ * so only one hash is compared, independent of the number of teams. Immutable
+ * and so safe to share between threads; each configuration revision gets a new
+ * object.
  */
 class team_authenticator
 {
@@ -28,8 +29,8 @@
     explicit team_authenticator(const std::vector<team_key>& keys);
 
     /**
-     * The team of an `Authorization` header's value; `unauthenticated`
-     * otherwise, whatever is wrong with it.
+     * Returns the team for the value of an `Authorization` header, or the
+     * refusal `unauthenticated` for any invalid value.
      */
     outcome<std::string> authenticate(std::string_view authorization) const;
 
@@ -40,7 +41,7 @@
     key_hash nobody_;
 };
 
-/** A new key of a team; operators hand it out and keep only its hash. */
+/** Generates a key for a team. Only the key's hash is to be stored. */
 secret make_team_key(std::string_view team);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/entry/team_desk.cpp
+++ b/src/libcyclamenrun/entry/team_desk.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t shards = 8;
 constexpr std::size_t max_teams_per_shard = 512;
-/** Retries that a team may save up while nothing goes wrong. */
+/** Max retries that a team can accumulate while its requests succeed. */
 constexpr double retry_burst = 10.0;
 constexpr milliseconds retry_pause{1000};
 
@@ -90,7 +90,7 @@
     if (allowed)
         return {};
     return tl::unexpected(not_run(refusal_reason::retry_budget_spent,
-                                  "the team's share of retries is spent",
+                                  "the team's retry budget is used up",
                                   retry_pause));
 }
 
--- a/src/libcyclamenrun/entry/team_desk.hpp
+++ b/src/libcyclamenrun/entry/team_desk.hpp
@@ -20,21 +20,21 @@
 {
 
 /**
- * Knows teams by their keys, and holds each to its limits and its share of
- * retries at this entry.
+ * Authenticates teams and enforces each team's limits and retry budget at this
+ * entry.
  */
 class team_desk
 {
 public:
     explicit team_desk(double retry_share);
 
-    /** Takes the keys of the teams in force. */
+    /** Updates the teams' keys from the configuration. */
     void on_configuration(const configuration_view& view);
-    /** How many entries share the callers now. */
+    /** Sets the number of entries that share the teams' limits. */
     void on_entries(std::size_t count);
 
     outcome<std::string> authenticate(std::string_view authorization) const;
-    /** To be ended by finish() if it is not refused. */
+    /** Admits a request. Call finish() when an admitted request ends. */
     outcome<void> start(const v1::Team& team, std::uint32_t prompt_tokens,
                         time_point now);
     void output(const std::string& team, std::uint64_t tokens);
--- a/tests/entry/test_caller_request.cpp
+++ b/tests/entry/test_caller_request.cpp
@@ -38,7 +38,7 @@
                                    model_service(), limits, now);
 }
 
-TEST(caller_request, a_good_one_says_all_that_the_relay_needs)
+TEST(caller_request, valid_request_sets_all_relay_fields)
 {
     caller_headers headers;
     headers.deadline_ms = "2500";
@@ -53,7 +53,7 @@
     EXPECT_NE(made->id, request_with(headers)->id);
 }
 
-TEST(caller_request, what_is_wrong_with_a_body_is_told_by_type)
+TEST(caller_request, invalid_body_is_refused_with_reason)
 {
     for (const auto* body :
          {"", "[]", "{", "{}", R"({"model":1,"prompt":"p"})",
@@ -74,7 +74,7 @@
               refusal_reason::too_large);
 }
 
-TEST(caller_request, what_is_wrong_with_a_header_is_told_by_type)
+TEST(caller_request, invalid_header_is_refused_with_reason)
 {
     const auto refused = [](auto set) {
         caller_headers headers;
@@ -94,7 +94,7 @@
               refusal_reason::bad_request);
 }
 
-TEST(caller_request, any_bytes_are_read_or_refused)
+TEST(caller_request, arbitrary_bytes_are_parsed_or_refused)
 {
     EXPECT_TRUE(rc::check([](const std::string& bytes) {
         (void)parse_completion_body(completion_shape::completions, bytes,
@@ -108,7 +108,7 @@
     }));
 }
 
-TEST(caller_request, a_body_with_some_bytes_changed_is_read_or_refused)
+TEST(caller_request, corrupted_body_is_parsed_or_refused)
 {
     EXPECT_TRUE(rc::check([](std::size_t at, char byte, std::size_t cut) {
         auto body = good_body;
