--- a/src/libcyclamenrun/agent/agent_process.cpp
+++ b/src/libcyclamenrun/agent/agent_process.cpp
@@ -19,10 +19,10 @@
 namespace
 {
 
-constexpr milliseconds drain_poll{50};
-constexpr milliseconds log_call_limit{5'000};
+constexpr milliseconds drain_poll_interval{50};
+constexpr milliseconds log_call_timeout{5'000};
 /** A dump lists at most this number of sessions; the rest are only counted. */
-constexpr std::size_t most_dumped_sessions = 200;
+constexpr std::size_t max_dumped_sessions = 200;
 
 gate_settings gate_settings_of(const agent_settings& settings,
                                std::uint64_t incarnation)
@@ -89,13 +89,13 @@
     hooks.start = [this](const run_order& order) { driver_->start(order); };
     hooks.stop = [this](work_id work) { driver_->stop(work); };
     hooks.wake = [this](reader_id reader) { server_->wake(reader); };
-    hooks.news = [this] { server_->news(); };
+    hooks.news = [this] { server_->on_state_changed(); };
     gate_ = std::make_unique<gate>(gate_settings_of(settings_, incarnation_),
                                    std::move(hooks));
     add_dump_sections();
     serve_entries();
     if (settings_.upstream.kind == upstream_kind::model)
-        give_orders();
+        start_order_worker();
     driver_->attach(*gate_);
 }
 
@@ -103,25 +103,25 @@
 {
     agent_server_hooks hooks;
     hooks.dump = [this] { return dump_.write(); };
-    hooks.configuration = [this](const link::Heartbeat& heartbeat) {
+    hooks.apply_configuration = [this](const link::Heartbeat& heartbeat) {
         v1::ConfigurationDelta delta;
         if (!heartbeat.config_delta().empty() &&
             delta.ParseFromString(heartbeat.config_delta()))
             configuration_.apply(delta);
     };
-    hooks.revision = [this] { return configuration_.revision(); };
-    hooks.state = [this] { return configuration_.state(); };
+    hooks.configuration_revision = [this] { return configuration_.revision(); };
+    hooks.configuration_state = [this] { return configuration_.state(); };
     server_ = std::make_unique<agent_server>(
         loop_, Poco::Net::SocketAddress(to_string(settings_.listen)),
         settings_.link_key.reveal(), link_limits{}, *gate_, std::move(hooks),
         steady_now);
 }
 
-void agent_process::give_orders()
+void agent_process::start_order_worker()
 {
     log_ = std::make_unique<platform_log_client>(
         to_string(settings_.platform.address), settings_.platform.log,
-        http_limits{}, log_call_limit, steady_now, &stop_log_);
+        http_limits{}, log_call_timeout, steady_now, &stop_log_);
     order_worker_settings worker;
     worker.upstream = settings_.name;
     worker.service = settings_.service;
@@ -130,7 +130,7 @@
     orders_ = std::make_unique<order_worker>(
         worker, *log_, configuration_,
         [this](const engine_order& order) {
-            const auto result = driver_->give(order);
+            const auto result = driver_->send_order(order);
             log_event(log_severity::info,
                       result == order_result::done
                           ? log_event_name::order_given
@@ -142,7 +142,7 @@
         steady_now);
     configuration_.on_change([this](std::uint64_t) {
         orders_->on_configuration();
-        pursue_objective();
+        apply_objective();
     });
     driver_->on_engine_started([this] { orders_->on_engine_restarted(); });
 }
@@ -155,7 +155,7 @@
     orders_.reset();
 }
 
-void agent_process::pursue_objective()
+void agent_process::apply_objective()
 {
     const auto view = configuration_.view();
     const auto* service =
@@ -181,7 +181,7 @@
             log_event(log_severity::error, log_event_name::drain_timed_out);
             return false;
         }
-        std::this_thread::sleep_for(drain_poll);
+        std::this_thread::sleep_for(drain_poll_interval);
     }
     log_event(log_severity::info, log_event_name::drain_finished);
     return true;
@@ -222,7 +222,7 @@
         std::size_t count = 0;
         const auto now = steady_now();
         gate_->visit([&](work_id work, const work_session& session) {
-            if (++count <= most_dumped_sessions)
+            if (++count <= max_dumped_sessions)
                 list->add(describe(work, session, now));
         });
         section.set("count", count);
--- a/src/libcyclamenrun/agent/agent_process.hpp
+++ b/src/libcyclamenrun/agent/agent_process.hpp
@@ -47,8 +47,8 @@
 
 private:
     void serve_entries();
-    void give_orders();
-    void pursue_objective();
+    void start_order_worker();
+    void apply_objective();
     void add_dump_sections();
 
     agent_settings settings_;
--- a/src/libcyclamenrun/agent/agent_server.cpp
+++ b/src/libcyclamenrun/agent/agent_server.cpp
@@ -16,10 +16,10 @@
 {
 
 constexpr milliseconds tick_interval{200};
-constexpr milliseconds longest_heartbeat_wait{60'000};
+constexpr milliseconds max_heartbeat_wait{60'000};
 
-std::string refused_frame(const std::string& request_id, const refusal& why,
-                          const link::LoadReport& load)
+std::string make_refused_frame(const std::string& request_id,
+                               const refusal& why, const link::LoadReport& load)
 {
     link::AgentFrame frame;
     frame.set_request_id(request_id);
@@ -85,7 +85,7 @@
     else if (path == "/revisions")
         stream->respond_once(entry_revisions());
     else if (path == "/configuration")
-        stream->respond_once(hooks_.state());
+        stream->respond_once(hooks_.configuration_state());
     else if (path == "/dump")
         stream->respond_once(hooks_.dump());
     else
@@ -96,8 +96,8 @@
 {
     link::Dispatch message;
     if (!message.ParseFromString(stream->take_request())) {
-        stream->respond_once(
-            refused_frame({}, not_run(refusal_reason::protocol_error), {}));
+        stream->respond_once(make_refused_frame(
+            {}, not_run(refusal_reason::protocol_error), {}));
         return;
     }
     serve_reader(stream, message.request_id(), gate_.submit(message, clock_()));
@@ -107,7 +107,7 @@
 {
     link::Resume message;
     if (!message.ParseFromString(stream->take_request())) {
-        stream->respond_once(refused_frame(
+        stream->respond_once(make_refused_frame(
             {}, outcome_unknown(refusal_reason::protocol_error), {}));
         return;
     }
@@ -123,8 +123,8 @@
                   {{log_key::request_id, request_id},
                    {log_key::kind, reader.error().kind},
                    {log_key::reason, reader.error().reason}});
-        stream->respond_once(
-            refused_frame(request_id, reader.error(), gate_.load(clock_())));
+        stream->respond_once(make_refused_frame(request_id, reader.error(),
+                                                gate_.load(clock_())));
         return;
     }
     const auto id = *reader;
@@ -158,7 +158,7 @@
     }
     const auto answer = gate_.cancel(message, clock_());
     stream->respond_once(
-        refused_frame(message.request_id(), answer, gate_.load(clock_())));
+        make_refused_frame(message.request_id(), answer, gate_.load(clock_())));
 }
 
 void agent_server::acknowledge(const stream_pointer& stream)
@@ -192,15 +192,14 @@
         stream->respond_once({});
         return;
     }
-    hooks_.configuration(pending.request);
+    hooks_.apply_configuration(pending.request);
     entries_.note({pending.request.entry(), process_role::entry,
                    pending.request.failure_domain()},
                   pending.request.config_revision(), pending.deadline);
     gate_.merge_marks(
         {pending.request.marks().begin(), pending.request.marks().end()},
         pending.deadline);
-    const auto longest =
-        static_cast<std::uint64_t>(longest_heartbeat_wait.count());
+    const auto longest = static_cast<std::uint64_t>(max_heartbeat_wait.count());
     pending.deadline +=
         milliseconds(std::min(pending.request.wait_ms(), longest));
     {
@@ -218,7 +217,7 @@
         const std::scoped_lock lock(mutex_);
         for (auto next = heartbeats_.begin(); next != heartbeats_.end();) {
             const auto current = next++;
-            if (now >= current->deadline || has_news(current->request))
+            if (now >= current->deadline || has_changes(current->request))
                 due.splice(due.end(), heartbeats_, current);
         }
     }
@@ -227,10 +226,10 @@
             reply_to(pending.request).SerializeAsString());
 }
 
-bool agent_server::has_news(const link::Heartbeat& request) const
+bool agent_server::has_changes(const link::Heartbeat& request) const
 {
     return request.known_change() != gate_.load_change() ||
-           request.known_revision() != hooks_.revision() ||
+           request.known_revision() != hooks_.configuration_revision() ||
            request.marks_seen() != gate_.marks_version();
 }
 
@@ -239,7 +238,7 @@
 {
     link::HeartbeatReply reply;
     *reply.mutable_load() = gate_.load(clock_());
-    reply.set_config_revision(hooks_.revision());
+    reply.set_config_revision(hooks_.configuration_revision());
     reply.set_load_change(gate_.load_change());
     reply.set_marks_version(gate_.marks_version());
     // A version later than the current one comes from an earlier incarnation
@@ -273,7 +272,7 @@
         stream->wake();
 }
 
-void agent_server::news()
+void agent_server::on_state_changed()
 {
     loop_.post([this, alive = alive_] {
         if (*alive)
--- a/src/libcyclamenrun/agent/agent_server.hpp
+++ b/src/libcyclamenrun/agent/agent_server.hpp
@@ -27,11 +27,11 @@
     /** Returns the state of the whole process as JSON. */
     std::function<std::string()> dump;
     /** Applies the configuration delta in an entry's heartbeat. */
-    std::function<void(const link::Heartbeat&)> configuration;
+    std::function<void(const link::Heartbeat&)> apply_configuration;
     /** Returns the configuration revision in force in this process. */
-    std::function<std::uint64_t()> revision;
+    std::function<std::uint64_t()> configuration_revision;
     /** Returns the whole configuration, for an entry that has none. */
-    std::function<std::string()> state;
+    std::function<std::string()> configuration_state;
 };
 
 /**
@@ -58,7 +58,7 @@
     /** Called by the gate when a reader has frames to pull. */
     void wake(reader_id reader);
     /** Called by the gate when its load or poison marks change. */
-    void news();
+    void on_state_changed();
 
 private:
     using stream_pointer = std::shared_ptr<server_stream>;
@@ -80,7 +80,7 @@
                       const std::string& request_id,
                       const outcome<reader_id>& reader);
     void answer_heartbeats();
-    bool has_news(const link::Heartbeat& request) const;
+    bool has_changes(const link::Heartbeat& request) const;
     link::HeartbeatReply reply_to(const link::Heartbeat& request) const;
     /** Revisions in force at the entries that send heartbeats to this agent. */
     std::string entry_revisions() const;
--- a/src/libcyclamenrun/agent/upstream_driver.cpp
+++ b/src/libcyclamenrun/agent/upstream_driver.cpp
@@ -17,8 +17,8 @@
 constexpr int run_stack_bytes = 256 * 1024;
 constexpr int idle_thread_seconds = 30;
 /** How long the driver waits for an engine to end cancelled runs. */
-constexpr milliseconds cancel_patience{5'000};
-constexpr milliseconds cancel_poll{50};
+constexpr milliseconds cancel_timeout{5'000};
+constexpr milliseconds cancel_poll_interval{50};
 
 std::string engine_request_id(const run_order& order)
 {
@@ -54,7 +54,7 @@
     return outcome_unknown(refusal_reason::upstream_lost, detail);
 }
 
-bool hints_at_loss(engine_failure failure)
+bool may_be_engine_loss(engine_failure failure)
 {
     return failure == engine_failure::connect_failed ||
            failure == engine_failure::lost_before_answer ||
@@ -78,7 +78,7 @@
     {
         const std::unique_ptr<run_task> self(this);
         driver_.run(order_, *active_);
-        driver_.forget(order_.work);
+        driver_.remove_run(order_.work);
     }
 
 private:
@@ -106,7 +106,7 @@
 void upstream_driver::attach(gate& gate)
 {
     gate_ = &gate;
-    watcher_ = std::thread([this] { watch(); });
+    poll_thread_ = std::thread([this] { watch(); });
 }
 
 void upstream_driver::start(const run_order& order)
@@ -116,15 +116,15 @@
     {
         const std::scoped_lock lock(mutex_);
         if (active_.empty()) {
-            look_now_ = true;
-            changed_.notify_all();
+            poll_now_ = true;
+            wake_up_.notify_all();
         }
         active_[order.work] = active;
     }
     // Guards against a stop() that came before the run was added to active_
-    // and so had no effect. The gate then no longer wants the work item.
+    // and so had no effect. The gate does not need the run any more then.
     if (!gate_->wanted(order.work)) {
-        forget(order.work);
+        remove_run(order.work);
         return;
     }
     // NOLINTNEXTLINE(cppcoreguidelines-owning-memory): deletes itself
@@ -133,7 +133,7 @@
         threads_.start(*task);
         (void)task.release();
     } catch (const Poco::NoThreadAvailableException&) {
-        forget(order.work);
+        remove_run(order.work);
         gate_->run_failed(
             order.work,
             not_run(refusal_reason::queue_full,
@@ -162,19 +162,19 @@
         stopping_ = true;
         for (const auto& [work, active] : active_)
             active->cancel.cancel();
-        changed_.notify_all();
+        wake_up_.notify_all();
     }
     threads_.joinAll();
-    if (watcher_.joinable())
-        watcher_.join();
+    if (poll_thread_.joinable())
+        poll_thread_.join();
 }
 
-order_result upstream_driver::give(const engine_order& order)
+order_result upstream_driver::send_order(const engine_order& order)
 {
-    const auto given = engine_.order(order);
-    if (given)
+    const auto sent = engine_.order(order);
+    if (sent)
         return order_result::done;
-    switch (given.error().status) {
+    switch (sent.error().status) {
     case http_conflict:
         return order_result::old_number;
     case http_too_many_requests:
@@ -212,24 +212,24 @@
     }
     const engine_events events{[this, &order](const std::string& text) {
         const auto now = clock_();
-        heard_at_ = now;
+        last_token_at_ = now;
         gate_->token_made(order.work, text, now);
     }};
     const auto result = engine_.run(request, events, active.cancel);
     if (result)
         gate_->finished(order.work, result->finish_reason, clock_());
     else
-        generation_failed(order, result.error());
+        handle_generation_failure(order, result.error());
 }
 
-void upstream_driver::generation_failed(const run_order& order,
-                                        const engine_error& error)
+void upstream_driver::handle_generation_failure(const run_order& order,
+                                                const engine_error& error)
 {
     // A lost engine can make the request a suspect; a failure of only this run
     // does not. The engine is polled at once to tell the two cases apart.
-    if (hints_at_loss(error.failure) && gate_->wanted(order.work) &&
-        !look_at_engine()) {
-        engine_is_lost();
+    if (may_be_engine_loss(error.failure) && gate_->wanted(order.work) &&
+        !poll_engine()) {
+        handle_engine_loss();
         return;
     }
     gate_->run_failed(order.work, refusal_of(error), clock_());
@@ -253,7 +253,7 @@
         gate_->run_failed(order.work, refusal_of(result.error()), clock_());
 }
 
-void upstream_driver::forget(work_id work)
+void upstream_driver::remove_run(work_id work)
 {
     const std::scoped_lock lock(mutex_);
     active_.erase(work);
@@ -266,20 +266,20 @@
         return;
     }
     while (!stopping()) {
-        if (!take_over()) {
-            pause(settings_.busy_probe);
+        if (!initialize_engine()) {
+            pause(settings_.busy_poll_interval);
             continue;
         }
-        while (!stopping() && (look_at_engine() || heard_lately()))
-            rest();
+        while (!stopping() && (poll_engine() || received_token_recently()))
+            wait_for_next_poll();
         if (!stopping())
-            engine_is_lost();
+            handle_engine_loss();
     }
 }
 
-bool upstream_driver::look_at_engine()
+bool upstream_driver::poll_engine()
 {
-    const auto load = engine_.load(clock_() + settings_.probe_timeout);
+    const auto load = engine_.load(clock_() + settings_.poll_timeout);
     if (!load)
         return false;
     {
@@ -293,22 +293,23 @@
 }
 
 /** An engine that sends tokens is alive even if it doesn't answer polls. */
-bool upstream_driver::heard_lately() const
+bool upstream_driver::received_token_recently() const
 {
     const std::scoped_lock lock(mutex_);
-    return epoch_ != 0 && clock_() - heard_at_.load() < settings_.busy_probe;
+    return epoch_ != 0 &&
+           clock_() - last_token_at_.load() < settings_.busy_poll_interval;
 }
 
-void upstream_driver::rest()
+void upstream_driver::wait_for_next_poll()
 {
     const bool busy = gate_->load(clock_()).running() > 0;
-    const bool woken =
-        pause(busy ? settings_.busy_probe : settings_.idle_probe);
+    const bool woken = pause(busy ? settings_.busy_poll_interval
+                                  : settings_.idle_poll_interval);
     // Guards against late detection of an engine that freezes just after it
     // starts its first run: without this wait the next poll would come only
     // after the idle interval.
     if (woken && !busy)
-        pause(settings_.busy_probe);
+        pause(settings_.busy_poll_interval);
 }
 
 /**
@@ -318,23 +319,24 @@
  * work. If some runs don't end in time, the driver reports the engine's used
  * memory as used by work outside this process.
  */
-bool upstream_driver::take_over()
+bool upstream_driver::initialize_engine()
 {
-    const auto patience = clock_() + cancel_patience;
-    auto runs = engine_.runs(clock_() + settings_.probe_timeout);
-    while (runs && !runs->empty() && clock_() < patience && !stopping()) {
+    const auto cancel_deadline = clock_() + cancel_timeout;
+    auto runs = engine_.runs(clock_() + settings_.poll_timeout);
+    while (runs && !runs->empty() && clock_() < cancel_deadline &&
+           !stopping()) {
         for (const auto& id : *runs)
-            (void)engine_.cancel(id, clock_() + settings_.probe_timeout);
-        pause(cancel_poll);
-        runs = engine_.runs(clock_() + settings_.probe_timeout);
+            (void)engine_.cancel(id, clock_() + settings_.poll_timeout);
+        pause(cancel_poll_interval);
+        runs = engine_.runs(clock_() + settings_.poll_timeout);
     }
     if (!runs)
         return false;
-    std::uint64_t foreign_tokens = 0;
+    std::uint64_t external_tokens = 0;
     if (!runs->empty()) {
-        const auto load = engine_.load(clock_() + settings_.probe_timeout);
+        const auto load = engine_.load(clock_() + settings_.poll_timeout);
         if (load)
-            foreign_tokens = load->memory_tokens_used;
+            external_tokens = load->memory_tokens_used;
     }
     {
         const std::scoped_lock lock(mutex_);
@@ -343,21 +345,21 @@
     log_event(log_severity::info, log_event_name::upstream_recovered,
               {{log_key::address, settings_.address},
                {log_key::incarnation, engine_.epoch()}});
-    gate_->engine_ready(foreign_tokens, clock_());
+    gate_->engine_ready(external_tokens, clock_());
     if (engine_started_)
         engine_started_();
     return true;
 }
 
-void upstream_driver::engine_is_lost()
+void upstream_driver::handle_engine_loss()
 {
     {
         const std::scoped_lock lock(mutex_);
         if (epoch_ == 0)
             return;
         epoch_ = 0;
-        look_now_ = true;
-        changed_.notify_all();
+        poll_now_ = true;
+        wake_up_.notify_all();
     }
     log_event(log_severity::warning, log_event_name::upstream_lost,
               {{log_key::address, settings_.address}});
@@ -367,9 +369,9 @@
 bool upstream_driver::pause(milliseconds pause)
 {
     std::unique_lock lock(mutex_);
-    const bool woken = changed_.wait_for(
-        lock, pause, [this] { return stopping_ || look_now_; });
-    look_now_ = false;
+    const bool woken = wake_up_.wait_for(
+        lock, pause, [this] { return stopping_ || poll_now_; });
+    poll_now_ = false;
     return woken;
 }
 
--- a/src/libcyclamenrun/agent/upstream_driver.hpp
+++ b/src/libcyclamenrun/agent/upstream_driver.hpp
@@ -27,10 +27,10 @@
     std::uint32_t max_running = 64;
     http_limits http;
     /** Interval between polls of an engine without runs. */
-    milliseconds idle_probe{5'000};
+    milliseconds idle_poll_interval{5'000};
     /** Interval between polls of an engine that has runs or doesn't answer. */
-    milliseconds busy_probe{1'000};
-    milliseconds probe_timeout{2'000};
+    milliseconds busy_poll_interval{1'000};
+    milliseconds poll_timeout{2'000};
 };
 
 /**
@@ -54,7 +54,7 @@
     void shut_down();
 
     /** Sends an order to the engine and waits for the answer. */
-    order_result give(const engine_order& order);
+    order_result send_order(const engine_order& order);
     /** Sets a hook that the polling thread calls when the engine is ready. */
     void on_engine_started(std::function<void()> hook);
 
@@ -68,20 +68,21 @@
     void run(const run_order& order, active_run& active);
     void run_generation(const run_order& order, active_run& active);
     void run_call(const run_order& order, active_run& active);
-    void generation_failed(const run_order& order, const engine_error& error);
-    void forget(work_id work);
+    void handle_generation_failure(const run_order& order,
+                                   const engine_error& error);
+    void remove_run(work_id work);
 
     void watch();
-    bool take_over();
+    bool initialize_engine();
     /** False if the engine does not answer, or has restarted. */
-    bool look_at_engine();
-    bool heard_lately() const;
+    bool poll_engine();
+    bool received_token_recently() const;
     /** Waits until the next poll of the engine is due. */
-    void rest();
+    void wait_for_next_poll();
     /** Waits; returns true if woken before the time is up. */
     bool pause(milliseconds pause);
     bool stopping() const;
-    void engine_is_lost();
+    void handle_engine_loss();
 
     upstream_driver_settings settings_;
     clock_function clock_;
@@ -90,16 +91,16 @@
     gate* gate_ = nullptr;
 
     mutable std::mutex mutex_;
-    std::condition_variable changed_;
+    std::condition_variable wake_up_;
     std::unordered_map<work_id, std::shared_ptr<active_run>> active_;
     std::uint64_t epoch_ = 0; // the engine's epoch; 0: no engine
     bool stopping_ = false;
-    bool look_now_ = false;
+    bool poll_now_ = false;
     std::function<void()> engine_started_;
-    std::atomic<time_point> heard_at_{time_point{}};
+    std::atomic<time_point> last_token_at_{time_point{}};
 
     Poco::ThreadPool threads_;
-    std::thread watcher_;
+    std::thread poll_thread_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/entry/caller_http_handler.cpp
+++ b/src/libcyclamenrun/entry/caller_http_handler.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view services_prefix = "/v1/services/";
 constexpr std::string_view calls_suffix = "/calls";
 constexpr std::string_view tickets_suffix = "/tickets";
-constexpr std::size_t longest_caller_id = 128;
+constexpr std::size_t max_caller_id_bytes = 128;
 
 std::string header(const Poco::Net::HTTPServerRequest& request,
                    const std::string& name)
@@ -58,10 +58,11 @@
  * The request id in the response: the caller's own id if it is printable and
  * short, otherwise the generated one.
  */
-std::string shown_request_id(const std::string& callers_id,
-                             const std::string& own_id)
+std::string response_request_id(const std::string& caller_id,
+                                const std::string& generated_id)
 {
-    return is_usable_id(callers_id, longest_caller_id) ? callers_id : own_id;
+    return is_usable_id(caller_id, max_caller_id_bytes) ? caller_id
+                                                        : generated_id;
 }
 
 } // namespace
@@ -75,8 +76,8 @@
 void caller_http_handler::handleRequest(http_request& request,
                                         http_response& response)
 {
-    request_id_ = shown_request_id(header(request, "X-Request-Id"),
-                                   std::to_string(random_u64()));
+    request_id_ = response_request_id(header(request, "X-Request-Id"),
+                                      std::to_string(random_u64()));
     const http_write_limit limit(request, response, limits_.write_timeout);
     outcome<void> handled;
     try {
@@ -201,10 +202,10 @@
               {{log_key::request_id, request_id_},
                {log_key::team, minted->team()},
                {log_key::upstream, minted->upstream()}});
-    const auto life = core_.settings().ticket_life.count();
+    const auto lifetime = core_.settings().ticket_lifetime.count();
     const auto body =
         "{\"ticket\":" + json_quoted(ticket_authority::to_text(*minted)) +
-        ",\"expires_in_ms\":" + std::to_string(life) + "}";
+        ",\"expires_in_ms\":" + std::to_string(lifetime) + "}";
     response.setContentType("application/json");
     response.sendBuffer(body.data(), body.size());
     return {};
--- a/src/libcyclamenrun/entry/caller_request.cpp
+++ b/src/libcyclamenrun/entry/caller_request.cpp
@@ -18,10 +18,10 @@
 constexpr std::uint32_t default_max_prompt_tokens = 131072;
 constexpr std::size_t bytes_per_token = 4;
 constexpr std::size_t tokens_per_block = 64;
-constexpr std::size_t most_prefix_blocks = 64;
-constexpr std::size_t longest_callers_id = 64;
+constexpr std::size_t max_prefix_blocks = 64;
+constexpr std::size_t max_caller_id_bytes = 64;
 
-refusal bad(std::string detail)
+refusal invalid_request(std::string detail)
 {
     return not_run(refusal_reason::bad_request, std::move(detail));
 }
@@ -31,55 +31,57 @@
  * printable and short, so that the logs of all processes can be searched for
  * the caller's id.
  */
-std::string draw_request_id(const std::string& callers_id)
+std::string make_request_id(const std::string& caller_id)
 {
     const auto unique = std::to_string(random_u64());
-    return is_usable_id(callers_id, longest_callers_id)
-               ? callers_id + '~' + unique
+    return is_usable_id(caller_id, max_caller_id_bytes)
+               ? caller_id + '~' + unique
                : unique;
 }
 
 outcome<time_point> deadline_of(const caller_headers& headers,
-                                milliseconds by_default,
+                                milliseconds default_value,
                                 const caller_limits& limits, time_point now)
 {
     if (headers.deadline_ms.empty())
-        return now + by_default;
+        return now + default_value;
     std::int64_t left = 0;
     const auto* end = headers.deadline_ms.data() + headers.deadline_ms.size();
     const auto read = std::from_chars(headers.deadline_ms.data(), end, left);
     if (read.ec != std::errc{} || read.ptr != end)
-        return tl::unexpected(bad("X-Deadline-Ms must be a whole number"));
+        return tl::unexpected(
+            invalid_request("X-Deadline-Ms must be a whole number"));
     if (left <= 0)
         return tl::unexpected(not_run(refusal_reason::deadline_passed,
                                       "X-Deadline-Ms must be positive"));
-    return now + std::min(milliseconds(left), limits.longest_deadline);
+    return now + std::min(milliseconds(left), limits.max_deadline);
 }
 
-outcome<bool> flag_of(const std::string& value, bool by_default,
+outcome<bool> flag_of(const std::string& value, bool default_value,
                       const char* name)
 {
     if (value.empty())
-        return by_default;
+        return default_value;
     if (value == "true" || value == "false")
         return value == "true";
-    return tl::unexpected(bad(std::string(name) + " must be true or false"));
+    return tl::unexpected(
+        invalid_request(std::string(name) + " must be true or false"));
 }
 
 /** Sets whether the request is idempotent, and its deadline. */
-outcome<void> read_terms(const caller_headers& headers,
-                         const v1::Service& service,
-                         const caller_limits& limits, bool idempotent,
-                         time_point now, relay_request& request)
+outcome<void> set_execution_terms(const caller_headers& headers,
+                                  const v1::Service& service,
+                                  const caller_limits& limits, bool idempotent,
+                                  time_point now, relay_request& request)
 {
     const auto flag = flag_of(headers.idempotent, idempotent, "X-Idempotent");
     if (!flag)
         return tl::unexpected(flag.error());
     request.idempotent = *flag;
-    const auto by_default = service.default_deadline_ms() > 0
-                                ? milliseconds(service.default_deadline_ms())
-                                : limits.default_deadline;
-    const auto deadline = deadline_of(headers, by_default, limits, now);
+    const auto default_value = service.default_deadline_ms() > 0
+                                   ? milliseconds(service.default_deadline_ms())
+                                   : limits.default_deadline;
+    const auto deadline = deadline_of(headers, default_value, limits, now);
     if (!deadline)
         return tl::unexpected(deadline.error());
     request.deadline = *deadline;
@@ -110,12 +112,12 @@
 {
     if (!body.has("max_tokens"))
         return 0U;
-    const auto asked = json_u64(body, "max_tokens");
-    if (!asked || *asked == 0 ||
-        *asked > std::numeric_limits<std::uint32_t>::max())
+    const auto requested = json_u64(body, "max_tokens");
+    if (!requested || *requested == 0 ||
+        *requested > std::numeric_limits<std::uint32_t>::max())
         return tl::unexpected(
-            bad("max_tokens must be a whole number, 1 or more"));
-    return static_cast<std::uint32_t>(*asked);
+            invalid_request("max_tokens must be a whole number, 1 or more"));
+    return static_cast<std::uint32_t>(*requested);
 }
 
 outcome<bool> stream_of(const Poco::JSON::Object& body)
@@ -124,7 +126,7 @@
         return false;
     const auto value = body.get("stream");
     if (!value.isBoolean())
-        return tl::unexpected(bad("stream must be true or false"));
+        return tl::unexpected(invalid_request("stream must be true or false"));
     return value.convert<bool>();
 }
 
@@ -136,8 +138,8 @@
         return delivery_mode::whole;
     if (header == "stream" && stream)
         return delivery_mode::stream;
-    return tl::unexpected(
-        bad("X-Delivery must be whole, or stream if the body sets stream"));
+    return tl::unexpected(invalid_request(
+        "X-Delivery must be whole, or stream if the body sets stream"));
 }
 
 /** Sets `max_tokens` in the body, so that the engine enforces our limit. */
@@ -150,10 +152,10 @@
 
 } // namespace
 
-bool is_usable_id(const std::string& callers_id, std::size_t longest)
+bool is_usable_id(const std::string& caller_id, std::size_t max_bytes)
 {
-    return !callers_id.empty() && callers_id.size() <= longest &&
-           std::all_of(callers_id.begin(), callers_id.end(), [](char letter) {
+    return !caller_id.empty() && caller_id.size() <= max_bytes &&
+           std::all_of(caller_id.begin(), caller_id.end(), [](char letter) {
                return letter > ' ' && letter < 127;
            });
 }
@@ -169,7 +171,7 @@
     std::vector<std::uint64_t> blocks;
     std::uint64_t chain = 0;
     for (std::size_t start = 0; start + block_bytes <= prompt.size() &&
-                                blocks.size() < most_prefix_blocks;
+                                blocks.size() < max_prefix_blocks;
          start += block_bytes) {
         chain = hash64({prompt.data() + start, block_bytes}, chain);
         blocks.push_back(chain);
@@ -183,21 +185,22 @@
 {
     const auto object = parse_json_object(body);
     if (!object)
-        return tl::unexpected(bad("the body is not a JSON object"));
+        return tl::unexpected(invalid_request("the body is not a JSON object"));
     completion_body parsed;
     const auto service = json_string(*object, "model");
     if (!service)
-        return tl::unexpected(bad("model must be the name of a service"));
+        return tl::unexpected(
+            invalid_request("model must be the name of a service"));
     parsed.service = *service;
 
     const auto prompt = shape == completion_shape::chat
                             ? prompt_of_messages(*object)
                             : json_string(*object, "prompt");
     if (!prompt)
-        return tl::unexpected(
-            bad(shape == completion_shape::chat
-                    ? "messages must be a list of objects with role and content"
-                    : "prompt must be a string"));
+        return tl::unexpected(invalid_request(
+            shape == completion_shape::chat
+                ? "messages must be a list of objects with role and content"
+                : "prompt must be a string"));
     if (prompt->size() > limits.max_prompt_bytes)
         return tl::unexpected(
             not_run(refusal_reason::too_large, "the prompt is too large"));
@@ -222,28 +225,30 @@
 {
     if (service.kind() != v1::SERVICE_KIND_MODEL)
         return tl::unexpected(
-            bad("this service accepts calls, not completions"));
-    const auto most_prompt = service.max_prompt_tokens() > 0
-                                 ? service.max_prompt_tokens()
-                                 : default_max_prompt_tokens;
-    const auto most_output = service.max_output_tokens() > 0
-                                 ? service.max_output_tokens()
-                                 : default_max_output_tokens;
+            invalid_request("this service accepts calls, not completions"));
+    const auto prompt_token_limit = service.max_prompt_tokens() > 0
+                                        ? service.max_prompt_tokens()
+                                        : default_max_prompt_tokens;
+    const auto output_token_limit = service.max_output_tokens() > 0
+                                        ? service.max_output_tokens()
+                                        : default_max_output_tokens;
     relay_request request;
-    request.id = draw_request_id(headers.request_id);
+    request.id = make_request_id(headers.request_id);
     request.prompt_tokens = estimate_tokens(parsed.prompt.size());
-    if (request.prompt_tokens > most_prompt)
+    if (request.prompt_tokens > prompt_token_limit)
         return tl::unexpected(not_run(refusal_reason::too_large,
                                       "the prompt has too many tokens"));
-    request.max_output_tokens = parsed.max_tokens == 0
-                                    ? most_output
-                                    : std::min(parsed.max_tokens, most_output);
+    request.max_output_tokens =
+        parsed.max_tokens == 0
+            ? output_token_limit
+            : std::min(parsed.max_tokens, output_token_limit);
 
     const auto delivery = delivery_of(headers.delivery, parsed.stream);
     if (!delivery)
         return tl::unexpected(delivery.error());
     request.delivery = *delivery;
-    const auto terms = read_terms(headers, service, limits, true, now, request);
+    const auto terms =
+        set_execution_terms(headers, service, limits, true, now, request);
     if (!terms)
         return tl::unexpected(terms.error());
 
@@ -265,13 +270,13 @@
 {
     if (service.kind() != v1::SERVICE_KIND_APPLICATION)
         return tl::unexpected(
-            bad("this service accepts completions, not calls"));
+            invalid_request("this service accepts completions, not calls"));
     if (!parse_json_object(body))
-        return tl::unexpected(bad("the body is not a JSON object"));
+        return tl::unexpected(invalid_request("the body is not a JSON object"));
     relay_request request;
-    request.id = draw_request_id(headers.request_id);
+    request.id = make_request_id(headers.request_id);
     const auto terms =
-        read_terms(headers, service, limits, false, now, request);
+        set_execution_terms(headers, service, limits, false, now, request);
     if (!terms)
         return tl::unexpected(terms.error());
     if (!headers.ticket.empty()) {
@@ -296,13 +301,13 @@
     const auto position = parse_stream_position(headers.last_event_id);
     if (!position)
         return tl::unexpected(
-            bad("Last-Event-ID is not a position in a stream"));
+            invalid_request("Last-Event-ID is not a position in a stream"));
     const auto deadline =
         deadline_of(headers, limits.default_deadline, limits, now);
     if (!deadline)
         return tl::unexpected(deadline.error());
     relay_request request;
-    request.id = draw_request_id(headers.request_id);
+    request.id = make_request_id(headers.request_id);
     request.deadline = *deadline;
     request.resume_after = *position;
     return request;
--- a/src/libcyclamenrun/entry/caller_request.hpp
+++ b/src/libcyclamenrun/entry/caller_request.hpp
@@ -28,7 +28,7 @@
 struct caller_limits {
     std::size_t max_prompt_bytes = std::size_t{512} << 10U;
     milliseconds default_deadline{600'000};
-    milliseconds longest_deadline{3'600'000};
+    milliseconds max_deadline{3'600'000};
 };
 
 /** The format of a generation request and of its response. */
@@ -65,9 +65,9 @@
 
 /**
  * True if the id is printable ASCII without spaces, not empty, and not longer
- * than `longest`.
+ * than `max_bytes`.
  */
-bool is_usable_id(const std::string& callers_id, std::size_t longest);
+bool is_usable_id(const std::string& caller_id, std::size_t max_bytes);
 
 /** Estimates a prompt's tokens; the entry has no tokenizer of the engine. */
 std::uint32_t estimate_tokens(std::size_t bytes);
--- a/src/libcyclamenrun/entry/entry_core.cpp
+++ b/src/libcyclamenrun/entry/entry_core.cpp
@@ -15,17 +15,17 @@
 namespace
 {
 
-constexpr milliseconds not_ready_pause{1000};
-constexpr std::size_t news_shards = 16;
-constexpr std::size_t most_agents_asked = 24;
+constexpr milliseconds not_ready_retry_delay{1000};
+constexpr std::size_t agent_state_shards = 16;
+constexpr std::size_t max_agents_queried = 24;
 /** Number of entries that send a new agent its first configuration. */
-constexpr std::uint64_t first_bringers = 3;
+constexpr std::uint64_t first_configuration_senders = 3;
 /**
  * After this number of replies without a configuration, any entry sends the
  * configuration to the agent.
  */
-constexpr int patient_replies = 3;
-constexpr milliseconds fresh_agent_wait{500};
+constexpr int max_empty_replies = 3;
+constexpr milliseconds new_agent_wait{500};
 
 agent_address address_of(const candidate& agent)
 {
@@ -37,10 +37,10 @@
 {
     return not_run(refusal_reason::not_ready,
                    "this entry has no configuration yet, or is stopping",
-                   not_ready_pause);
+                   not_ready_retry_delay);
 }
 
-objective goal_of(const caller_session& caller, const std::string& service)
+objective objective_of(const caller_session& caller, const std::string& service)
 {
     const auto* found = caller.view->resources.service(service);
     return found != nullptr && found->objective() == v1::OBJECTIVE_TOKEN_LATENCY
@@ -55,10 +55,11 @@
                        clock_function clock)
     : settings_(settings), clock_(std::move(clock)),
       teams_(settings_.retry_share), routes_(settings_.routes),
-      poison_(settings_.poison_capacity, settings_.poison_life),
+      poison_(settings_.poison_capacity, settings_.poison_mark_lifetime),
       tickets_(settings_.link_key),
-      news_(news_shards,
-            [](std::size_t) { return std::make_unique<agent_news_map>(); }),
+      agent_states_(
+          agent_state_shards,
+          [](std::size_t) { return std::make_unique<agent_state_map>(); }),
       links_(loops, settings_.link_key, link_limits{},
              {[this](const std::string& upstream) {
                   return make_heartbeat(upstream);
@@ -77,7 +78,7 @@
                   {{log_key::revision, revision}});
         if (const auto view = configuration_.view())
             teams_.on_configuration(*view);
-        tell_agents();
+        send_heartbeats();
     });
 }
 
@@ -135,7 +136,7 @@
             result.refused = allowed.error();
     }
     if (result.refused) {
-        result.caller_gone = !writer.refuse(*result.refused);
+        result.caller_disconnected = !writer.refuse(*result.refused);
         return result;
     }
     ++active_;
@@ -172,11 +173,12 @@
         return tl::unexpected(
             not_run(refusal_reason::no_upstream,
                     "the agent was replaced while the ticket was made",
-                    not_ready_pause));
-    const auto life = static_cast<std::uint64_t>(settings_.ticket_life.count());
+                    not_ready_retry_delay));
+    const auto lifetime =
+        static_cast<std::uint64_t>(settings_.ticket_lifetime.count());
     return tickets_.mint({target->upstream, target->incarnation,
                           caller.team->name(), service.name(),
-                          clock->uptime_ms + life});
+                          clock->uptime_ms + lifetime});
 }
 
 relay_hooks entry_core::relay_hooks_for(const caller_session& caller)
@@ -185,7 +187,7 @@
     hooks.choose = [this, caller](const relay_request& request,
                                   const std::vector<std::string>& excluded,
                                   bool suspect, time_point now) {
-        return routes_.choose(request, goal_of(caller, request.service),
+        return routes_.choose(request, objective_of(caller, request.service),
                               excluded, suspect, now);
     };
     hooks.spend_retry = [this](const std::string& team, time_point) {
@@ -201,7 +203,7 @@
     hooks.engine_lost = [this](std::uint64_t fingerprint, std::uint64_t loss,
                                time_point now) {
         poison_.engine_lost(fingerprint, loss, now);
-        tell_agents();
+        send_heartbeats();
     };
     return hooks;
 }
@@ -209,7 +211,7 @@
 relay_runner_hooks entry_core::runner_hooks(const std::string& service)
 {
     relay_runner_hooks hooks;
-    hooks.find =
+    hooks.find_agent =
         [this](const std::string& upstream) -> std::optional<agent_address> {
         const auto known = routes_.members().find(upstream);
         if (!known)
@@ -220,13 +222,13 @@
                               const std::string& upstream) {
         routes_.dispatched(request, upstream, clock_());
     };
-    hooks.settled = [this, service](const std::string& upstream) {
+    hooks.completed = [this, service](const std::string& upstream) {
         routes_.settled(service, upstream, clock_());
     };
     hooks.load = [this](const link::LoadReport& load) {
         routes_.report(load, clock_());
     };
-    hooks.made = [this](const std::string& team, std::uint64_t tokens) {
+    hooks.tokens_sent = [this](const std::string& team, std::uint64_t tokens) {
         teams_.output(team, tokens);
     };
     return hooks;
@@ -238,7 +240,7 @@
     members.on_list(list, clock_());
     entries_ = members.entries().size();
     teams_.on_entries(entries_);
-    forget_unlisted(list);
+    remove_unlisted_vms(list);
     std::vector<agent_address> agents;
     for (const auto& agent : members.subset())
         agents.push_back(address_of(agent));
@@ -246,7 +248,7 @@
 }
 
 /** Removes VMs that left the list, so no wait for all revisions blocks. */
-void entry_core::forget_unlisted(const vm_list& list)
+void entry_core::remove_unlisted_vms(const vm_list& list)
 {
     std::set<std::string> listed;
     for (const auto& each : list.vms)
@@ -259,45 +261,46 @@
     listed_ = std::move(listed);
 }
 
-outcome<std::string> entry_core::ask_agent(const std::string& upstream,
-                                           const std::string& path,
-                                           const std::string& frame,
-                                           time_point deadline)
+outcome<std::string> entry_core::query_agent(const std::string& upstream,
+                                             const std::string& path,
+                                             const std::string& frame,
+                                             time_point deadline)
 {
     const auto agent = routes_.members().find(upstream);
     if (!agent)
         return tl::unexpected(not_run(refusal_reason::no_upstream,
                                       "no upstream with this name is listed"));
-    const auto answer = ask(address_of(*agent), path, frame)->wait(deadline);
+    const auto answer =
+        send_query(address_of(*agent), path, frame)->wait(deadline);
     if (!answer)
         return tl::unexpected(outcome_unknown(
             refusal_reason::agent_lost, "the agent did not answer in time"));
     return *answer;
 }
 
-std::shared_ptr<agent_question> entry_core::ask(const agent_address& agent,
-                                                const std::string& path,
-                                                const std::string& frame)
+std::shared_ptr<agent_question>
+entry_core::send_query(const agent_address& agent, const std::string& path,
+                       const std::string& frame)
 {
-    auto question = std::make_shared<agent_question>();
-    question->asked_by(links_.open(agent, path, frame, question->handlers()));
-    return question;
+    auto query = std::make_shared<agent_question>();
+    query->asked_by(links_.open(agent, path, frame, query->handlers()));
+    return query;
 }
 
-void entry_core::gather_entry_revisions(time_point deadline)
+void entry_core::collect_entry_revisions(time_point deadline)
 {
     // Each entry sends heartbeats to many agents, so a few agents, spread over
     // all services, know every entry. Querying all agents would transfer
     // megabytes per call.
-    std::vector<std::shared_ptr<agent_question>> questions;
+    std::vector<std::shared_ptr<agent_question>> queries;
     const auto agents = routes_.members().subset();
     const auto stride =
-        std::max<std::size_t>(1, agents.size() / most_agents_asked);
+        std::max<std::size_t>(1, agents.size() / max_agents_queried);
     for (std::size_t i = 0; i < agents.size(); i += stride)
-        questions.push_back(ask(address_of(agents[i]), "/revisions", {}));
-    for (const auto& question : questions) {
+        queries.push_back(send_query(address_of(agents[i]), "/revisions", {}));
+    for (const auto& query : queries) {
         v1::ListRevisionsResponse response;
-        const auto answer = question->wait(deadline);
+        const auto answer = query->wait(deadline);
         if (!answer || !response.ParseFromString(*answer))
             continue;
         for (const auto& row : response.processes())
@@ -313,24 +316,24 @@
     heartbeat.set_entry(settings_.name);
     heartbeat.set_failure_domain(settings_.routes.own_failure_domain);
     heartbeat.set_config_revision(configuration_.revision());
-    const auto known = news_.with(
-        upstream, [&](agent_news_map& news) { return news[upstream]; });
+    const auto known = agent_states_.with(
+        upstream, [&](agent_state_map& states) { return states[upstream]; });
     heartbeat.set_known_change(known.load_change);
     heartbeat.set_known_revision(known.revision);
-    heartbeat.set_wait_ms(static_cast<std::uint64_t>(wait_for(known).count()));
-    if (configuration_.ready() && brings_configuration(upstream, known))
+    heartbeat.set_wait_ms(
+        static_cast<std::uint64_t>(heartbeat_wait(known).count()));
+    if (configuration_.ready() && should_send_configuration(upstream, known))
         heartbeat.set_config_delta(
             configuration_.delta_after(known.revision).SerializeAsString());
     poison_.write_marks(upstream, heartbeat);
     return heartbeat;
 }
 
-milliseconds entry_core::wait_for(const agent_news& known) const
+milliseconds entry_core::heartbeat_wait(const agent_state& known) const
 {
-    if (!known.heard)
+    if (!known.has_replied)
         return milliseconds(0);
-    return known.revision == 0 ? fresh_agent_wait
-                               : settings_.heartbeat_interval;
+    return known.revision == 0 ? new_agent_wait : settings_.heartbeat_interval;
 }
 
 /**
@@ -339,15 +342,16 @@
  * one agent would cost a hundred copies. A few entries send it at once; the
  * others send it only if the agent still has none after several replies.
  */
-bool entry_core::brings_configuration(const std::string& upstream,
-                                      const agent_news& known) const
+bool entry_core::should_send_configuration(const std::string& upstream,
+                                           const agent_state& known) const
 {
-    if (!known.heard || known.revision >= configuration_.revision())
+    if (!known.has_replied || known.revision >= configuration_.revision())
         return false;
-    if (known.revision > 0 || known.empty_replies >= patient_replies)
+    if (known.revision > 0 || known.empty_replies >= max_empty_replies)
         return true;
     const auto draw = hash64(settings_.name, hash64(upstream));
-    return draw % std::max<std::size_t>(1, entries_) < first_bringers;
+    return draw % std::max<std::size_t>(1, entries_) <
+           first_configuration_senders;
 }
 
 void entry_core::on_heartbeat(const std::string& upstream,
@@ -357,12 +361,12 @@
     routes_.members().on_connected(upstream);
     routes_.report(reply.load(), now);
     poison_.read_marks(upstream, reply, now);
-    news_.with(upstream, [&](agent_news_map& news) {
-        auto& told = news[upstream];
-        told.heard = true;
-        told.load_change = reply.load_change();
-        told.revision = reply.config_revision();
-        told.empty_replies = told.revision == 0 ? told.empty_replies + 1 : 0;
+    agent_states_.with(upstream, [&](agent_state_map& states) {
+        auto& state = states[upstream];
+        state.has_replied = true;
+        state.load_change = reply.load_change();
+        state.revision = reply.config_revision();
+        state.empty_replies = state.revision == 0 ? state.empty_replies + 1 : 0;
     });
     const auto agent = routes_.members().find(upstream);
     if (agent)
@@ -404,7 +408,7 @@
     log_event(log_severity::warning, log_event_name::poison_marked,
               {{log_key::upstream, agent.upstream},
                {log_key::incarnation, agent.incarnation}});
-    tell_agents();
+    send_heartbeats();
 }
 
 /**
@@ -413,7 +417,7 @@
  * poison mark by then, and a configuration change must be in force everywhere
  * within seconds.
  */
-void entry_core::tell_agents()
+void entry_core::send_heartbeats()
 {
     for (const auto& agent : routes_.members().subset()) {
         auto heartbeat = make_heartbeat(agent.upstream);
@@ -440,8 +444,8 @@
     }
     log_event(
         log_severity::info,
-        result.caller_gone ? log_event_name::request_cancelled
-                           : log_event_name::request_finished,
+        result.caller_disconnected ? log_event_name::request_cancelled
+                                   : log_event_name::request_finished,
         {{log_key::request_id, request.id},
          {log_key::team, request.team},
          {log_key::service, request.service},
--- a/src/libcyclamenrun/entry/entry_core.hpp
+++ b/src/libcyclamenrun/entry/entry_core.hpp
@@ -40,9 +40,9 @@
     caller_limits limits;
     double retry_share = 0.1;
     milliseconds heartbeat_interval{5'000};
-    milliseconds ticket_life{600'000};
+    milliseconds ticket_lifetime{600'000};
     std::size_t poison_capacity = 4096;
-    milliseconds poison_life{3'600'000};
+    milliseconds poison_mark_lifetime{3'600'000};
 };
 
 /** The caller's team and the configuration used for the whole request. */
@@ -79,19 +79,19 @@
 
     void on_vm_list(const vm_list& list);
     /** Sends one message to an agent and waits for its answer. */
-    outcome<std::string> ask_agent(const std::string& upstream,
-                                   const std::string& path,
-                                   const std::string& frame,
-                                   time_point deadline);
+    outcome<std::string> query_agent(const std::string& upstream,
+                                     const std::string& path,
+                                     const std::string& frame,
+                                     time_point deadline);
 
     /** Queries agents of the subset for the revisions in force at entries. */
-    void gather_entry_revisions(time_point deadline);
+    void collect_entry_revisions(time_point deadline);
 
     /**
      * Reports not ready, so that the load balancer sends no more requests.
      * Requests are still served.
      */
-    void start_stopping() { stopping_ = true; }
+    void mark_not_ready() { stopping_ = true; }
     /** Refuses new work; running requests continue. */
     void start_draining() { draining_ = true; }
     bool ready() const { return !stopping_ && configuration_.ready(); }
@@ -107,24 +107,24 @@
 
 private:
     /** The state that an agent reported in its last heartbeat reply. */
-    struct agent_news {
+    struct agent_state {
         std::uint64_t load_change = 0;
         std::uint64_t revision = 0;
         int empty_replies = 0; ///< consecutive, without a configuration
-        bool heard = false;
+        bool has_replied = false;
     };
-    using agent_news_map = std::unordered_map<std::string, agent_news>;
+    using agent_state_map = std::unordered_map<std::string, agent_state>;
 
     relay_hooks relay_hooks_for(const caller_session& caller);
     relay_runner_hooks runner_hooks(const std::string& service);
-    std::shared_ptr<agent_question> ask(const agent_address& agent,
-                                        const std::string& path,
-                                        const std::string& frame);
+    std::shared_ptr<agent_question> send_query(const agent_address& agent,
+                                               const std::string& path,
+                                               const std::string& frame);
     link::Heartbeat make_heartbeat(const std::string& upstream);
-    milliseconds wait_for(const agent_news& known) const;
-    bool brings_configuration(const std::string& upstream,
-                              const agent_news& known) const;
-    void forget_unlisted(const vm_list& list);
+    milliseconds heartbeat_wait(const agent_state& known) const;
+    bool should_send_configuration(const std::string& upstream,
+                                   const agent_state& known) const;
+    void remove_unlisted_vms(const vm_list& list);
     void on_heartbeat(const std::string& upstream,
                       const link::HeartbeatReply& reply);
     void on_link_failure(const std::string& upstream, link_failure failure);
@@ -132,7 +132,7 @@
                        time_point now);
     /** Sends a heartbeat with all unsent changes to each agent of the subset.
      */
-    void tell_agents();
+    void send_heartbeats();
     void log_outcome(const relay_request& request, const relay& relay,
                      const relay_result& result) const;
 
@@ -144,7 +144,7 @@
     route_table routes_;
     poison_watch poison_;
     ticket_authority tickets_;
-    sharded<agent_news_map> news_;
+    sharded<agent_state_map> agent_states_;
     metrics metrics_;
     std::atomic<std::size_t> entries_ = 1;
     std::mutex listed_mutex_;
--- a/src/libcyclamenrun/entry/entry_process.cpp
+++ b/src/libcyclamenrun/entry/entry_process.cpp
@@ -38,13 +38,13 @@
 constexpr int caller_stack_bytes = 256 * 1024;
 constexpr int operator_threads = 16;
 constexpr int idle_thread_seconds = 60;
-constexpr milliseconds log_call_limit{5'000};
+constexpr milliseconds log_call_timeout{5'000};
 /** Long enough to read from a log whose answers are 30 s late. */
-constexpr milliseconds tail_call_limit{45'000};
-constexpr milliseconds operator_deadline{10'000};
-constexpr milliseconds peer_answer_wait{1'000};
-constexpr milliseconds revisions_wait{1'000};
-constexpr milliseconds drain_poll{20};
+constexpr milliseconds tail_call_timeout{45'000};
+constexpr milliseconds operator_call_timeout{10'000};
+constexpr milliseconds peer_answer_timeout{1'000};
+constexpr milliseconds revisions_timeout{1'000};
+constexpr milliseconds drain_poll_interval{20};
 
 entry_core_settings core_settings_of(const entry_settings& settings)
 {
@@ -59,10 +59,10 @@
     core.relay.max_whole_bytes = settings.limits.answer_bytes;
     core.limits.max_prompt_bytes = settings.limits.prompt_bytes;
     core.limits.default_deadline = settings.deadlines.by_default;
-    core.limits.longest_deadline = settings.deadlines.longest;
+    core.limits.max_deadline = settings.deadlines.longest;
     core.retry_share = settings.routing.retry_share;
     core.heartbeat_interval = settings.routing.heartbeat_interval;
-    core.ticket_life = settings.ticket_lifetime;
+    core.ticket_lifetime = settings.ticket_lifetime;
     return core;
 }
 
@@ -132,7 +132,7 @@
     core_ = std::make_unique<entry_core>(core_settings_of(settings_), loops_,
                                          steady_now);
     add_dump_sections();
-    start_following();
+    start_configuration_sources();
     serve_operators();
     serve_callers();
 }
@@ -159,14 +159,14 @@
     return operators_->socket().address().toString();
 }
 
-void entry_process::start_following()
+void entry_process::start_configuration_sources()
 {
     const auto platform = to_string(settings_.platform.address);
     log_ = std::make_unique<platform_log_client>(
-        platform, settings_.platform.log, http_limits{}, log_call_limit,
+        platform, settings_.platform.log, http_limits{}, log_call_timeout,
         steady_now, &stop_log_);
     tail_log_ = std::make_unique<platform_log_client>(
-        platform, settings_.platform.log, http_limits{}, tail_call_limit,
+        platform, settings_.platform.log, http_limits{}, tail_call_timeout,
         steady_now, &stop_log_);
     logged_ = std::make_unique<logging_platform_log>(
         *log_, core_->measurements(), steady_now);
@@ -179,7 +179,7 @@
     tailer_ = std::make_unique<log_tailer>(
         *logged_tail_, store, tail_settings{}, steady_now, uniform_random());
     tailer_->write_snapshots_by(snapshots_);
-    recover_by_peers();
+    enable_peer_recovery();
     tailer_->start();
     vm_list_ = std::make_unique<vm_list_watcher>(
         platform,
@@ -197,13 +197,13 @@
  * would stay unready until the log is back, and in the end no entry would be
  * ready. New entries therefore get the configuration from agents.
  */
-void entry_process::recover_by_peers()
+void entry_process::enable_peer_recovery()
 {
     recovery_ = std::make_unique<configuration_recovery>(
         core_->configuration(), [this](const std::string& agent) {
             return core_
-                ->ask_agent(agent, "/configuration", {},
-                            steady_now() + peer_answer_wait)
+                ->query_agent(agent, "/configuration", {},
+                              steady_now() + peer_answer_timeout)
                 .value_or(std::string());
         });
     tailer_->on_trouble([this](const tail_status& tail) {
@@ -253,7 +253,7 @@
     router.add_method<v1::ApplyChangeRequest, v1::ApplyChangeResponse>(
         service, "ApplyChange", [this](const auto& request) {
             auto response = commands_->apply_change(
-                request, steady_now() + operator_deadline);
+                request, steady_now() + operator_call_timeout);
             log_change(request.change(), response);
             return response;
         });
@@ -274,7 +274,7 @@
         [this](const auto& request) { return queries_->find_change(request); });
     router.add_method<v1::ListRevisionsRequest, v1::ListRevisionsResponse>(
         service, "ListRevisions", [this](const auto& request) {
-            core_->gather_entry_revisions(steady_now() + revisions_wait);
+            core_->collect_entry_revisions(steady_now() + revisions_timeout);
             return queries_->list_revisions(request);
         });
     router.add_method<v1::DumpStateRequest, v1::DumpStateResponse>(
@@ -289,9 +289,9 @@
     // Sets a field explicitly, since a message without fields is an empty
     // frame.
     drain.set_reclaim_in_ms(0);
-    const auto answer = core_->ask_agent(request.upstream(), "/drain",
-                                         drain.SerializeAsString(),
-                                         steady_now() + operator_deadline);
+    const auto answer = core_->query_agent(
+        request.upstream(), "/drain", drain.SerializeAsString(),
+        steady_now() + operator_call_timeout);
     if (!answer)
         return tl::unexpected(answer.error());
     link::LoadReport load;
@@ -311,8 +311,8 @@
         response.set_json(dump_.write());
         return response;
     }
-    const auto answer = core_->ask_agent(request.upstream(), "/dump", {},
-                                         steady_now() + operator_deadline);
+    const auto answer = core_->query_agent(
+        request.upstream(), "/dump", {}, steady_now() + operator_call_timeout);
     if (!answer)
         return tl::unexpected(answer.error());
     response.set_json(*answer);
@@ -338,7 +338,7 @@
 bool entry_process::drain()
 {
     log_event(log_severity::info, log_event_name::drain_started);
-    core_->start_stopping();
+    core_->mark_not_ready();
     std::this_thread::sleep_for(settings_.drain.balancer_wait);
     callers_->stop();
     core_->start_draining();
@@ -349,7 +349,7 @@
                       {{log_key::running, core_->active_requests()}});
             return false;
         }
-        std::this_thread::sleep_for(drain_poll);
+        std::this_thread::sleep_for(drain_poll_interval);
     }
     log_event(log_severity::info, log_event_name::drain_finished);
     return true;
--- a/src/libcyclamenrun/entry/entry_process.hpp
+++ b/src/libcyclamenrun/entry/entry_process.hpp
@@ -56,8 +56,8 @@
     bool drain();
 
 private:
-    void start_following();
-    void recover_by_peers();
+    void start_configuration_sources();
+    void enable_peer_recovery();
     void serve_operators();
     void serve_callers();
     void add_dump_sections();
--- a/src/libcyclamenrun/entry/relay_runner.cpp
+++ b/src/libcyclamenrun/entry/relay_runner.cpp
@@ -13,7 +13,7 @@
 {
 
 /** Interval between checks whether a waiting caller has disconnected. */
-constexpr milliseconds caller_check{250};
+constexpr milliseconds caller_check_interval{250};
 
 client_handlers handlers_for(const std::shared_ptr<relay_mailbox>& mailbox,
                              stream_number stream)
@@ -35,7 +35,7 @@
  * acknowledgement may not: the caller did not get its answer and can resume,
  * so the agent must keep the answer.
  */
-bool may_follow_a_lost_caller(const relay_action& action)
+bool allowed_after_disconnect(const relay_action& action)
 {
     const auto* message = std::get_if<send_message>(&action);
     return std::holds_alternative<close_stream>(action) ||
@@ -52,28 +52,29 @@
 
 relay_result relay_runner::run(relay& relay, caller_writer& writer)
 {
-    running state{relay, writer, std::make_shared<relay_mailbox>(), {}, {}, {}};
+    run_state state{relay, writer, std::make_shared<relay_mailbox>(),
+                    {},    {},     {}};
     perform(state, relay.start(clock_()));
     while (!relay.done()) {
         const auto wake_at =
-            std::min(relay.next_event(), clock_() + caller_check);
+            std::min(relay.next_event(), clock_() + caller_check_interval);
         if (const auto event = state.mailbox->take(wake_at)) {
-            take_event(state, *event);
+            handle_event(state, *event);
         } else if (writer.gone()) {
-            state.result.caller_gone = true;
+            state.result.caller_disconnected = true;
             perform(state, relay.on_caller_gone(clock_()));
         }
         if (!relay.done() && clock_() >= relay.next_event())
             perform(state, relay.on_time(clock_()));
     }
-    settle(state);
+    record_completion(state);
     for (const auto& [number, stream] : state.streams)
         stream->cancel();
     state.result.attempts = relay.attempts();
     return state.result;
 }
 
-void relay_runner::take_event(running& state, const relay_event& event)
+void relay_runner::handle_event(run_state& state, const relay_event& event)
 {
     if (event.lost) {
         state.streams.erase(event.stream);
@@ -99,19 +100,20 @@
         stream->second->consumed(event.frame.size());
 }
 
-void relay_runner::perform(running& state, const relay_actions& actions)
+void relay_runner::perform(run_state& state, const relay_actions& actions)
 {
     for (const auto& action : actions) {
-        if (state.result.caller_gone && !may_follow_a_lost_caller(action))
+        if (state.result.caller_disconnected &&
+            !allowed_after_disconnect(action))
             return;
         std::visit([&](const auto& one) { perform(state, one); }, action);
     }
 }
 
-void relay_runner::perform(running& state, const open_stream& action)
+void relay_runner::perform(run_state& state, const open_stream& action)
 {
-    settle(state);
-    const auto agent = hooks_.find(action.upstream);
+    record_completion(state);
+    const auto agent = hooks_.find_agent(action.upstream);
     if (!agent) {
         state.mailbox->put({action.stream, true, false, {}});
         return;
@@ -126,7 +128,7 @@
         state.streams[action.stream] = stream;
 }
 
-void relay_runner::perform(running& state, const close_stream& action)
+void relay_runner::perform(run_state& state, const close_stream& action)
 {
     const auto stream = state.streams.find(action.stream);
     if (stream == state.streams.end())
@@ -135,50 +137,50 @@
     state.streams.erase(stream);
 }
 
-void relay_runner::perform(running&, const send_message& action)
+void relay_runner::perform(run_state&, const send_message& action)
 {
-    if (const auto agent = hooks_.find(action.upstream))
+    if (const auto agent = hooks_.find_agent(action.upstream))
         links_.send(*agent, action.path, action.frame);
 }
 
-void relay_runner::perform(running& state, const write_tokens& action)
+void relay_runner::perform(run_state& state, const write_tokens& action)
 {
     if (!state.result.first_token_at)
         state.result.first_token_at = clock_();
     state.result.tokens += action.texts.size();
-    hooks_.made(state.relay.request().team, action.texts.size());
+    hooks_.tokens_sent(state.relay.request().team, action.texts.size());
     if (state.writer.tokens(action))
         return;
-    state.result.caller_gone = true;
+    state.result.caller_disconnected = true;
     perform(state, state.relay.on_caller_gone(clock_()));
 }
 
-void relay_runner::perform(running& state, const write_end& action)
+void relay_runner::perform(run_state& state, const write_end& action)
 {
     if (!action.whole.empty()) {
         state.result.tokens = action.token_count;
-        hooks_.made(state.relay.request().team, action.token_count);
+        hooks_.tokens_sent(state.relay.request().team, action.token_count);
     }
     state.result.complete = state.writer.end(action);
-    state.result.caller_gone = !state.result.complete;
+    state.result.caller_disconnected = !state.result.complete;
 }
 
-void relay_runner::perform(running& state, const write_answer& action)
+void relay_runner::perform(run_state& state, const write_answer& action)
 {
     state.result.complete = state.writer.answer(action);
-    state.result.caller_gone = !state.result.complete;
+    state.result.caller_disconnected = !state.result.complete;
 }
 
-void relay_runner::perform(running& state, const write_refusal& action)
+void relay_runner::perform(run_state& state, const write_refusal& action)
 {
     state.result.refused = action.why;
-    state.result.caller_gone = !state.writer.refuse(action.why);
+    state.result.caller_disconnected = !state.writer.refuse(action.why);
 }
 
-void relay_runner::settle(running& state)
+void relay_runner::record_completion(run_state& state)
 {
     if (!state.dispatched_to.empty())
-        hooks_.settled(state.dispatched_to);
+        hooks_.completed(state.dispatched_to);
     state.dispatched_to.clear();
 }
 
--- a/src/libcyclamenrun/entry/relay_runner.hpp
+++ b/src/libcyclamenrun/entry/relay_runner.hpp
@@ -23,21 +23,22 @@
 struct relay_runner_hooks {
     /** Returns an agent's address, or nothing if the agent is not known. */
     std::function<std::optional<agent_address>(const std::string& upstream)>
-        find;
+        find_agent;
     std::function<void(const relay_request& request,
                        const std::string& upstream)>
         dispatched;
     /** The request no longer counts towards the upstream's load. */
-    std::function<void(const std::string& upstream)> settled;
+    std::function<void(const std::string& upstream)> completed;
     std::function<void(const link::LoadReport& load)> load;
     /** A number of tokens were sent to the team. */
-    std::function<void(const std::string& team, std::uint64_t tokens)> made;
+    std::function<void(const std::string& team, std::uint64_t tokens)>
+        tokens_sent;
 };
 
 /** The result of a request, for logs and metrics. */
 struct relay_result {
     bool complete = false;
-    bool caller_gone = false;
+    bool caller_disconnected = false;
     std::optional<refusal> refused;
     std::uint64_t tokens = 0;
     int attempts = 0;
@@ -57,7 +58,7 @@
     relay_result run(relay& relay, caller_writer& writer);
 
 private:
-    struct running {
+    struct run_state {
         cyclamenrun::relay& relay;
         caller_writer& writer;
         std::shared_ptr<relay_mailbox> mailbox;
@@ -66,16 +67,16 @@
         relay_result result;
     };
 
-    void perform(running& state, const relay_actions& actions);
-    void perform(running& state, const open_stream& action);
-    void perform(running& state, const close_stream& action);
-    void perform(running& state, const send_message& action);
-    void perform(running& state, const write_tokens& action);
-    void perform(running& state, const write_end& action);
-    void perform(running& state, const write_answer& action);
-    void perform(running& state, const write_refusal& action);
-    void take_event(running& state, const relay_event& event);
-    void settle(running& state);
+    void perform(run_state& state, const relay_actions& actions);
+    void perform(run_state& state, const open_stream& action);
+    void perform(run_state& state, const close_stream& action);
+    void perform(run_state& state, const send_message& action);
+    void perform(run_state& state, const write_tokens& action);
+    void perform(run_state& state, const write_end& action);
+    void perform(run_state& state, const write_answer& action);
+    void perform(run_state& state, const write_refusal& action);
+    void handle_event(run_state& state, const relay_event& event);
+    void record_completion(run_state& state);
 
     agent_links& links_;
     relay_runner_hooks hooks_;
--- a/src/libcyclamenrun/entry/team_authenticator.cpp
+++ b/src/libcyclamenrun/entry/team_authenticator.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 team_authenticator::team_authenticator(const std::vector<team_key>& keys)
-    : nobody_(make_key_hash(make_key()))
+    : unknown_team_hash_(make_key_hash(make_key()))
 {
     for (const auto& key : keys)
         hashes_.insert_or_assign(key.team, key.hash);
@@ -43,7 +43,7 @@
 const key_hash& team_authenticator::hash_of(std::string_view team) const
 {
     const auto found = hashes_.find(team);
-    return found == hashes_.end() ? nobody_ : found->second;
+    return found == hashes_.end() ? unknown_team_hash_ : found->second;
 }
 
 secret make_team_key(std::string_view team)
--- a/src/libcyclamenrun/entry/team_authenticator.hpp
+++ b/src/libcyclamenrun/entry/team_authenticator.hpp
@@ -38,7 +38,7 @@
     const key_hash& hash_of(std::string_view team) const;
 
     std::map<std::string, key_hash, std::less<>> hashes_;
-    key_hash nobody_;
+    key_hash unknown_team_hash_;
 };
 
 /** Generates a key for a team. Only the key's hash is to be stored. */
--- a/src/libcyclamenrun/entry/team_desk.cpp
+++ b/src/libcyclamenrun/entry/team_desk.cpp
@@ -6,15 +6,15 @@
 namespace
 {
 
-constexpr std::size_t shards = 8;
+constexpr std::size_t shard_count = 8;
 constexpr std::size_t max_teams_per_shard = 512;
-/** Max retries that a team can accumulate while its requests succeed. */
+/** Maximum retries that a team can accumulate while its requests succeed. */
 constexpr double retry_burst = 10.0;
-constexpr milliseconds retry_pause{1000};
+constexpr milliseconds retry_delay{1000};
 
 } // namespace
 
-team_desk::ledger::ledger(double retry_share, std::size_t max_teams)
+team_desk::limits_shard::limits_shard(double retry_share, std::size_t max_teams)
     : limiter(max_teams), retries(retry_share, retry_burst, max_teams)
 {
 }
@@ -22,8 +22,9 @@
 team_desk::team_desk(double retry_share)
     : authenticator_(
           std::make_shared<const team_authenticator>(std::vector<team_key>{})),
-      ledgers_(shards, [retry_share](std::size_t) {
-          return std::make_unique<ledger>(retry_share, max_teams_per_shard);
+      shards_(shard_count, [retry_share](std::size_t) {
+          return std::make_unique<limits_shard>(retry_share,
+                                                max_teams_per_shard);
       })
 {
 }
@@ -40,8 +41,8 @@
 
 void team_desk::on_entries(std::size_t count)
 {
-    ledgers_.with_each([count](ledger& its) {
-        its.limiter.entries(
+    shards_.with_each([count](limits_shard& shard) {
+        shard.limiter.entries(
             static_cast<std::uint32_t>(std::max<std::size_t>(1, count)));
     });
 }
@@ -62,36 +63,38 @@
                                std::uint32_t prompt_tokens, time_point now)
 {
     const team_limits limits{team.max_concurrent(), team.tokens_per_second()};
-    return ledgers_.with(team.name(), [&](ledger& its) {
+    return shards_.with(team.name(), [&](limits_shard& shard) {
         auto started =
-            its.limiter.start(team.name(), limits, prompt_tokens, now);
+            shard.limiter.start(team.name(), limits, prompt_tokens, now);
         if (started)
-            its.retries.request(team.name());
+            shard.retries.request(team.name());
         return started;
     });
 }
 
 void team_desk::output(const std::string& team, std::uint64_t tokens)
 {
-    ledgers_.with(team, [&](ledger& its) {
-        its.limiter.output(team, static_cast<std::uint32_t>(tokens));
+    shards_.with(team, [&](limits_shard& shard) {
+        shard.limiter.output(team, static_cast<std::uint32_t>(tokens));
     });
 }
 
 void team_desk::finish(const std::string& team)
 {
-    ledgers_.with(team, [&](ledger& its) { its.limiter.finished(team); });
+    shards_.with(team,
+                 [&](limits_shard& shard) { shard.limiter.finished(team); });
 }
 
 outcome<void> team_desk::spend_retry(const std::string& team)
 {
-    const bool allowed = ledgers_.with(
-        team, [&](ledger& its) { return its.retries.try_retry(team); });
+    const bool allowed = shards_.with(team, [&](limits_shard& shard) {
+        return shard.retries.try_retry(team);
+    });
     if (allowed)
         return {};
     return tl::unexpected(not_run(refusal_reason::retry_budget_spent,
                                   "the team's retry budget is used up",
-                                  retry_pause));
+                                  retry_delay));
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/entry/team_desk.hpp
+++ b/src/libcyclamenrun/entry/team_desk.hpp
@@ -42,8 +42,8 @@
     outcome<void> spend_retry(const std::string& team);
 
 private:
-    struct ledger {
-        ledger(double retry_share, std::size_t max_teams);
+    struct limits_shard {
+        limits_shard(double retry_share, std::size_t max_teams);
         team_limiter limiter;
         retry_budget retries;
     };
@@ -52,7 +52,7 @@
 
     mutable std::mutex mutex_; // guards authenticator_
     std::shared_ptr<const team_authenticator> authenticator_;
-    sharded<ledger> ledgers_;
+    sharded<limits_shard> shards_;
 };
 
 } // namespace cyclamenrun
