--- a/src/libcyclamenrun/entry/relay_runner.cpp
+++ b/src/libcyclamenrun/entry/relay_runner.cpp
@@ -12,8 +12,8 @@
 namespace
 {
 
-/** How soon a caller that closed while it waits is noticed. */
-constexpr milliseconds caller_check{250};
+/** Interval between checks whether a waiting caller has disconnected. */
+constexpr milliseconds caller_check_interval{250};
 
 client_handlers handlers_for(const std::shared_ptr<relay_mailbox>& mailbox,
                              stream_number stream)
@@ -23,7 +23,7 @@
         mailbox->put({stream, false, false, std::move(frame)});
     };
     handlers.on_end = [mailbox, stream](stream_end end) {
-        // After a final frame the relay looks at this stream no more.
+        // The relay ignores a stream's end after the stream's final frame.
         mailbox->put(
             {stream, true, end.clean || end.request_may_have_left, {}});
     };
@@ -31,10 +31,11 @@
 }
 
 /**
- * An acknowledgement must not follow: the caller has not got its answer and
- * may come back for it.
+ * Whether an action may be performed after the caller has disconnected. An
+ * acknowledgement may not: the caller did not get its answer and can resume,
+ * so the agent must keep the answer.
  */
-bool may_follow_a_lost_caller(const relay_action& action)
+bool allowed_after_disconnect(const relay_action& action)
 {
     const auto* message = std::get_if<send_message>(&action);
     return std::holds_alternative<close_stream>(action) ||
@@ -51,28 +52,29 @@
 
 relay_result relay_runner::run(relay& relay, caller_writer& writer)
 {
-    running state{relay, writer, std::make_shared<relay_mailbox>(), {}, {}, {}};
+    run_state state{relay, writer, std::make_shared<relay_mailbox>(),
+                    {},    {},     {}};
     perform(state, relay.start(clock_()));
     while (!relay.done()) {
         const auto wake_at =
-            std::min(relay.next_event(), clock_() + caller_check);
+            std::min(relay.next_event(), clock_() + caller_check_interval);
         if (const auto event = state.mailbox->take(wake_at)) {
-            take_event(state, *event);
+            handle_event(state, *event);
         } else if (writer.gone()) {
-            state.result.caller_gone = true;
+            state.result.caller_disconnected = true;
             perform(state, relay.on_caller_gone(clock_()));
         }
         if (!relay.done() && clock_() >= relay.next_event())
             perform(state, relay.on_time(clock_()));
     }
-    settle(state);
+    record_completion(state);
     for (const auto& [number, stream] : state.streams)
         stream->cancel();
     state.result.attempts = relay.attempts();
     return state.result;
 }
 
-void relay_runner::take_event(running& state, const relay_event& event)
+void relay_runner::handle_event(run_state& state, const relay_event& event)
 {
     if (event.lost) {
         state.streams.erase(event.stream);
@@ -83,33 +85,35 @@
     }
     link::AgentFrame frame;
     if (!frame.ParseFromString(event.frame)) {
-        // Looks like a frame of nobody's request, and fails closed as one.
+        // The relay rejects a frame with another request's id, so an
+        // unparsable frame is passed to it as one.
         frame.Clear();
         frame.set_request_id("unparsable");
     }
     if (frame.has_load())
         hooks_.load(frame.load());
     perform(state, state.relay.on_frame(event.stream, frame, clock_()));
-    // Only what has been written on lets the agent send more, so a slow
-    // caller holds its generation's tokens back at the agent.
+    // The agent may send more only after the frame has been written to the
+    // caller, so that tokens for a slow caller stay at the agent.
     const auto stream = state.streams.find(event.stream);
     if (stream != state.streams.end())
         stream->second->consumed(event.frame.size());
 }
 
-void relay_runner::perform(running& state, const relay_actions& actions)
+void relay_runner::perform(run_state& state, const relay_actions& actions)
 {
     for (const auto& action : actions) {
-        if (state.result.caller_gone && !may_follow_a_lost_caller(action))
+        if (state.result.caller_disconnected &&
+            !allowed_after_disconnect(action))
             return;
         std::visit([&](const auto& one) { perform(state, one); }, action);
     }
 }
 
-void relay_runner::perform(running& state, const open_stream& action)
+void relay_runner::perform(run_state& state, const open_stream& action)
 {
-    settle(state);
-    const auto agent = hooks_.find(action.upstream);
+    record_completion(state);
+    const auto agent = hooks_.find_agent(action.upstream);
     if (!agent) {
         state.mailbox->put({action.stream, true, false, {}});
         return;
@@ -124,7 +128,7 @@
         state.streams[action.stream] = stream;
 }
 
-void relay_runner::perform(running& state, const close_stream& action)
+void relay_runner::perform(run_state& state, const close_stream& action)
 {
     const auto stream = state.streams.find(action.stream);
     if (stream == state.streams.end())
@@ -133,50 +137,50 @@
     state.streams.erase(stream);
 }
 
-void relay_runner::perform(running&, const send_message& action)
+void relay_runner::perform(run_state&, const send_message& action)
 {
-    if (const auto agent = hooks_.find(action.upstream))
+    if (const auto agent = hooks_.find_agent(action.upstream))
         links_.send(*agent, action.path, action.frame);
 }
 
-void relay_runner::perform(running& state, const write_tokens& action)
+void relay_runner::perform(run_state& state, const write_tokens& action)
 {
     if (!state.result.first_token_at)
         state.result.first_token_at = clock_();
     state.result.tokens += action.texts.size();
-    hooks_.made(state.relay.request().team, action.texts.size());
+    hooks_.tokens_sent(state.relay.request().team, action.texts.size());
     if (state.writer.tokens(action))
         return;
-    state.result.caller_gone = true;
+    state.result.caller_disconnected = true;
     perform(state, state.relay.on_caller_gone(clock_()));
 }
 
-void relay_runner::perform(running& state, const write_end& action)
+void relay_runner::perform(run_state& state, const write_end& action)
 {
     if (!action.whole.empty()) {
         state.result.tokens = action.token_count;
-        hooks_.made(state.relay.request().team, action.token_count);
+        hooks_.tokens_sent(state.relay.request().team, action.token_count);
     }
     state.result.complete = state.writer.end(action);
-    state.result.caller_gone = !state.result.complete;
+    state.result.caller_disconnected = !state.result.complete;
 }
 
-void relay_runner::perform(running& state, const write_answer& action)
+void relay_runner::perform(run_state& state, const write_answer& action)
 {
     state.result.complete = state.writer.answer(action);
-    state.result.caller_gone = !state.result.complete;
+    state.result.caller_disconnected = !state.result.complete;
 }
 
-void relay_runner::perform(running& state, const write_refusal& action)
+void relay_runner::perform(run_state& state, const write_refusal& action)
 {
     state.result.refused = action.why;
-    state.result.caller_gone = !state.writer.refuse(action.why);
+    state.result.caller_disconnected = !state.writer.refuse(action.why);
 }
 
-void relay_runner::settle(running& state)
+void relay_runner::record_completion(run_state& state)
 {
     if (!state.dispatched_to.empty())
-        hooks_.settled(state.dispatched_to);
+        hooks_.completed(state.dispatched_to);
     state.dispatched_to.clear();
 }
 
--- a/src/libcyclamenrun/entry/relay_runner.hpp
+++ b/src/libcyclamenrun/entry/relay_runner.hpp
@@ -19,24 +19,26 @@
 class client_stream;
 struct agent_address;
 
-/** How a runner reaches agents, and what it tells of a request's way. */
+/** Callbacks for finding agents and for reporting a request's progress. */
 struct relay_runner_hooks {
-    /** Where an agent is, if the VM list or the settings know. */
+    /** Returns an agent's address, or nothing if the agent is not known. */
     std::function<std::optional<agent_address>(const std::string& upstream)>
-        find;
+        find_agent;
     std::function<void(const relay_request& request,
                        const std::string& upstream)>
         dispatched;
-    std::function<void(const std::string& upstream)> settled;
+    /** The request no longer counts towards the upstream's load. */
+    std::function<void(const std::string& upstream)> completed;
     std::function<void(const link::LoadReport& load)> load;
-    /** So many tokens have gone to the team. */
-    std::function<void(const std::string& team, std::uint64_t tokens)> made;
+    /** A number of tokens were sent to the team. */
+    std::function<void(const std::string& team, std::uint64_t tokens)>
+        tokens_sent;
 };
 
-/** How a request ended, for logs and metrics. */
+/** The result of a request, for logs and metrics. */
 struct relay_result {
     bool complete = false;
-    bool caller_gone = false;
+    bool caller_disconnected = false;
     std::optional<refusal> refused;
     std::uint64_t tokens = 0;
     int attempts = 0;
@@ -44,8 +46,8 @@
 };
 
 /**
- * Runs a relay on the calling thread: carries out its actions, and brings it
- * what the links, the clock and the caller do, until it is done.
+ * Runs a relay on the calling thread: performs the relay's actions and passes
+ * it the events of the links, the clock and the caller until it is done.
  */
 class relay_runner
 {
@@ -56,7 +58,7 @@
     relay_result run(relay& relay, caller_writer& writer);
 
 private:
-    struct running {
+    struct run_state {
         cyclamenrun::relay& relay;
         caller_writer& writer;
         std::shared_ptr<relay_mailbox> mailbox;
@@ -65,16 +67,16 @@
         relay_result result;
     };
 
-    void perform(running& state, const relay_actions& actions);
-    void perform(running& state, const open_stream& action);
-    void perform(running& state, const close_stream& action);
-    void perform(running& state, const send_message& action);
-    void perform(running& state, const write_tokens& action);
-    void perform(running& state, const write_end& action);
-    void perform(running& state, const write_answer& action);
-    void perform(running& state, const write_refusal& action);
-    void take_event(running& state, const relay_event& event);
-    void settle(running& state);
+    void perform(run_state& state, const relay_actions& actions);
+    void perform(run_state& state, const open_stream& action);
+    void perform(run_state& state, const close_stream& action);
+    void perform(run_state& state, const send_message& action);
+    void perform(run_state& state, const write_tokens& action);
+    void perform(run_state& state, const write_end& action);
+    void perform(run_state& state, const write_answer& action);
+    void perform(run_state& state, const write_refusal& action);
+    void handle_event(run_state& state, const relay_event& event);
+    void record_completion(run_state& state);
 
     agent_links& links_;
     relay_runner_hooks hooks_;
--- a/src/libcyclamenrun/entry/team_authenticator.cpp
+++ b/src/libcyclamenrun/entry/team_authenticator.cpp
@@ -17,7 +17,7 @@
 } // namespace
 
 team_authenticator::team_authenticator(const std::vector<team_key>& keys)
-    : nobody_(make_key_hash(make_key()))
+    : unknown_team_hash_(make_key_hash(make_key()))
 {
     for (const auto& key : keys)
         hashes_.insert_or_assign(key.team, key.hash);
@@ -36,14 +36,14 @@
 }
 
 /**
- * Guards against probing for names of teams: an unknown one would be refused
- * without hashing, and so sooner than a known one. It is compared with the
- * hash of a key that nobody has instead.
+ * Guards against probing for team names by response time: a request for an
+ * unknown team would be refused sooner if its key were not hashed. The key is
+ * therefore compared with the hash of a random key that no caller has.
  */
 const key_hash& team_authenticator::hash_of(std::string_view team) const
 {
     const auto found = hashes_.find(team);
-    return found == hashes_.end() ? nobody_ : found->second;
+    return found == hashes_.end() ? unknown_team_hash_ : found->second;
 }
 
 secret make_team_key(std::string_view team)
