--- a/bench/bench_agent.hpp
+++ b/bench/bench_agent.hpp
@@ -16,8 +16,9 @@
 {
 
 /**
- * One upstream: a fake engine and, for our policies, the agent's admission
- * before it. The others give the engine all that comes.
+ * One upstream of a trial: a fake engine and, for cyclamenrun's policies, the
+ * agent's admission queue in front of it. Other policies send every request
+ * straight to the engine.
  */
 class bench_agent
 {
@@ -26,17 +27,17 @@
                 const engine_settings& engine, std::size_t index,
                 const std::vector<request>& requests, bool patient);
 
-    /** Takes work, or refuses it as the agent would. */
+    /** Submits a request; returns the refusal that the agent would send. */
     outcome<void> take(std::uint64_t id, time_point deadline, bool suspect,
                        time_point now);
-    /** Hands the engine what may start now. */
+    /** Starts the requests that admission lets start now. */
     void admit(time_point now);
-    /** Ends a step: what was made is counted. */
+    /** Ends a step and reports its tokens to admission. */
     const fake_engine::step_result& end_step(time_point now);
     void cancel(std::uint64_t id, time_point now);
-    /** The engine is gone; its work must be cancelled one by one. */
+    /** Clears the engine; the caller cancels each of its requests. */
     void lose_engine();
-    /** The engine's own report has come, late. */
+    /** Handles a load report of the engine, which arrives with a delay. */
     void engine_report(const engine_load_hint& hint, time_point now);
 
     engine_load_hint engine_load() const;
@@ -48,7 +49,7 @@
     bool stepping = false;
     bool alive = true;
     bool leaving = false;
-    time_point cut_until{}; ///< its tokens reach nobody before
+    time_point cut_until{}; ///< no token is delivered before this time
 
 private:
     admission_settings settings_of(const deployment& site, const policy& chosen,
@@ -59,7 +60,7 @@
     const std::vector<request>& requests_;
     admission_settings settings_;
     fake_engine engine_;
-    std::unique_ptr<admission> gate_; ///< absent: all goes to the engine
+    std::unique_ptr<admission> gate_; ///< null: no admission control
 };
 
 } // namespace cyclamenrun::bench
--- a/bench/bench_entry.cpp
+++ b/bench/bench_entry.cpp
@@ -70,7 +70,7 @@
 {
     std::optional<std::size_t> best;
     std::uint64_t least = UINT64_MAX;
-    // Starts at another one each time, so that equals take turns.
+    // Starts at a different candidate each time to spread ties evenly.
     ++turn_;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const std::size_t index = (turn_ + i) % candidates.size();
--- a/bench/bench_entry.hpp
+++ b/bench/bench_entry.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun::bench
 {
 
-/** One entry: chooses upstreams by the policy under trial. */
+/** One entry, which chooses upstreams by the policy under trial. */
 class bench_entry
 {
 public:
--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -21,8 +21,8 @@
 
 const time_point start{std::chrono::hours(1)};
 const std::string link_key = "0123456789abcdef0123456789abcdef";
-/** Of an HTTP/2 stream with one frame each way, beside what the frames hold:
- *  a HEADERS frame each way, DATA frame headers and our own lengths. */
+/** Overhead of an HTTP/2 stream with one frame in each direction, without the
+ *  payload: HEADERS frames, DATA frame headers and the length prefixes. */
 constexpr double stream_overhead_bytes = 120.0;
 
 double heap_bytes()
@@ -30,7 +30,6 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-/** Processor time of this thread, in microseconds. */
 double thread_microseconds()
 {
     timespec time{};
@@ -39,7 +38,7 @@
            static_cast<double>(time.tv_nsec) / 1e3;
 }
 
-/** Microseconds of one call of `work`, over `count` calls. */
+/** Mean processor time of one call of `work` in microseconds. */
 double time_each(int count, const std::function<void(int)>& work)
 {
     const auto before = thread_microseconds();
@@ -48,7 +47,7 @@
     return (thread_microseconds() - before) / count;
 }
 
-/** Makes something of a size, and gives it back to be held while measured. */
+/** Creates an object of a size; the result owns it during measurement. */
 using maker = std::function<std::shared_ptr<void>(std::size_t size)>;
 
 capacity_slope memory_slope(const char* role, const char* what,
@@ -112,7 +111,7 @@
     return routes;
 }
 
-/** All that an entry holds of its teams, their configuration with it. */
+/** An entry's state of its teams, including their configuration. */
 struct teams_held {
     configuration_view view;
     team_desk desk{0.1};
@@ -143,7 +142,7 @@
     return held;
 }
 
-/** A gate whose upstream never answers, so that all of it is held. */
+/** A gate whose upstream never responds, so that it keeps all sessions. */
 std::shared_ptr<gate> make_gate()
 {
     gate_settings settings;
@@ -241,7 +240,7 @@
     return made;
 }
 
-/** Microseconds of choosing among so many candidates. */
+/** Processor time of a choice by the number of candidates. */
 capacity_slope choice_slope()
 {
     capacity_slope slope{
--- a/bench/capacity_probes.hpp
+++ b/bench/capacity_probes.hpp
@@ -9,16 +9,16 @@
 namespace cyclamenrun::bench
 {
 
-/** How something grows with a size, measured at several sizes. */
+/** A cost measured at several sizes, and the line fitted to it. */
 struct capacity_slope {
     std::string role;
     std::string what;
-    std::string unit; ///< of a value; sizes are counts
+    std::string unit; ///< of the values; sizes are counts
     std::vector<sample_point> points;
     linear_fit fit;
 };
 
-/** A cost that comes once for each event. */
+/** The fixed cost of one event. */
 struct capacity_constant {
     std::string role;
     std::string what;
@@ -27,8 +27,8 @@
 };
 
 /**
- * Measures the objects that entries and agents hold, in this process: memory
- * as the heap in use tells it, time as the processor time of this thread.
+ * Measures objects of entries and agents in this process. Memory is the heap
+ * in use (mallinfo2), time is the processor time of the calling thread.
  */
 std::vector<capacity_slope> measure_slopes();
 std::vector<capacity_constant> measure_constants();
--- a/bench/commands.hpp
+++ b/bench/commands.hpp
@@ -9,11 +9,11 @@
 namespace cyclamenrun::bench
 {
 
-/** Policies compared on a fake engine in virtual time. */
+/** Compares policies on fake engines in virtual time. */
 void add_decisions_command(CLI::App& app);
-/** Processor time of one choice and one admission at target size. */
+/** Measures processor time of a choice and an admission at target size. */
 void add_decision_cost_command(CLI::App& app);
-/** Slopes of memory and processor time per role, for docs/CAPACITY.md. */
+/** Measures memory and processor time per role, for docs/CAPACITY.md. */
 void add_capacity_command(CLI::App& app);
 
 } // namespace cyclamenrun::bench
--- a/bench/configuration_command.cpp
+++ b/bench/configuration_command.cpp
@@ -61,7 +61,7 @@
     return name + std::to_string(number);
 }
 
-/** The configuration of the target: teams, models, two adapters each. */
+/** Configuration at target size: all teams, models and two adapters each. */
 std::vector<v1::ChangeRecord> target_changes()
 {
     std::vector<v1::ChangeRecord> changes;
@@ -79,7 +79,7 @@
     return changes;
 }
 
-/** A day's changes go to one team after another. */
+/** Returns a change to the next team in round-robin order. */
 v1::ChangeRecord next_change(const configuration_store& store, int number)
 {
     const std::string team = numbered("team-", number % target_teams);
@@ -95,7 +95,7 @@
         log.append(log_record_of(change));
 }
 
-/** A process that tails the log on a thread of its own. */
+/** A process that tails the log on its own thread. */
 struct reader {
     explicit reader(fake_log& log)
         : tailer(log, store, {}, steady_now, [] { return 0.5; })
@@ -170,7 +170,7 @@
     return times;
 }
 
-/** Least squares through the points. */
+/** Returns the slope and intercept of a least squares line. */
 std::pair<double, double> fit_line(const std::vector<double>& x,
                                    const std::vector<double>& y)
 {
@@ -285,7 +285,7 @@
               << " KiB\n";
 }
 
-/** The log's side of an entry in virtual time. */
+/** The parts of an entry that use the log, in virtual time. */
 struct virtual_entry {
     virtual_entry(fake_log& log, const std::string& name,
                   const clock_function& clock, std::uint64_t& last_id)
@@ -303,7 +303,7 @@
     std::shared_ptr<snapshot_writer> writer;
 };
 
-/** Three entries over days of virtual time, reading as often as at rest. */
+/** Three entries in virtual time that read at the idle interval. */
 class quiet_days
 {
 public:
@@ -337,7 +337,7 @@
     int changes() const { return changes_; }
 
 private:
-    static constexpr int step_seconds = 10; // as tail_settings::read_wait
+    static constexpr int step_seconds = 10; // same as tail_settings::read_wait
 
     void read_all()
     {
--- a/bench/configuration_command.hpp
+++ b/bench/configuration_command.hpp
@@ -9,7 +9,7 @@
 namespace cyclamenrun::bench
 {
 
-/** What it costs to keep a configuration in force everywhere. */
+/** Measures the delay and cost of distributing configuration changes. */
 void add_configuration_command(CLI::App& app);
 
 } // namespace cyclamenrun::bench
--- a/bench/decision_cost_command.cpp
+++ b/bench/decision_cost_command.cpp
@@ -25,7 +25,7 @@
     std::size_t teams;
 };
 
-/** Processor time of this thread: other processes don't count. */
+/** Processor time of this thread, unaffected by other processes. */
 duration processor_time()
 {
     timespec spent{};
@@ -113,7 +113,9 @@
     return work;
 }
 
-/** One enqueue, one admit and one end, with a batch and a queue in place. */
+/**
+ * Cost of one enqueue, admit and finish on a loaded queue, in microseconds.
+ */
 double admit_cost(const cost_size& size)
 {
     admission_settings settings;
--- a/bench/decisions_command.cpp
+++ b/bench/decisions_command.cpp
@@ -37,7 +37,7 @@
     std::uint64_t last = 1;
 };
 
-/** Mean over seeds, with the half width of its 95% interval. */
+/** Mean over seeds and half the width of its 95% confidence interval. */
 struct estimate {
     double mean = 0;
     double half_width = 0;
@@ -70,7 +70,7 @@
         one.chosen.kind = kind;
         chosen.push_back(one);
     }
-    // "--policy parts": ours, whole and with each part left out in turn.
+    // "--policy parts": cyclamenrun complete, then without each of its parts.
     if (options.policy_name == "parts") {
         chosen.push_back({"cyclamenrun", {}});
         for (const char* part :
@@ -93,7 +93,7 @@
     return chosen;
 }
 
-/** Student's t for 95% two-sided, by degrees of freedom. */
+/** Two-sided 95% quantile of Student's t by degrees of freedom. */
 double student_t(std::size_t freedom)
 {
     constexpr double table[] = {12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36,
@@ -118,7 +118,7 @@
     return made;
 }
 
-/** Runs the seeds over some threads; figures[name][seed]. */
+/** Runs all seeds on `jobs` threads; returns an estimate per figure. */
 std::vector<std::pair<std::string, estimate>>
 run_seeds(const trial_settings& common, const seed_range& seeds, unsigned jobs)
 {
@@ -161,7 +161,7 @@
             cell << std::fixed << std::setprecision(2)
                  << column[row].second.mean << " ± "
                  << column[row].second.half_width;
-            // The sign takes two bytes and one column.
+            // The ± sign has two bytes in UTF-8 but fills one column.
             std::cout << std::right << std::setw(25) << cell.str();
         }
         std::cout << '\n';
@@ -235,7 +235,7 @@
     command->add_option("--deployment", options->site, "amianto or guatemala");
     command->add_option("--policy", options->policy_name,
                         "round_robin, least_load, cyclamenrun, oracle; all of "
-                        "these; or parts: ours with each part left out");
+                        "these; or parts: cyclamenrun without each part");
     command->add_option("--load", options->loads,
                         "shares of the measured capacity");
     command->add_option("--seeds", options->seeds, "A..B");
@@ -245,22 +245,25 @@
         ->check(CLI::IsMember(fault_names()));
     command
         ->add_option("--without", options->without,
-                     "parts of ours to leave out")
+                     "parts of cyclamenrun to disable")
         ->delimiter(',')
         ->check(CLI::IsMember(std::vector<std::string>{
             "prediction", "prefix", "fair_share", "own_counts"}));
     command->add_option("--overflow-bound", options->overflow_bound,
-                        "accepted risk, instead of the objective's own");
+                        "accepted overflow risk, overrides the objective's");
     command->add_option("--short-first", options->short_first,
-                        "lead of short answers, instead of the objective's");
+                        "priority of short answers, overrides the objective's");
     command->add_option("--warm-up", options->warm_up_s, "seconds");
     command->add_option("--window", options->window_s,
                         "seconds of arrivals that count");
     command->add_option("--runners", options->runners,
-                        "engines, instead of the deployment's own");
-    command->add_option("--jobs", options->jobs, "threads, a seed each")
+                        "number of engines, overrides the deployment's");
+    command
+        ->add_option("--jobs", options->jobs,
+                     "threads, each runs one seed at a time")
         ->check(CLI::Range(1U, 64U));
-    command->add_flag("--json", options->json, "a line for each policy");
+    command->add_flag("--json", options->json,
+                      "print one JSON line per policy");
     command->callback([options] { run(*options); });
 }
 
--- a/bench/deployment.cpp
+++ b/bench/deployment.cpp
@@ -9,7 +9,7 @@
 {
 
 constexpr std::size_t team_count = 10;
-// A few large teams, and small ones that share the rest evenly.
+// Three large teams; the others share the rest about evenly.
 constexpr std::array<double, team_count> shares = {
     0.22, 0.18, 0.14, 0.066, 0.066, 0.066, 0.066, 0.066, 0.065, 0.065};
 constexpr std::array<std::uint32_t, team_count> weights = {3, 3, 2, 1, 1,
--- a/bench/deployment.hpp
+++ b/bench/deployment.hpp
@@ -12,23 +12,23 @@
 namespace cyclamenrun::bench
 {
 
-/** A log-normal length, cut at `most`. */
+/** A log-normal distribution of lengths in tokens, clamped to `max`. */
 struct length_law {
     double median;
     double sigma;
-    std::uint32_t most;
+    std::uint32_t max;
 };
 
-/** One of those who share the deployment. */
+/** The load profile of one team of a deployment. */
 struct team_profile {
     std::string name;
     double share;                ///< of all requests
     std::uint32_t weight;        ///< fair share
-    double long_share;           ///< of its requests that are long
-    std::uint32_t prefix_blocks; ///< of its prompts that are the same
+    double long_share;           ///< share of its requests with long answers
+    std::uint32_t prefix_blocks; ///< common to all its prompts
 };
 
-/** One of the brief's two sites, with what was assumed where it is silent. */
+/** A modelled site; values that its operators don't state are assumed. */
 struct deployment {
     std::string name;
     std::string service;
--- a/bench/fake_engine.cpp
+++ b/bench/fake_engine.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-// Kept free when a sequence starts, so that running ones can grow.
+// Share of blocks left free at a start so that running sequences can grow.
 constexpr double watermark = 0.01;
 
 } // namespace
@@ -110,13 +110,14 @@
         while (!gone && !take_blocks(*of, wanted)) {
             const sequence_ptr last = victim();
             gone = last == of;
-            // The list is in order of age: a victim behind this one has not
-            // been looked at yet, one before it must not decode.
+            // The list is ordered by age: a later victim has not been
+            // scheduled yet, an earlier one must not decode.
             preempt(last);
         }
         of = gone ? running_.begin() : std::next(of);
         if (gone)
-            // Start over: cheap, rare, and nothing is taken twice.
+            // Restarts from the first sequence: rare, cheap, and repeated
+            // allocations have no effect.
             continue;
     }
 }
@@ -152,7 +153,7 @@
         const std::uint32_t again = std::min(now, of.recompute);
         of.recompute -= again;
         recomputed_ += again;
-        // The last of the prompt gives the next token in the same step.
+        // The step that completes the prompt also makes a token.
         if (now > 0 && of.to_read == 0)
             of.decodes = true;
     }
@@ -227,7 +228,7 @@
 
 void fake_engine::use_prefix(sequence& of)
 {
-    // First hold what is there, so that making room does not take it.
+    // Pins blocks already cached so that the eviction below keeps them.
     for (const std::uint64_t block : of.prefix) {
         const auto found = cache_.find(block);
         if (found != cache_.end() && found->second.users++ == 0)
--- a/bench/fake_engine.hpp
+++ b/bench/fake_engine.hpp
@@ -15,7 +15,7 @@
     std::uint64_t memory_tokens = 32'768;
     std::uint32_t block_tokens = 16;
     std::uint32_t max_batch = 96;
-    /** Prompt tokens read in one step, over all sequences. */
+    /** Prefill budget of one step, shared by all sequences. */
     std::uint32_t prefill_tokens_per_step = 512;
     double step_ms = 10.0;
     double step_ms_per_sequence = 0.15;
@@ -24,12 +24,13 @@
 };
 
 /**
- * A model engine as far as decisions can tell: it batches continuously, a
- * step takes longer with batch and memory, prompt prefixes are cached in what
- * memory is left, and when memory runs out in mid decode the running sequence
- * of least priority (the latest among them) is preempted and computed again
- * later, prompt and output so far. One of higher priority that waits takes the
- * place of lower ones in the same way.
+ * A model of an inference engine with continuous batching.
+ *
+ * A step takes longer with a larger batch and more memory in use. Free memory
+ * caches prompt prefixes. When memory runs out during decoding, the engine
+ * preempts the running sequence with the lowest priority (the latest of equals)
+ * and recomputes its prompt and output later. A waiting sequence of higher
+ * priority preempts running ones of lower priority in the same way.
  */
 class fake_engine
 {
@@ -38,11 +39,12 @@
 
     struct cache_event {
         std::uint64_t block;
-        bool stored; ///< else evicted
+        bool stored; ///< false: evicted
     };
     struct step_result {
-        std::vector<sequence_id> tokens;   ///< each made one token
-        std::vector<sequence_id> finished; ///< with that token
+        std::vector<sequence_id> tokens; ///< sequences that made one token each
+        std::vector<sequence_id>
+            finished; ///< sequences that ended with that token
         std::vector<cache_event> cache_events;
     };
 
@@ -52,18 +54,18 @@
              std::uint32_t output_tokens,
              std::span<const std::uint64_t> prefix_blocks, int priority);
     void cancel(sequence_id id);
-    /** Everything is lost: sequences, cache. */
+    /** Clears all sequences and the cache; returns the lost sequences. */
     std::vector<sequence_id> reset();
 
     bool idle() const { return running_.empty() && waiting_.empty(); }
-    /** Starts a step; returns how long it takes. */
+    /** Starts a step and returns its duration in milliseconds. */
     double begin_step_ms();
     const step_result& end_step();
     const step_result& last_step() const { return result_; }
 
     std::uint32_t running() const;
     std::uint32_t waiting() const;
-    /** Held by running sequences; cached blocks nobody uses don't count. */
+    /** Tokens held by running sequences, without unused cached blocks. */
     std::uint64_t memory_used() const;
     std::uint64_t preemptions() const { return preemptions_; }
     std::uint64_t recomputed_tokens() const { return recomputed_; }
@@ -77,9 +79,9 @@
         int priority = 0;
         std::uint32_t made = 0;
         std::uint32_t to_read = 0;   ///< prompt tokens not computed yet
-        std::uint32_t recompute = 0; ///< of these, computed before
-        std::uint64_t blocks = 0;    ///< held, prefix not included
-        bool decodes = false;        ///< in the step now running
+        std::uint32_t recompute = 0; ///< part of these that was computed before
+        std::uint64_t blocks = 0;    ///< held, without prefix blocks
+        bool decodes = false;        ///< makes a token in the current step
     };
     struct cached_block {
         std::uint32_t users = 0;
@@ -91,7 +93,7 @@
     void schedule_waiting();
     void read_prompts();
     bool take_blocks(sequence& of, std::uint64_t wanted);
-    /** Starts it, if need be in place of sequences of less priority. */
+    /** Starts a sequence, preempting those of lower priority if needed. */
     bool make_room(sequence_ptr of);
     bool start(sequence& of);
     std::uint64_t private_blocks(const sequence& of,
@@ -111,7 +113,7 @@
     std::list<sequence> running_; ///< oldest first
     std::list<sequence> waiting_;
     std::unordered_map<std::uint64_t, cached_block> cache_;
-    std::list<std::uint64_t> unused_; ///< cached by nobody, oldest first
+    std::list<std::uint64_t> unused_; ///< cached without users, oldest first
     std::uint32_t reading_ = 0;       ///< prompt tokens in this step
     bool preempted_now_ = false;
     std::uint64_t preemptions_ = 0;
--- a/bench/linear_fit.hpp
+++ b/bench/linear_fit.hpp
@@ -11,11 +11,11 @@
     double value = 0.0;
 };
 
-/** Least squares through points: value = base + slope * size. */
+/** A least squares line: value = base + slope * size. */
 struct linear_fit {
     double base = 0.0;
     double slope = 0.0;
-    /** Largest distance of a point from the line, over the largest value. */
+    /** Largest deviation from the line relative to the largest value. */
     double residual = 0.0;
 
     double at(double size) const { return base + slope * size; }
--- a/bench/log_histogram.hpp
+++ b/bench/log_histogram.hpp
@@ -7,7 +7,7 @@
 namespace cyclamenrun::bench
 {
 
-/** Counts of positive values, in buckets 1% apart from 0.01 to 1e7. */
+/** Histogram of positive values from 0.01 to 1e7 with buckets 1% apart. */
 class log_histogram
 {
 public:
@@ -15,7 +15,7 @@
 
     void add(double value);
     std::uint64_t count() const { return count_; }
-    /** The value that `share` of all do not exceed; 0 when empty. */
+    /** Quantile with `share` from 0 to 1; 0 when empty. */
     double quantile(double share) const;
 
 private:
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -21,10 +21,10 @@
 
 constexpr std::size_t most_streams = 2000;
 constexpr std::chrono::seconds longest_time{120};
-/** Starts are spread over this, as callers' are. */
+/** Stream starts are spread over this time. */
 constexpr milliseconds ramp{1000};
 
-/** Resident memory from /proc/PID/status, or 0 if there is none to read. */
+/** Resident memory from /proc/PID/status; 0 if it can't be read. */
 std::uint64_t resident_kilobytes(int process)
 {
     std::ifstream status("/proc/" + std::to_string(process) + "/status");
@@ -38,12 +38,12 @@
     return 0;
 }
 
-/** Processor time of a process so far, or 0 if there is none to read. */
+/** Processor time used by a process; 0 if it can't be read. */
 double processor_seconds(int process)
 {
     std::ifstream stat("/proc/" + std::to_string(process) + "/stat");
-    // The name is in brackets and may hold blanks; user and system time are
-    // the 12th and 13th fields after it.
+    // The name is in parentheses and may contain blanks; user and system time
+    // are the 12th and 13th fields after it.
     stat.ignore(std::numeric_limits<std::streamsize>::max(), ')');
     std::string skipped;
     for (int i = 0; i < 11; ++i)
@@ -83,7 +83,7 @@
         throw std::invalid_argument("seconds: 2 to 120");
 }
 
-/** Keeps a number of pairs open on a loop; lives on the loop's thread. */
+/** Starts and restarts pairs of streams; used on the loop's thread only. */
 class path_load
 {
 public:
@@ -126,7 +126,7 @@
         if (ended.direct && ended.through)
             result_.first_token_added.add(*ended.through - *ended.direct);
         // Streams end with a step of the engine; a random pause keeps the
-        // next from starting at the same point of each step.
+        // next pair from always starting at the same point of a step.
         const milliseconds pause(pause_(random_));
         reactor_.post_at(reactor_.now() + pause, [this] { start_pair(); });
     }
--- a/bench/path_bench.hpp
+++ b/bench/path_bench.hpp
@@ -10,7 +10,7 @@
 namespace cyclamenrun::bench
 {
 
-/** What a process took: memory before the streams and among them. */
+/** Memory of a process before and during the streams, and its CPU time. */
 struct process_use {
     int process = 0;
     std::uint64_t kilobytes_before = 0;
@@ -21,17 +21,20 @@
 struct path_result {
     path_target direct;
     path_target through;
-    /** First token: through less direct, of two that started together. */
+    /** Added time to the first token, per pair of simultaneous streams. */
     path_samples first_token_added;
     std::vector<process_use> processes;
 };
 
 /**
- * Streams through the system and past it, to the same engine at the same
- * time, so that whatever else the machine does falls on both alike. Streams
- * start in pairs, one each way, and each pair that ends is followed by another
- * until the time is over. All load
- * comes from one thread; targets are on loopback, or it refuses to run.
+ * Streams from the same engine directly and through cyclamenrun.
+ *
+ * Streams start in pairs, one of each kind, so that other load on the machine
+ * affects both alike. Each pair that ends is followed by another until the
+ * time is over. One thread makes all load.
+ *
+ * @throws std::invalid_argument if a target is not on loopback, or a setting
+ *         is out of range.
  */
 path_result measure_path(const path_settings& settings);
 
--- a/bench/path_command.cpp
+++ b/bench/path_command.cpp
@@ -68,7 +68,7 @@
         print_process(use, settings, result.through.tokens);
 }
 
-/** A run that measured nothing whole must not pass for one that did. */
+/** Fails the command if a stream broke or no token arrived. */
 void check(const path_result& result)
 {
     for (const path_target* target : {&result.direct, &result.through})
@@ -100,13 +100,13 @@
     };
     const auto given = std::make_shared<options>();
     CLI::App* command = app.add_subcommand(
-        "path", "What entry and agent add, against the engine directly");
+        "path", "Latency and cost that entry and agent add to the engine's");
     command->add_option("--direct", given->direct, "IP:PORT of the engine")
         ->required();
     command->add_option("--through", given->through, "IP:PORT of the entry")
         ->required();
     command->add_option("--streams", given->settings.streams,
-                        "open at once to each, up to 2000");
+                        "concurrent streams to each target, up to 2000");
     command->add_option("--seconds", given->seconds, "up to 120");
     command->add_option("--key", given->settings.key, "the team's bearer key")
         ->required();
@@ -167,10 +167,11 @@
     };
     const auto given = std::make_shared<options>();
     CLI::App* command = app.add_subcommand(
-        "connections", "Making and keeping connections of links");
+        "connections", "Latency, memory and idle cost of link connections");
     command->add_option("--connections", given->settings.connections,
                         "1 to 1000");
-    command->add_option("--idle", given->idle, "seconds of rest, up to 120");
+    command->add_option("--idle", given->idle,
+                        "idle time in seconds, up to 120");
     command->callback([given] {
         guarded([&] {
             connections_settings settings = given->settings;
--- a/bench/path_command.hpp
+++ b/bench/path_command.hpp
@@ -9,11 +9,11 @@
 namespace cyclamenrun::bench
 {
 
-/** What entry and agent add to first token, gaps and memory. */
+/** Measures what entry and agent add to latency and memory. */
 void add_path_command(CLI::App& app);
-/** Processor time and memory of the links alone. */
+/** Measures processor time and memory of the links alone. */
 void add_links_command(CLI::App& app);
-/** Time and memory of links' connections, and their cost at rest. */
+/** Measures latency, memory and idle cost of link connections. */
 void add_connections_command(CLI::App& app);
 
 } // namespace cyclamenrun::bench
--- a/bench/path_connections.cpp
+++ b/bench/path_connections.cpp
@@ -34,7 +34,7 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-/** One request and its answer, in milliseconds. */
+/** Sends a request; returns the time to its answer in milliseconds. */
 double ask(link_client& client)
 {
     std::promise<bool> ended;
@@ -43,7 +43,8 @@
                                              ended.set_value(how.clean);
                                          }});
     if (!ended.get_future().get())
-        throw std::runtime_error("a link's request got no answer");
+        throw std::runtime_error(
+            "the link closed before it answered the request");
     return std::chrono::duration<double, std::milli>(steady_now() - begin)
         .count();
 }
@@ -68,7 +69,7 @@
             link_client::create(client_loop, server.address(), "key", {}));
         return ask(*clients.back());
     };
-    // The first one allocates what all share.
+    // The first connection allocates the memory that all share.
     connect();
     const double before = heap_bytes();
     for (std::size_t i = 0; i < settings.connections; ++i)
--- a/bench/path_connections.hpp
+++ b/bench/path_connections.hpp
@@ -15,16 +15,16 @@
 };
 
 struct connections_result {
-    /** Connect, handshake, a request and its answer, in milliseconds. */
+    /** Connect, handshake and one request, in milliseconds. */
     path_samples first_answer;
-    /** The same on a connection that stands, in milliseconds. */
+    /** One request on an open connection, in milliseconds. */
     path_samples next_answer;
     double bytes_per_connection = 0; ///< heap of both ends
-    /** Processor time of both ends of one idle connection, a second. */
+    /** Processor time per second of both ends of an idle connection. */
     double idle_microseconds = 0;
 };
 
-/** Links to as many peers, all in this process, that then do nothing. */
+/** Opens link connections within this process and leaves them idle. */
 connections_result measure_connections(const connections_settings& settings);
 
 } // namespace cyclamenrun::bench
--- a/bench/path_links.cpp
+++ b/bench/path_links.cpp
@@ -42,7 +42,7 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-/** A generation at the server: tokens that wait to be pulled. */
+/** A generation's tokens at the server that wait to be pulled. */
 class token_source
 {
 public:
@@ -82,7 +82,7 @@
     std::deque<std::string> waiting_;
 };
 
-/** Both ends and the streams between them. */
+/** A link client, a link server and the streams between them. */
 class links_trial
 {
 public:
@@ -149,7 +149,7 @@
             open->consumed(frame.size());
     }
 
-    /** Spread over time, as many engines' tokens are. */
+    /** Produces tokens evenly over time, in round-robin over the streams. */
     void make_tokens()
     {
         const duration step =
--- a/bench/path_links.hpp
+++ b/bench/path_links.hpp
@@ -18,14 +18,14 @@
 
 struct links_result {
     std::uint64_t frames = 0;
-    double client_microseconds = 0; ///< processor time of its loop, a frame
+    double client_microseconds = 0; ///< processor time of its loop per frame
     double server_microseconds = 0;
-    double maker_microseconds = 0; ///< of the thread that makes the tokens
-    double bytes_per_stream = 0;   ///< heap of both ends, flowing
-    log_histogram delay;           ///< wake to on_frame, microseconds
+    double maker_microseconds = 0; ///< of the thread that produces tokens
+    double bytes_per_stream = 0;   ///< heap of both ends while data flows
+    log_histogram delay;           ///< from wake to on_frame, microseconds
 };
 
-/** A client and a server in this process, on a loop each. */
+/** Measures a client and a server in this process, each on its own loop. */
 links_result measure_links(const links_settings& settings);
 
 } // namespace cyclamenrun::bench
--- a/bench/path_samples.hpp
+++ b/bench/path_samples.hpp
@@ -8,16 +8,16 @@
 {
 
 /**
- * Exact quantiles: what the path adds is far smaller than the time between
- * tokens, so that a histogram's steps would hide it.
+ * Samples with exact quantiles. The delay that the path adds is far smaller
+ * than the time between tokens, so a histogram's buckets would hide it.
  */
 class path_samples
 {
 public:
-    /** Samples over the bound are dropped. */
+    /** Adds a sample, or drops it when the maximum number is stored. */
     void add(double value);
     std::size_t count() const { return values_.size(); }
-    /** The value that `share` of all do not exceed; 0 when empty. */
+    /** Quantile with `share` from 0 to 1; 0 when empty. */
     double quantile(double share) const;
     double mean() const;
 
--- a/bench/path_settings.hpp
+++ b/bench/path_settings.hpp
@@ -10,17 +10,17 @@
 namespace cyclamenrun::bench
 {
 
-/** What a run of the path's measure does. */
+/** Settings of a path measurement. */
 struct path_settings {
     Poco::Net::SocketAddress direct;  ///< an engine
-    Poco::Net::SocketAddress through; ///< an entry that leads to it
-    std::size_t streams = 1;          ///< open at once to each of the two
+    Poco::Net::SocketAddress through; ///< an entry that routes to that engine
+    std::size_t streams = 1;          ///< concurrent streams to each target
     std::chrono::seconds time{10};
-    std::string key;   ///< the team's
-    std::string model; ///< the service's name
+    std::string key;   ///< bearer key of the team
+    std::string model; ///< name of the service
     std::uint64_t prompt_words = 50;
     std::uint64_t output_tokens = 60;
-    std::vector<int> processes; ///< whose memory is read
+    std::vector<int> processes; ///< ids of processes to measure
 };
 
 } // namespace cyclamenrun::bench
--- a/bench/path_stream.cpp
+++ b/bench/path_stream.cpp
@@ -14,7 +14,7 @@
 constexpr std::string_view good_status = "HTTP/1.1 200";
 constexpr std::string_view event_start = "data: ";
 constexpr std::string_view last_event = "data: [DONE]";
-/** A line longer than this is nothing that an engine sends. */
+/** Engines send no longer lines, so a longer one ends the stream. */
 constexpr std::size_t longest_line = 65536;
 
 double in_milliseconds(duration time)
@@ -87,8 +87,8 @@
 
 void path_stream::take(std::string_view bytes)
 {
-    // Both targets write each event into one chunk of the transfer coding,
-    // so the coding's own lines can be passed over.
+    // Both targets write each event into one HTTP chunk, so lines of the
+    // chunked transfer coding can be skipped.
     while (!bytes.empty() && !closed_) {
         const std::size_t end = bytes.find('\n');
         unread_ += bytes.substr(0, end);
--- a/bench/path_stream.hpp
+++ b/bench/path_stream.hpp
@@ -20,10 +20,10 @@
                           public std::enable_shared_from_this<path_stream>
 {
 public:
-    /** Time to the first token in milliseconds, if there was one. */
+    /** Receives the time to the first token in ms, if a token arrived. */
     using over_function = std::function<void(std::optional<double>)>;
 
-    /** `over` is called once, on the loop's thread. */
+    /** `on_end` is called once, on the loop's thread. */
     path_stream(link_reactor& reactor, path_target& target, over_function over);
 
     void start();
@@ -48,7 +48,7 @@
     std::optional<time_point> last_token_;
     std::optional<double> first_token_;
     std::size_t sent_ = 0;
-    std::string unread_; ///< the line that has not ended
+    std::string unread_; ///< received part of the current line
     bool status_seen_ = false;
     bool last_event_seen_ = false;
     bool closed_ = false;
--- a/bench/path_target.hpp
+++ b/bench/path_target.hpp
@@ -10,14 +10,14 @@
 namespace cyclamenrun::bench
 {
 
-/** One of the two ways to the engine, and what its streams measured. */
+/** One of the two paths to the engine and its measurements. */
 struct path_target {
     Poco::Net::SocketAddress address;
     std::string request;         ///< bytes of the HTTP request
     path_samples first_token;    ///< from connect, in milliseconds
     path_samples between_tokens; ///< in milliseconds
     std::uint64_t tokens = 0;
-    std::uint64_t complete = 0; ///< streams that came to their end
+    std::uint64_t complete = 0; ///< streams received to the end
     std::uint64_t broken = 0;   ///< streams refused or cut
 };
 
--- a/bench/policy.hpp
+++ b/bench/policy.hpp
@@ -11,20 +11,20 @@
 {
 
 enum class policy_kind : std::uint8_t {
-    round_robin, ///< turn by turn, all that comes goes to the engine
-    least_load,  ///< least load as the engines report it, else the same
+    round_robin, ///< in rotation, without admission control
+    least_load,  ///< least reported load, otherwise the same
     cyclamenrun, ///< the product's decision classes
-    oracle,      ///< the same, told each answer's length
+    oracle,      ///< the same with known answer lengths
 };
 
-/** A policy to compare, with parts of ours left out by name. */
+/** A policy under trial; parts of cyclamenrun can be disabled by name. */
 struct policy {
     policy_kind kind = policy_kind::cyclamenrun;
     bool prediction = true;
     bool prefix = true;
     bool fair_share = true;
     bool own_counts = true;
-    /** Instead of the objective's own, to try others. */
+    /** Override the objective's settings. */
     std::optional<double> overflow_bound;
     std::optional<double> short_first;
 
@@ -36,7 +36,7 @@
 
 std::string_view name_of(policy_kind kind);
 std::optional<policy_kind> policy_kind_of(std::string_view name);
-/** False if there is no part by that name. */
+/** Returns false if no part has that name. */
 bool leave_out(policy& of, std::string_view part);
 
 enum class fault_kind : std::uint8_t {
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -19,13 +19,13 @@
 
 const time_point epoch = time_point{} + 1h;
 
-// Gaps between tokens up to this long read as flowing text.
+// Readers don't notice gaps between tokens up to this length.
 constexpr double unnoticed_gap_ms = 100.0;
-// How often a refused caller comes back when told to, at most.
+// Retries of a refused caller after the time in the refusal.
 constexpr std::uint32_t max_returns = 3;
-// Upstreams tried for one sending, at most.
+// Upstreams tried for each request of a caller.
 constexpr std::size_t max_tries = 3;
-// How late and how often reports come.
+// Intervals and delays of load reports.
 constexpr duration agent_report_every = 250ms;
 constexpr duration agent_report_lag = 5ms;
 constexpr duration engine_report_every = 500ms;
@@ -34,16 +34,16 @@
 constexpr duration cache_event_lag = 500ms;
 constexpr double cache_gap = 0.1;
 constexpr double cache_gap_in_fault = 0.7;
-// The list of VMs tells of a lost one this late.
+// Delay until the list of VMs shows the loss of a VM.
 constexpr duration vm_list_lag = 2s;
 constexpr duration reclaim_notice = 10s;
 constexpr duration outage = 60s;
 constexpr duration crash_outage = 20s;
-// A poison request crashes its engine with this token.
+// A poison request crashes its engine at this token.
 constexpr std::uint32_t poison_token = 20;
 constexpr std::uint32_t poison_sendings = 8;
 constexpr std::size_t heavy_team = 6;
-// Short answers for the most part: these ask for less than 60% of their share
+// Teams with mostly short answers, which request less than 60% of their share
 // of tokens at load 1.0.
 constexpr std::array<std::size_t, 2> light_teams = {3, 7};
 
@@ -63,21 +63,21 @@
 
     phase now = phase::away;
     std::size_t entry = 0;
-    std::size_t runner = SIZE_MAX; ///< while sent
+    std::size_t runner = SIZE_MAX; ///< in phase sent only
     std::uint32_t returns = 0;
-    std::uint32_t losses = 0; ///< upstreams lost under it
+    std::uint32_t losses = 0; ///< engine losses while it ran
     std::uint32_t delivered = 0;
     bool poison = false;
     bool suspect = false;
     time_point arrival{};
-    time_point asked{}; ///< last sending
+    time_point asked{}; ///< time of the last request
     time_point deadline{};
     time_point last_token{};
     double stall_ms = 0;
     std::vector<std::string> excluded;
 };
 
-/** The events of one trial in virtual time. */
+/** Discrete event simulation of one trial in virtual time. */
 class simulation
 {
 public:
@@ -155,8 +155,8 @@
 {
     workload_settings load;
     load.requests_per_second = settings.requests_per_second;
-    // Callers keep coming after the window, else a backlog would drain into
-    // an empty system and overload look harmless.
+    // Callers continue to arrive after the window. Otherwise a backlog would
+    // drain on an idle system, which hides the effect of overload.
     load.seconds = in_s(end_ - epoch);
     load.lengths = settings.lengths;
     if (settings.fault == fault_kind::heavy_team) {
@@ -625,7 +625,8 @@
 void simulation::resend_poison(std::size_t id)
 {
     caller& of = callers_[id];
-    // Our system marks what ran there; after two losses it is refused.
+    // cyclamenrun marks requests that ran on a lost engine and refuses them
+    // after two losses.
     of.suspect = settings_.chosen.ours();
     of.now = caller::phase::away;
     of.delivered = 0;
@@ -649,7 +650,7 @@
 double measured_capacity(const deployment& site, const engine_settings& engine,
                          const std::vector<length_pair>& lengths)
 {
-    // More than any of the deployments can answer.
+    // Higher than the capacity of any deployment.
     constexpr double overload_rps_per_runner = 10;
     constexpr std::uint64_t seeds = 3;
     constexpr std::uint64_t first_seed = 900'001;
--- a/bench/trial.hpp
+++ b/bench/trial.hpp
@@ -22,8 +22,8 @@
     std::uint64_t seed = 1;
     engine_settings engine;
     double warm_up_s = 120;
-    double window_s = 240; ///< of arrivals that count, after the warm-up
-    /** For calibration: no deadlines, no refusals, all is answered. */
+    double window_s = 240; ///< measured arrivals, after the warm-up
+    /** For calibration: no deadlines and no refusals. */
     bool patient = false;
 };
 
@@ -31,9 +31,11 @@
 trial_measures run_trial(const trial_settings& settings);
 
 /**
- * Answers a second that the engines make when each always has more to do than
- * it can hold, first come, first served: load 1.0. No decision of ours is in
- * it, so that it stays the same from one round to the next.
+ * Returns the answers per second of saturated engines, which is load 1.0.
+ *
+ * Requests are spread round-robin and served first come, first served. The
+ * measurement uses none of cyclamenrun's decisions, so that the reference load
+ * stays the same when these change.
  */
 double measured_capacity(const deployment& site, const engine_settings& engine,
                          const std::vector<length_pair>& lengths);
--- a/bench/trial_measures.hpp
+++ b/bench/trial_measures.hpp
@@ -10,7 +10,7 @@
 namespace cyclamenrun::bench
 {
 
-/** What one run has shown; formulas in docs/MEASURES.md. */
+/** Measurements of one run; docs/MEASURES.md has the formulas. */
 struct trial_measures {
     explicit trial_measures(std::size_t teams)
         : team_asked(teams), team_answered(teams), team_tokens(teams)
@@ -19,22 +19,22 @@
 
     double window_s = 0;
     std::uint64_t callers = 0;
-    std::uint64_t answered = 0;          ///< in full, within the deadline
-    std::uint64_t answers_in_window = 0; ///< whenever asked for
+    std::uint64_t answered = 0;          ///< in full and within the deadline
+    std::uint64_t answers_in_window = 0; ///< for any time of arrival
     std::uint64_t tokens_in_window = 0;  ///< of these answers
     std::uint64_t gave_up = 0;           ///< at the deadline
-    std::uint64_t turned_away = 0;       ///< refused for good
-    std::uint64_t cut_short = 0;         ///< failed after a token was seen
-    std::uint64_t refusals = 0;  ///< seen by callers, those who came back too
-    double stall_s = 0;          ///< over all callers
-    double stall_answered_s = 0; ///< over those answered
-    double stall_charged_s = 0;  ///< the unanswered charged their deadline
+    std::uint64_t turned_away = 0;       ///< refused without another retry
+    std::uint64_t cut_short = 0;         ///< failed after the first token
+    std::uint64_t refusals = 0; ///< sent to callers, including those that retry
+    double stall_s = 0;         ///< over all callers
+    double stall_answered_s = 0; ///< over answered callers
+    double stall_charged_s = 0;  ///< plus the deadline per unanswered caller
     std::uint64_t preemptions = 0;
     std::uint64_t recomputed_tokens = 0;
     std::uint64_t output_tokens = 0;
     std::uint64_t engine_losses = 0;
     log_histogram first_token_ms;
-    log_histogram light_team_first_token_ms; ///< well within share
+    log_histogram light_team_first_token_ms; ///< of teams below their share
     log_histogram between_tokens_ms;
     log_histogram refusal_ms;
     std::vector<std::uint64_t> team_asked;
@@ -48,7 +48,7 @@
     double value;
 };
 
-/** The figures that are compared, in the order of the table. */
+/** Returns the reported figures in the order of the table. */
 std::vector<figure> figures_of(const trial_measures& measures);
 
 } // namespace cyclamenrun::bench
--- a/bench/workload.cpp
+++ b/bench/workload.cpp
@@ -14,11 +14,11 @@
 
 constexpr double slot_s = 0.1;
 constexpr double heavy_factor = 10.0;
-// The first blocks of every prompt are the service's own instructions.
+// The first blocks of every prompt hold the service's instructions.
 constexpr std::uint32_t service_blocks = 4;
 constexpr length_law own_part = {120, 0.7, 1'024};
 
-/** Switches between calm and burst; the factor's mean is 1. */
+/** A load factor that switches between calm and burst with a mean of 1. */
 class burst_process
 {
 public:
@@ -43,7 +43,7 @@
     std::lognormal_distribution<double> lengths(std::log(law.median),
                                                 law.sigma);
     const double drawn =
-        std::clamp(std::round(lengths(random)), 1.0, double(law.most));
+        std::clamp(std::round(lengths(random)), 1.0, double(law.max));
     return static_cast<std::uint32_t>(drawn);
 }
 
--- a/bench/workload.hpp
+++ b/bench/workload.hpp
@@ -10,10 +10,10 @@
 namespace cyclamenrun::bench
 {
 
-/** Prompt tokens for each prefix block. */
+/** Prompt tokens per prefix block. */
 constexpr std::uint32_t prefix_block_tokens = 64;
 
-/** What one caller asks for; `output_tokens` nobody knows ahead. */
+/** A caller's request; policies except the oracle can't see `output_tokens`. */
 struct request {
     double arrival_s = 0;
     std::size_t team = 0;
@@ -27,19 +27,20 @@
     std::uint32_t output_tokens;
 };
 
-/** Rows `prompt_tokens,output_tokens`; a first line of names is skipped. */
+/** Reads rows `prompt_tokens,output_tokens`; skips lines without numbers. */
 std::vector<length_pair> read_lengths(const std::string& file);
 
 struct workload_settings {
     double requests_per_second = 1;
     double seconds = 300;
-    std::vector<length_pair> lengths; ///< drawn from if not empty
+    std::vector<length_pair>
+        lengths; ///< if not empty, lengths are drawn from it
     /** Sends ten times its share from `heavy_from_s` on. */
     std::size_t heavy_team = SIZE_MAX;
     double heavy_from_s = 0;
 };
 
-/** Requests in order of arrival, in bursts; the same for the same seed. */
+/** Returns bursty requests by arrival, reproducible by the seed. */
 std::vector<request> make_workload(const deployment& site,
                                    const workload_settings& settings,
                                    std::uint64_t seed);
