--- a/fuzz/fuzz_directory_answers.cpp
+++ b/fuzz/fuzz_directory_answers.cpp
@@ -1,6 +1,7 @@
 /**
- * What a monitor answers for the directory, and what a gateway asks it. Taken
- * answers go through the history of a relay, which must give back what it took.
+ * Fuzzes directory calls of a gateway and directory answers of a monitor.
+ * Valid answers also pass through a relay's history, which must return the
+ * records that were stored in it.
  */
 #include "directory.pb.h"
 #include "directory_messages.hpp"
@@ -14,22 +15,22 @@
 namespace
 {
 
-constexpr std::size_t most_changes = 16;
+constexpr std::size_t max_changes = 16;
 
-void check(bool sound)
+void check(bool condition)
 {
-    if (!sound)
+    if (!condition)
         std::abort();
 }
 
 void check_history(directory_page<upstream_change> page)
 {
-    feed_history<upstream_record_traits> history(most_changes);
+    feed_history<upstream_record_traits> history(max_changes);
     const auto first = page.next_offset;
     history.restart(page);
     check(history.since(first).has_value());
     check(!history.since(first + 1));
-    // The same records once more, each at an offset of its own.
+    // Adds the same records again at offsets of their own.
     page.offsets.clear();
     for (std::size_t i = 0; i < page.items.size(); ++i)
         page.offsets.push_back(first + i);
@@ -40,8 +41,8 @@
     check(history.next_offset() == page.next_offset);
     const auto newest = history.newest();
     check(newest.items.size() <= page.items.size());
-    const auto behind = history.since(page.next_offset);
-    check(behind && behind->items.empty());
+    const auto after_last = history.since(page.next_offset);
+    check(after_last && after_last->items.empty());
 }
 
 } // namespace
--- a/fuzz/fuzz_monitor_datagrams.cpp
+++ b/fuzz/fuzz_monitor_datagrams.cpp
@@ -1,7 +1,8 @@
 /**
- * Datagrams between gateways and monitors, several in one input, each behind
- * a byte with its length. Those to a monitor go to its decisions, which must
- * stay within their bounds whatever a stranger sends.
+ * Fuzzes datagrams between gateways and monitors. One input holds several
+ * datagrams, each preceded by a length byte. Requests to a monitor and notices
+ * are passed to its decisions, which must stay within their bounds for any
+ * input.
  */
 #include "copy_turns.hpp"
 #include "load.pb.h"
@@ -15,17 +16,17 @@
 namespace
 {
 
-void check(bool sound)
+void check(bool condition)
 {
-    if (!sound)
+    if (!condition)
         std::abort();
 }
 
-/** What a monitor decides, in a time that only goes on. */
+/** The decisions of a monitor on a monotonic clock. */
 class decisions
 {
 public:
-    void take(const v1::MonitorRequest& request)
+    void handle(const v1::MonitorRequest& request)
     {
         now_ += milliseconds(1 + request.turn_tokens() % 100);
         if (!request.turn_wanted().empty())
@@ -34,21 +35,21 @@
                              now_);
         turns_.end(request.turn_ended());
         if (request.has_start_wanted())
-            take_start(request.start_wanted());
+            handle_start_request(request.start_wanted());
         starts_.end(request.start_ended());
     }
 
-    void take(const v1::MonitorNotice& notice)
+    void handle(const v1::MonitorNotice& notice)
     {
-        engine_view view;
-        view.running = notice.load().running();
-        view.queued = notice.load().queued();
-        view.memory_used = notice.load().memory_used();
-        view.memory_total = notice.load().memory_total();
+        engine_view status;
+        status.running = notice.load().running();
+        status.queued = notice.load().queued();
+        status.memory_used = notice.load().memory_used();
+        status.memory_total = notice.load().memory_total();
         now_ += milliseconds(50);
-        starts_.take_view(view, notice.load().leaving(), now_);
-        const auto given = starts_.give(now_);
-        check(given.empty() || !starts_.leaving());
+        starts_.take_view(status, notice.load().leaving(), now_);
+        const auto granted = starts_.give(now_);
+        check(granted.empty() || !starts_.leaving());
         check(!starts_.leaving() || !starts_.has_room_for_copy(0));
     }
 
@@ -62,19 +63,19 @@
     }
 
 private:
-    void take_start(const v1::StartWanted& wanted)
+    void handle_start_request(const v1::StartWanted& wanted)
     {
-        start_request asked;
-        asked.id = wanted.id();
-        asked.gateway = "g";
-        asked.team = wanted.team();
-        asked.prompt_tokens = wanted.prompt_tokens();
-        asked.output_tokens = wanted.output_tokens();
-        asked.first_due =
+        start_request request;
+        request.id = wanted.id();
+        request.gateway = "g";
+        request.team = wanted.team();
+        request.prompt_tokens = wanted.prompt_tokens();
+        request.output_tokens = wanted.output_tokens();
+        request.first_due =
             now_ + milliseconds(wanted.first_due_ms() % (1 << 30));
         starts_.set_slots(wanted.slots());
-        starts_.ask(asked, now_);
-        (void)starts_.is_passed_over(asked, now_);
+        starts_.ask(request, now_);
+        (void)starts_.is_passed_over(request, now_);
     }
 
     time_point now_{std::chrono::hours(1)};
@@ -87,20 +88,20 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data,
                                       std::size_t size)
 {
-    std::string_view left(reinterpret_cast<const char*>(data), size);
+    std::string_view rest(reinterpret_cast<const char*>(data), size);
     decisions monitor;
-    while (!left.empty()) {
-        const auto length = static_cast<unsigned char>(left.front());
-        left.remove_prefix(1);
-        const auto bytes = left.substr(0, length);
-        left.remove_prefix(bytes.size());
+    while (!rest.empty()) {
+        const auto length = static_cast<unsigned char>(rest.front());
+        rest.remove_prefix(1);
+        const auto bytes = rest.substr(0, length);
+        rest.remove_prefix(bytes.size());
         v1::MonitorRequest request;
         if (request.ParseFromArray(bytes.data(),
                                    static_cast<int>(bytes.size())))
-            monitor.take(request);
+            monitor.handle(request);
         v1::MonitorNotice notice;
         if (notice.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-            monitor.take(notice);
+            monitor.handle(notice);
         monitor.check_bounds();
     }
     return 0;
--- a/fuzz/fuzz_store_records.cpp
+++ b/fuzz/fuzz_store_records.cpp
@@ -1,6 +1,6 @@
 /**
- * What the platform's store answers, and what other writers have put into it.
- * Whatever is read must be something that requests can be served by.
+ * Fuzzes responses of the platform's store and the records in it. Every record
+ * that the readers accept must be usable to serve requests.
  */
 #include "keyed_records.hpp"
 #include "record_codec.hpp"
@@ -12,9 +12,9 @@
 namespace
 {
 
-void check(bool sound)
+void check(bool condition)
 {
-    if (!sound)
+    if (!condition)
         std::abort();
 }
 
