--- a/bench/bench_agent.hpp
+++ b/bench/bench_agent.hpp
@@ -25,20 +25,20 @@
 public:
     bench_agent(const deployment& site, const policy& chosen,
                 const engine_settings& engine, std::size_t index,
-                const std::vector<request>& requests, bool patient);
+                const std::vector<request>& requests, bool no_deadlines);
 
     /** Submits a request; returns the refusal that the agent would send. */
-    outcome<void> take(std::uint64_t id, time_point deadline, bool suspect,
-                       time_point now);
+    outcome<void> submit(std::uint64_t id, time_point deadline, bool suspect,
+                         time_point now);
     /** Starts the requests that admission lets start now. */
     void admit(time_point now);
     /** Ends a step and reports its tokens to admission. */
     const fake_engine::step_result& end_step(time_point now);
     void cancel(std::uint64_t id, time_point now);
     /** Clears the engine; the caller cancels each of its requests. */
-    void lose_engine();
+    void fail_engine();
     /** Handles a load report of the engine, which arrives with a delay. */
-    void engine_report(const engine_load_hint& hint, time_point now);
+    void handle_engine_report(const engine_load_hint& hint, time_point now);
 
     engine_load_hint engine_load() const;
     load_report report(time_point now) const;
@@ -49,18 +49,18 @@
     bool stepping = false;
     bool alive = true;
     bool leaving = false;
-    time_point cut_until{}; ///< no token is delivered before this time
+    time_point unreachable_until{}; ///< no token is delivered before this time
 
 private:
     admission_settings settings_of(const deployment& site, const policy& chosen,
                                    const engine_settings& engine,
-                                   bool patient) const;
+                                   bool no_deadlines) const;
 
     const deployment& site_;
     const std::vector<request>& requests_;
     admission_settings settings_;
     fake_engine engine_;
-    std::unique_ptr<admission> gate_; ///< null: no admission control
+    std::unique_ptr<admission> admission_; ///< null: no admission control
 };
 
 } // namespace cyclamenrun::bench
--- a/bench/bench_entry.cpp
+++ b/bench/bench_entry.cpp
@@ -14,30 +14,31 @@
 constexpr double retry_burst = 10;
 constexpr std::size_t retry_teams = 512;
 
-router_settings settings_of(const policy& chosen, bool patient)
+router_settings settings_of(const policy& chosen, bool no_deadlines)
 {
-    router_settings made;
-    made.block_tokens = prefix_block_tokens;
-    made.prefix = chosen.prefix;
-    made.own_counts = chosen.own_counts;
-    if (patient)
-        made.max_wait = std::chrono::hours(24);
-    return made;
+    router_settings settings;
+    settings.block_tokens = prefix_block_tokens;
+    settings.prefix = chosen.prefix;
+    settings.own_counts = chosen.own_counts;
+    if (no_deadlines)
+        settings.max_wait = std::chrono::hours(24);
+    return settings;
 }
 
-bool excluded(const route_request& request, const candidate& of)
+bool excluded(const route_request& request, const candidate& option)
 {
     return std::find(request.excluded.begin(), request.excluded.end(),
-                     of.upstream) != request.excluded.end();
+                     option.upstream) != request.excluded.end();
 }
 
 } // namespace
 
 bench_entry::bench_entry(const deployment& site, const policy& chosen,
-                         std::size_t index, std::uint64_t seed, bool patient)
+                         std::size_t index, std::uint64_t seed,
+                         bool no_deadlines)
     : failure_domain(site.failure_domains[index]), kind_(chosen.kind),
-      router_(settings_of(chosen, patient), seed),
-      retries_(retry_share, retry_burst, retry_teams), turn_(index)
+      router_(settings_of(chosen, no_deadlines), seed),
+      retries_(retry_share, retry_burst, retry_teams), next_index_(index)
 {
 }
 
@@ -46,18 +47,18 @@
                                          time_point now)
 {
     if (kind_ == policy_kind::round_robin)
-        return next_in_turn(request, candidates);
+        return choose_round_robin(request, candidates);
     if (kind_ == policy_kind::least_load)
-        return least_reported(request, candidates);
+        return choose_least_load(request, candidates);
     return router_.choose(request, candidates, now);
 }
 
 outcome<std::size_t>
-bench_entry::next_in_turn(const route_request& request,
-                          std::span<const candidate> candidates)
+bench_entry::choose_round_robin(const route_request& request,
+                                std::span<const candidate> candidates)
 {
     for (std::size_t tries = 0; tries < candidates.size(); ++tries) {
-        const std::size_t index = turn_++ % candidates.size();
+        const std::size_t index = next_index_++ % candidates.size();
         if (!excluded(request, candidates[index]))
             return index;
     }
@@ -65,21 +66,22 @@
 }
 
 outcome<std::size_t>
-bench_entry::least_reported(const route_request& request,
-                            std::span<const candidate> candidates)
+bench_entry::choose_least_load(const route_request& request,
+                               std::span<const candidate> candidates)
 {
     std::optional<std::size_t> best;
     std::uint64_t least = UINT64_MAX;
     // Starts at a different candidate each time to spread ties evenly.
-    ++turn_;
+    ++next_index_;
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        const std::size_t index = (turn_ + i) % candidates.size();
+        const std::size_t index = (next_index_ + i) % candidates.size();
         if (excluded(request, candidates[index]))
             continue;
         const load_report& load = reports_[candidates[index].upstream];
-        const std::uint64_t works = std::uint64_t{load.running} + load.queued;
-        if (works < least) {
-            least = works;
+        const std::uint64_t work_items =
+            std::uint64_t{load.running} + load.queued;
+        if (work_items < least) {
+            least = work_items;
             best = index;
         }
     }
--- a/bench/bench_entry.hpp
+++ b/bench/bench_entry.hpp
@@ -17,7 +17,7 @@
 {
 public:
     bench_entry(const deployment& site, const policy& chosen, std::size_t index,
-                std::uint64_t seed, bool patient);
+                std::uint64_t seed, bool no_deadlines);
 
     outcome<std::size_t> choose(const route_request& request,
                                 std::span<const candidate> candidates,
@@ -30,15 +30,17 @@
     bool alive = true;
 
 private:
-    outcome<std::size_t> next_in_turn(const route_request& request,
-                                      std::span<const candidate> candidates);
-    outcome<std::size_t> least_reported(const route_request& request,
-                                        std::span<const candidate> candidates);
+    outcome<std::size_t>
+    choose_round_robin(const route_request& request,
+                       std::span<const candidate> candidates);
+    outcome<std::size_t>
+    choose_least_load(const route_request& request,
+                      std::span<const candidate> candidates);
 
     policy_kind kind_;
     router router_;
     retry_budget retries_;
-    std::size_t turn_;
+    std::size_t next_index_;
     std::unordered_map<std::string, load_report> reports_;
 };
 
--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -112,14 +112,14 @@
 }
 
 /** An entry's state of its teams, including their configuration. */
-struct teams_held {
+struct entry_teams {
     configuration_view view;
     team_desk desk{0.1};
 };
 
-std::shared_ptr<teams_held> make_teams(std::size_t count)
+std::shared_ptr<entry_teams> make_teams(std::size_t count)
 {
-    auto held = std::make_shared<teams_held>();
+    auto held = std::make_shared<entry_teams>();
     auto& view = held->view;
     auto& desk = held->desk;
     for (std::size_t i = 0; i < count; ++i) {
@@ -162,9 +162,9 @@
     hooks.stop = [](work_id) {};
     hooks.wake = [](reader_id) {};
     hooks.news = [] {};
-    auto made = std::make_shared<gate>(settings, hooks);
-    made->engine_ready(0, start);
-    return made;
+    auto probed_gate = std::make_shared<gate>(settings, hooks);
+    probed_gate->engine_ready(0, start);
+    return probed_gate;
 }
 
 link::Dispatch generation(std::size_t number)
@@ -186,58 +186,59 @@
 
 std::shared_ptr<gate> gate_with_sessions(std::size_t count)
 {
-    auto made = make_gate();
+    auto probed_gate = make_gate();
     for (std::size_t i = 0; i < count; ++i)
-        (void)made->submit(generation(i), start);
-    return made;
+        (void)probed_gate->submit(generation(i), start);
+    return probed_gate;
 }
 
 std::shared_ptr<gate> gate_with_tokens(std::size_t count)
 {
-    auto made = make_gate();
-    (void)made->submit(generation(0), start);
+    auto probed_gate = make_gate();
+    (void)probed_gate->submit(generation(0), start);
     for (std::size_t i = 0; i < count; ++i)
-        made->token_made(1, " token", start);
-    return made;
+        probed_gate->token_made(1, " token", start);
+    return probed_gate;
 }
 
-std::shared_ptr<void> tombstones_of(std::size_t count)
+std::shared_ptr<void> make_tombstones(std::size_t count)
 {
-    auto made = std::make_shared<tombstones>(count);
+    auto result = std::make_shared<tombstones>(count);
     for (std::size_t i = 0; i < count; ++i)
-        made->add(name("1234567890123456789012345678901234567890.", i),
-                  start + std::chrono::hours(1), start);
-    return made;
+        result->add(name("1234567890123456789012345678901234567890.", i),
+                    start + std::chrono::hours(1), start);
+    return result;
 }
 
-std::shared_ptr<void> tickets_of(std::size_t count)
+std::shared_ptr<void> make_tickets(std::size_t count)
 {
-    auto made =
+    auto result =
         std::make_shared<ticket_book>(link_key, "vm-1", 1, start, count);
     const ticket_authority authority(link_key);
     for (std::size_t i = 0; i < count; ++i) {
         auto dispatch = generation(i);
         *dispatch.mutable_ticket() =
             authority.mint({"vm-1", 1, "team", "service", 600'000});
-        made->enter(dispatch, i, start);
+        result->enter(dispatch, i, start);
     }
-    return made;
+    return result;
 }
 
-std::shared_ptr<void> marks_of(std::size_t count)
+std::shared_ptr<void> make_poison_marks(std::size_t count)
 {
-    auto made = std::make_shared<poison_register>(count, std::chrono::hours(1));
+    auto result =
+        std::make_shared<poison_register>(count, std::chrono::hours(1));
     for (std::size_t i = 0; i < count; ++i)
-        made->mark(i, 1, start);
-    return made;
+        result->mark(i, 1, start);
+    return result;
 }
 
-std::shared_ptr<void> curves_of(std::size_t count)
+std::shared_ptr<void> make_length_curves(std::size_t count)
 {
-    auto made = std::make_shared<length_predictor>(count);
+    auto result = std::make_shared<length_predictor>(count);
     for (std::size_t i = 0; i < count; ++i)
-        made->learn("service", name("team-", i), 400, true);
-    return made;
+        result->learn("service", name("team-", i), 400, true);
+    return result;
 }
 
 /** Processor time of a choice by the number of candidates. */
@@ -264,25 +265,25 @@
 
 link::Heartbeat heartbeat()
 {
-    link::Heartbeat made;
-    made.set_entry("entry-1");
-    made.set_failure_domain("domain-1");
-    made.set_config_revision(100'000);
-    made.set_marks_seen(3);
-    made.set_wait_ms(5'000);
-    made.set_known_change(4);
-    made.set_known_revision(100'000);
-    return made;
+    link::Heartbeat result;
+    result.set_entry("entry-1");
+    result.set_failure_domain("domain-1");
+    result.set_config_revision(100'000);
+    result.set_marks_seen(3);
+    result.set_wait_ms(5'000);
+    result.set_known_change(4);
+    result.set_known_revision(100'000);
+    return result;
 }
 
 link::HeartbeatReply reply()
 {
-    link::HeartbeatReply made;
-    *made.mutable_load() = report_of(1);
-    made.set_config_revision(100'000);
-    made.set_marks_version(3);
-    made.set_load_change(4);
-    return made;
+    link::HeartbeatReply result;
+    *result.mutable_load() = report_of(1);
+    result.set_config_revision(100'000);
+    result.set_marks_version(3);
+    result.set_load_change(4);
+    return result;
 }
 
 double time_of_heartbeat_at_entry()
@@ -299,35 +300,35 @@
 
 double time_of_heartbeat_at_agent()
 {
-    const auto made = gate_with_sessions(64);
+    const auto probed_gate = gate_with_sessions(64);
     const auto bytes = heartbeat().SerializeAsString();
     return time_each(50'000, [&](int) {
         link::Heartbeat parsed;
         parsed.ParseFromString(bytes);
         auto answer = reply();
-        *answer.mutable_load() = made->load(start);
+        *answer.mutable_load() = probed_gate->load(start);
         (void)answer.SerializeAsString();
     });
 }
 
 double time_of_token_at_gate()
 {
-    const auto made = make_gate();
-    const auto reader = made->submit(generation(0), start);
+    const auto probed_gate = make_gate();
+    const auto reader = probed_gate->submit(generation(0), start);
     return time_each(100'000, [&](int) {
-        made->token_made(1, " token", start);
-        for (const auto& frame : made->pull(*reader, 4096, start).frames)
+        probed_gate->token_made(1, " token", start);
+        for (const auto& frame : probed_gate->pull(*reader, 4096, start).frames)
             (void)frame.SerializeAsString();
     });
 }
 
 double time_of_submission()
 {
-    const auto made = make_gate();
+    const auto probed_gate = make_gate();
     return time_each(5'000, [&](int i) {
         const auto work = static_cast<std::size_t>(i);
-        (void)made->submit(generation(work), start);
-        made->finished(work + 1, "stop", start);
+        (void)probed_gate->submit(generation(work), start);
+        probed_gate->finished(work + 1, "stop", start);
     });
 }
 
@@ -337,7 +338,7 @@
 {
     const std::vector<std::size_t> agents{150, 300, 600, 1200};
     const std::vector<std::size_t> teams{50, 100, 200, 350};
-    const std::vector<std::size_t> works{100, 200, 400, 800};
+    const std::vector<std::size_t> session_counts{100, 200, 400, 800};
     const std::vector<std::size_t> ids{1'000, 4'000, 16'000, 64'000};
     return {
         memory_slope("entry", "VM in the list", agents,
@@ -345,14 +346,14 @@
         memory_slope("entry", "agent of the subset", {24, 64, 128, 256},
                      [](std::size_t n) { return make_routes(1200, n); }),
         memory_slope("entry", "team", {350, 700, 1400, 2800}, make_teams),
-        memory_slope("entry", "poison mark", ids, marks_of),
+        memory_slope("entry", "poison mark", ids, make_poison_marks),
         choice_slope(),
-        memory_slope("agent", "session, waiting or running", works,
+        memory_slope("agent", "session, waiting or running", session_counts,
                      gate_with_sessions),
         memory_slope("agent", "token kept for replay", ids, gate_with_tokens),
-        memory_slope("agent", "tombstone", ids, tombstones_of),
-        memory_slope("agent", "ticket used", ids, tickets_of),
-        memory_slope("agent", "learnt curve", teams, curves_of),
+        memory_slope("agent", "tombstone", ids, make_tombstones),
+        memory_slope("agent", "ticket used", ids, make_tickets),
+        memory_slope("agent", "learnt curve", teams, make_length_curves),
     };
 }
 
--- a/bench/configuration_command.cpp
+++ b/bench/configuration_command.cpp
@@ -25,8 +25,8 @@
 
 constexpr int target_teams = 350;
 constexpr int target_models = 29;
-constexpr double changes_a_day = 1100;
-constexpr double seconds_a_day = 86'400;
+constexpr double changes_per_day = 1100;
+constexpr double seconds_per_day = 86'400;
 
 double milliseconds_of(duration spent)
 {
@@ -112,7 +112,7 @@
     log_tailer tailer;
 };
 
-struct spread_times {
+struct propagation_times {
     std::vector<double> after_accepted_ms;
     std::vector<double> after_submit_ms;
     double cpu_us_per_reader = 0;
@@ -120,7 +120,7 @@
 
 void measure_change(fake_log& log,
                     std::vector<std::unique_ptr<reader>>& readers, int number,
-                    spread_times& times)
+                    propagation_times& times)
 {
     configuration_store& store = readers.front()->store;
     operator_commands commands(log, store, steady_now);
@@ -143,7 +143,7 @@
         std::max(0.0, milliseconds_of(last - accepted)));
 }
 
-spread_times measure_spread(int reader_count, int changes)
+propagation_times measure_propagation(int reader_count, int changes)
 {
     fake_log log;
     append_target(log);
@@ -158,7 +158,7 @@
     while (!std::all_of(readers.begin(), readers.end(),
                         [](const auto& each) { return each->store.ready(); }))
         std::this_thread::yield();
-    spread_times times;
+    propagation_times times;
     const double cpu_before = process_cpu_us();
     for (int i = 0; i < changes; ++i)
         measure_change(log, readers, i, times);
@@ -190,14 +190,14 @@
     return {slope, (sum_y - slope * sum_x) / n};
 }
 
-void report_spread(int changes)
+void report_propagation(int changes)
 {
     std::cout << "readers | after accepted p50, p99 ms | after submit p50, "
                  "p99 ms | cpu us per reader and change\n";
     std::vector<double> counts;
     std::vector<double> p99;
     for (const int count : {3, 30, 300}) {
-        const auto times = measure_spread(count, changes);
+        const auto times = measure_propagation(count, changes);
         counts.push_back(count);
         p99.push_back(percentile(times.after_submit_ms, 0.99));
         std::cout << std::setw(7) << count << " | "
@@ -238,10 +238,10 @@
     const double delta = static_cast<double>(delta_bytes) / rounds;
     std::cout << "a change: " << bytes << " bytes on the log, " << delta
               << " bytes to an agent, " << cpu << " us of processor time\n"
-              << changes_a_day
-              << " a day: " << bytes * changes_a_day / seconds_a_day
+              << changes_per_day
+              << " a day: " << bytes * changes_per_day / seconds_per_day
               << " bytes/s and " << std::setprecision(3)
-              << cpu * changes_a_day / seconds_a_day / 1e4
+              << cpu * changes_per_day / seconds_per_day / 1e4
               << "% of a core for a reader\n"
               << std::setprecision(6);
 }
@@ -304,10 +304,10 @@
 };
 
 /** Three entries in virtual time that read at the idle interval. */
-class quiet_days
+class virtual_days
 {
 public:
-    quiet_days()
+    virtual_days()
     {
         append_target(log_);
         for (int i = 0; i < 3; ++i)
@@ -318,13 +318,14 @@
             read_all();
     }
 
-    void run(int days, double changes_of_day)
+    void run(int days, double daily_changes)
     {
-        const int steps = days * static_cast<int>(seconds_a_day / step_seconds);
-        double due = 0;
+        const int steps =
+            days * static_cast<int>(seconds_per_day / step_seconds);
+        double due_changes = 0;
         for (int i = 0; i < steps; ++i) {
-            for (due += changes_of_day / seconds_a_day * step_seconds; due >= 1;
-                 due -= 1)
+            for (due_changes += daily_changes / seconds_per_day * step_seconds;
+                 due_changes >= 1; due_changes -= 1)
                 log_.append(log_record_of(
                     next_change(entries_.front()->store, changes_++)));
             read_all();
@@ -352,18 +353,18 @@
     std::vector<std::unique_ptr<virtual_entry>> entries_;
 };
 
-void report_appends(const char* name, double changes_of_day)
+void report_appends(const char* name, double daily_changes)
 {
     constexpr int days = 7;
     constexpr double hours = days * 24.0;
-    quiet_days world;
-    const double appends = world.appends();
-    const double reads = world.reads();
-    world.run(days, changes_of_day);
-    const double added = world.appends() - appends;
+    virtual_days simulated;
+    const double appends = simulated.appends();
+    const double reads = simulated.reads();
+    simulated.run(days, daily_changes);
+    const double added = simulated.appends() - appends;
     std::cout << name << ": " << added / hours << " appends an hour, of them "
-              << (added - world.changes()) / hours << " of snapshots, and "
-              << (world.reads() - reads) / hours / 3
+              << (added - simulated.changes()) / hours << " of snapshots, and "
+              << (simulated.reads() - reads) / hours / 3
               << " reads an hour and entry\n";
 }
 
@@ -377,11 +378,11 @@
     command->add_option("--changes", *changes, "changes for each size")
         ->capture_default_str();
     command->callback([changes] {
-        report_spread(*changes);
+        report_propagation(*changes);
         report_cost();
         report_memory();
         report_appends("idle", 0);
-        report_appends("busy", changes_a_day);
+        report_appends("busy", changes_per_day);
     });
 }
 
--- a/bench/decision_cost_command.cpp
+++ b/bench/decision_cost_command.cpp
@@ -50,28 +50,28 @@
 
 std::vector<candidate> make_candidates(std::size_t count)
 {
-    std::vector<candidate> made;
+    std::vector<candidate> candidates;
     for (std::size_t i = 0; i < count; ++i) {
         candidate one;
         one.upstream = "runner-" + std::to_string(i);
         one.failure_domain = "domain-" + std::to_string(i % 14);
         one.region = "region-" + std::to_string(i % 4);
         one.hash = hash64(one.upstream);
-        made.push_back(one);
+        candidates.push_back(one);
     }
-    return made;
+    return candidates;
 }
 
 void report_all(router& routes, std::span<const candidate> candidates)
 {
     for (std::size_t i = 0; i < candidates.size(); ++i) {
-        load_report told;
-        told.upstream = candidates[i].upstream;
-        told.uptime = 1s;
-        told.running = i % 40;
-        told.memory_tokens_used = 800 * (i % 40);
-        told.memory_tokens_total = 32'768;
-        routes.report(told, begin);
+        load_report load;
+        load.upstream = candidates[i].upstream;
+        load.uptime = 1s;
+        load.running = i % 40;
+        load.memory_tokens_used = 800 * (i % 40);
+        load.memory_tokens_total = 32'768;
+        routes.report(load, begin);
     }
 }
 
@@ -127,16 +127,16 @@
     admission gate(settings);
     std::deque<work_id> running;
     work_id next = 0;
-    std::vector<waiting_work> works;
+    std::vector<waiting_work> work_items;
     for (; next < rounds + 2 * size.teams; ++next)
-        works.push_back(work_of(next, size.teams, begin));
+        work_items.push_back(work_of(next, size.teams, begin));
     next = 0;
     for (; next < 2 * size.teams; ++next)
-        std::ignore = gate.enqueue(works[next], begin);
+        std::ignore = gate.enqueue(work_items[next], begin);
     const duration from = processor_time();
     for (std::size_t i = 0; i < rounds; ++i) {
         const time_point now = begin + i * 1ms;
-        std::ignore = gate.enqueue(std::move(works[next++]), now);
+        std::ignore = gate.enqueue(std::move(work_items[next++]), now);
         for (const work_id id : gate.admit(now)) {
             running.push_back(id);
             gate.tokens_made(id, 1 + id % 300, now);
--- a/bench/decisions_command.cpp
+++ b/bench/decisions_command.cpp
@@ -76,7 +76,7 @@
         for (const char* part :
              {"prediction", "prefix", "fair_share", "own_counts"}) {
             named_policy one{std::string("-") + part, {}};
-            leave_out(one.chosen, part);
+            disable_part(one.chosen, part);
             chosen.push_back(one);
         }
     }
@@ -86,7 +86,7 @@
         for (const auto& part : options.without) {
             if (one.chosen.kind != policy_kind::cyclamenrun)
                 continue;
-            leave_out(one.chosen, part);
+            disable_part(one.chosen, part);
             one.name += "-" + part;
         }
     }
@@ -94,28 +94,30 @@
 }
 
 /** Two-sided 95% quantile of Student's t by degrees of freedom. */
-double student_t(std::size_t freedom)
+double student_t(std::size_t degrees_of_freedom)
 {
     constexpr double table[] = {12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36,
                                 2.31,  2.26, 2.23, 2.20, 2.18, 2.16, 2.14,
                                 2.13,  2.12, 2.11, 2.10, 2.09, 2.09};
     const std::size_t last = std::size(table) - 1;
-    return freedom == 0 ? 0 : table[std::min(freedom - 1, last)];
+    return degrees_of_freedom == 0
+               ? 0
+               : table[std::min(degrees_of_freedom - 1, last)];
 }
 
 estimate estimate_of(const std::vector<double>& values)
 {
     const auto count = static_cast<double>(values.size());
-    estimate made;
+    estimate result;
     for (const double value : values)
-        made.mean += value / count;
+        result.mean += value / count;
     double squares = 0;
     for (const double value : values)
-        squares += (value - made.mean) * (value - made.mean);
+        squares += (value - result.mean) * (value - result.mean);
     if (values.size() > 1)
-        made.half_width = student_t(values.size() - 1) *
-                          std::sqrt(squares / (count - 1) / count);
-    return made;
+        result.half_width = student_t(values.size() - 1) *
+                            std::sqrt(squares / (count - 1) / count);
+    return result;
 }
 
 /** Runs all seeds on `jobs` threads; returns an estimate per figure. */
@@ -135,15 +137,15 @@
         });
     threads.clear();
 
-    std::vector<std::pair<std::string, estimate>> made;
+    std::vector<std::pair<std::string, estimate>> result;
     for (std::size_t row = 0; row < runs.front().size(); ++row) {
         std::vector<double> values;
         values.reserve(count);
         for (const auto& run : runs)
             values.push_back(run[row].value);
-        made.emplace_back(runs.front()[row].name, estimate_of(values));
+        result.emplace_back(runs.front()[row].name, estimate_of(values));
     }
-    return made;
+    return result;
 }
 
 void print_table(
--- a/bench/deployment.hpp
+++ b/bench/deployment.hpp
@@ -13,7 +13,7 @@
 {
 
 /** A log-normal distribution of lengths in tokens, clamped to `max`. */
-struct length_law {
+struct length_distribution {
     double median;
     double sigma;
     std::uint32_t max;
@@ -37,8 +37,8 @@
     std::size_t runners = 10;
     double one_way_ms = 0.5; ///< between failure domains
     double deadline_s = 120;
-    length_law short_answer;
-    length_law long_answer;
+    length_distribution short_answer;
+    length_distribution long_answer;
     std::vector<team_profile> teams;
 };
 
--- a/bench/fake_engine.cpp
+++ b/bench/fake_engine.cpp
@@ -28,34 +28,34 @@
                       int priority)
 {
     std::list<sequence> one(1);
-    sequence& of = one.front();
-    of.id = id;
-    of.prompt = prompt_tokens;
-    of.output = output_tokens;
-    of.prefix.assign(prefix_blocks.begin(), prefix_blocks.end());
-    of.priority = priority;
+    sequence& seq = one.front();
+    seq.id = id;
+    seq.prompt = prompt_tokens;
+    seq.output = output_tokens;
+    seq.prefix.assign(prefix_blocks.begin(), prefix_blocks.end());
+    seq.priority = priority;
     enqueue(one, one.begin(), false);
 }
 
-void fake_engine::enqueue(std::list<sequence>& from, sequence_ptr of,
+void fake_engine::enqueue(std::list<sequence>& from, sequence_ptr seq,
                           bool first)
 {
-    const auto goes_before = [&](const sequence& other) {
-        return of->priority > other.priority ||
-               (first && of->priority == other.priority);
+    const auto precedes = [&](const sequence& other) {
+        return seq->priority > other.priority ||
+               (first && seq->priority == other.priority);
     };
-    auto place = waiting_.end();
-    while (place != waiting_.begin() && goes_before(*std::prev(place)))
-        --place;
-    waiting_.splice(place, from, of);
+    auto position = waiting_.end();
+    while (position != waiting_.begin() && precedes(*std::prev(position)))
+        --position;
+    waiting_.splice(position, from, seq);
 }
 
 void fake_engine::cancel(sequence_id id)
 {
-    const auto is_it = [id](const sequence& of) { return of.id == id; };
-    const auto found = std::find_if(running_.begin(), running_.end(), is_it);
+    const auto has_id = [id](const sequence& seq) { return seq.id == id; };
+    const auto found = std::find_if(running_.begin(), running_.end(), has_id);
     if (found == running_.end()) {
-        waiting_.remove_if(is_it);
+        waiting_.remove_if(has_id);
         return;
     }
     release(*found);
@@ -65,10 +65,10 @@
 std::vector<fake_engine::sequence_id> fake_engine::reset()
 {
     std::vector<sequence_id> lost;
-    for (const auto& of : running_)
-        lost.push_back(of.id);
-    for (const auto& of : waiting_)
-        lost.push_back(of.id);
+    for (const auto& seq : running_)
+        lost.push_back(seq.id);
+    for (const auto& seq : waiting_)
+        lost.push_back(seq.id);
     running_.clear();
     waiting_.clear();
     cache_.clear();
@@ -83,39 +83,39 @@
     result_.tokens.clear();
     result_.finished.clear();
     result_.cache_events.clear();
-    reading_ = 0;
-    preempted_now_ = false;
+    step_prefill_tokens_ = 0;
+    preempted_in_step_ = false;
     schedule_decodes();
-    read_prompts();
+    prefill_running();
     schedule_waiting();
     const auto batch = static_cast<double>(running_.size());
     return settings_.step_ms + batch * settings_.step_ms_per_sequence +
            static_cast<double>(memory_used()) *
                settings_.step_ms_per_memory_token +
-           reading_ * settings_.step_ms_per_prefill_token;
+           step_prefill_tokens_ * settings_.step_ms_per_prefill_token;
 }
 
 void fake_engine::schedule_decodes()
 {
-    for (auto of = running_.begin(); of != running_.end();) {
-        of->decodes = of->to_read == 0;
-        const auto next = std::next(of);
-        if (!of->decodes) {
-            of = next;
+    for (auto seq = running_.begin(); seq != running_.end();) {
+        seq->decodes = seq->prefill_left == 0;
+        const auto next = std::next(seq);
+        if (!seq->decodes) {
+            seq = next;
             continue;
         }
         const std::uint64_t wanted =
-            private_blocks(*of, of->prompt + of->made + 1);
-        bool gone = false;
-        while (!gone && !take_blocks(*of, wanted)) {
+            private_blocks(*seq, seq->prompt + seq->generated + 1);
+        bool preempted_itself = false;
+        while (!preempted_itself && !allocate_blocks(*seq, wanted)) {
             const sequence_ptr last = victim();
-            gone = last == of;
+            preempted_itself = last == seq;
             // The list is ordered by age: a later victim has not been
             // scheduled yet, an earlier one must not decode.
             preempt(last);
         }
-        of = gone ? running_.begin() : std::next(of);
-        if (gone)
+        seq = preempted_itself ? running_.begin() : std::next(seq);
+        if (preempted_itself)
             // Restarts from the first sequence: rare, cheap, and repeated
             // allocations have no effect.
             continue;
@@ -125,80 +125,82 @@
 fake_engine::sequence_ptr fake_engine::victim()
 {
     auto least = std::prev(running_.end());
-    for (auto of = least;; --of) {
-        if (of->priority < least->priority)
-            least = of;
-        if (of == running_.begin())
+    for (auto seq = least;; --seq) {
+        if (seq->priority < least->priority)
+            least = seq;
+        if (seq == running_.begin())
             return least;
     }
 }
 
-void fake_engine::preempt(sequence_ptr of)
+void fake_engine::preempt(sequence_ptr seq)
 {
     ++preemptions_;
-    preempted_now_ = true;
-    of->recompute = of->prompt + of->made - of->to_read;
-    release(*of);
-    enqueue(running_, of, true);
+    preempted_in_step_ = true;
+    seq->recompute = seq->prompt + seq->generated - seq->prefill_left;
+    release(*seq);
+    enqueue(running_, seq, true);
 }
 
-void fake_engine::read_prompts()
+void fake_engine::prefill_running()
 {
-    for (sequence& of : running_) {
+    for (sequence& seq : running_) {
         const std::uint32_t budget =
-            settings_.prefill_tokens_per_step - reading_;
-        const std::uint32_t now = std::min(budget, of.to_read);
-        of.to_read -= now;
-        reading_ += now;
-        const std::uint32_t again = std::min(now, of.recompute);
-        of.recompute -= again;
-        recomputed_ += again;
+            settings_.prefill_tokens_per_step - step_prefill_tokens_;
+        const std::uint32_t now = std::min(budget, seq.prefill_left);
+        seq.prefill_left -= now;
+        step_prefill_tokens_ += now;
+        const std::uint32_t recomputed = std::min(now, seq.recompute);
+        seq.recompute -= recomputed;
+        recomputed_tokens_ += recomputed;
         // The step that completes the prompt also makes a token.
-        if (now > 0 && of.to_read == 0)
-            of.decodes = true;
+        if (now > 0 && seq.prefill_left == 0)
+            seq.decodes = true;
     }
 }
 
 void fake_engine::schedule_waiting()
 {
-    while (!preempted_now_ && !waiting_.empty() &&
+    while (!preempted_in_step_ && !waiting_.empty() &&
            running_.size() < settings_.max_batch &&
-           reading_ < settings_.prefill_tokens_per_step) {
+           step_prefill_tokens_ < settings_.prefill_tokens_per_step) {
         if (!make_room(waiting_.begin()))
             return;
         running_.splice(running_.end(), waiting_, waiting_.begin());
-        sequence& of = running_.back();
+        sequence& seq = running_.back();
         const std::uint32_t now =
-            std::min(settings_.prefill_tokens_per_step - reading_, of.to_read);
-        of.to_read -= now;
-        reading_ += now;
-        const std::uint32_t again = std::min(now, of.recompute);
-        of.recompute -= again;
-        recomputed_ += again;
-        of.decodes = of.to_read == 0;
+            std::min(settings_.prefill_tokens_per_step - step_prefill_tokens_,
+                     seq.prefill_left);
+        seq.prefill_left -= now;
+        step_prefill_tokens_ += now;
+        const std::uint32_t recomputed = std::min(now, seq.recompute);
+        seq.recompute -= recomputed;
+        recomputed_tokens_ += recomputed;
+        seq.decodes = seq.prefill_left == 0;
     }
 }
 
-bool fake_engine::make_room(sequence_ptr of)
+bool fake_engine::make_room(sequence_ptr seq)
 {
-    while (!start(*of)) {
+    while (!start(*seq)) {
         if (running_.empty())
             return false;
         const sequence_ptr least = victim();
-        if (least->priority >= of->priority)
+        if (least->priority >= seq->priority)
             return false;
         preempt(least);
-        preempted_now_ = false;
+        preempted_in_step_ = false;
     }
     return true;
 }
 
-bool fake_engine::start(sequence& of)
+bool fake_engine::start(sequence& seq)
 {
-    const std::uint64_t wanted = private_blocks(of, of.prompt + of.made + 1);
+    const std::uint64_t wanted =
+        private_blocks(seq, seq.prompt + seq.generated + 1);
     std::uint64_t missing = 0;
     std::uint64_t unused_wanted = 0;
-    for (const std::uint64_t block : of.prefix) {
+    for (const std::uint64_t block : seq.prefix) {
         const auto found = cache_.find(block);
         if (found == cache_.end())
             ++missing;
@@ -213,28 +215,28 @@
     if (needed > free_blocks() + evictable * prefix_unit_)
         return false;
     std::uint32_t cached = 0;
-    for (const std::uint64_t block : of.prefix) {
+    for (const std::uint64_t block : seq.prefix) {
         if (!cache_.contains(block))
             break;
         ++cached;
     }
-    use_prefix(of);
-    take_blocks(of, wanted);
-    const std::uint32_t tokens = of.prompt + of.made;
-    of.to_read = std::max(tokens - cached * prefix_block_tokens, 1U);
-    of.recompute = std::min(of.recompute, of.to_read);
+    use_prefix(seq);
+    allocate_blocks(seq, wanted);
+    const std::uint32_t tokens = seq.prompt + seq.generated;
+    seq.prefill_left = std::max(tokens - cached * prefix_block_tokens, 1U);
+    seq.recompute = std::min(seq.recompute, seq.prefill_left);
     return true;
 }
 
-void fake_engine::use_prefix(sequence& of)
+void fake_engine::use_prefix(sequence& seq)
 {
     // Pins blocks already cached so that the eviction below keeps them.
-    for (const std::uint64_t block : of.prefix) {
+    for (const std::uint64_t block : seq.prefix) {
         const auto found = cache_.find(block);
         if (found != cache_.end() && found->second.users++ == 0)
-            unused_.erase(found->second.unused);
+            unused_.erase(found->second.unused_position);
     }
-    for (const std::uint64_t block : of.prefix) {
+    for (const std::uint64_t block : seq.prefix) {
         if (cache_.contains(block))
             continue;
         evict(prefix_unit_);
@@ -243,22 +245,22 @@
     }
 }
 
-std::uint64_t fake_engine::private_blocks(const sequence& of,
+std::uint64_t fake_engine::private_blocks(const sequence& seq,
                                           std::uint32_t tokens) const
 {
-    const std::uint64_t own = tokens - of.prefix.size() * prefix_block_tokens;
+    const std::uint64_t own = tokens - seq.prefix.size() * prefix_block_tokens;
     return (own + settings_.block_tokens - 1) / settings_.block_tokens;
 }
 
-bool fake_engine::take_blocks(sequence& of, std::uint64_t wanted)
+bool fake_engine::allocate_blocks(sequence& seq, std::uint64_t wanted)
 {
-    if (wanted <= of.blocks)
+    if (wanted <= seq.blocks)
         return true;
-    const std::uint64_t more = wanted - of.blocks;
+    const std::uint64_t more = wanted - seq.blocks;
     evict(more);
     if (free_blocks() < more)
         return false;
-    of.blocks = wanted;
+    seq.blocks = wanted;
     private_used_ += more;
     return true;
 }
@@ -277,35 +279,36 @@
     }
 }
 
-void fake_engine::release(sequence& of)
+void fake_engine::release(sequence& seq)
 {
-    private_used_ -= of.blocks;
-    of.blocks = 0;
-    for (auto block = of.prefix.rbegin(); block != of.prefix.rend(); ++block) {
+    private_used_ -= seq.blocks;
+    seq.blocks = 0;
+    for (auto block = seq.prefix.rbegin(); block != seq.prefix.rend();
+         ++block) {
         cached_block& held = cache_.at(*block);
         if (--held.users > 0)
             continue;
         unused_.push_back(*block);
-        held.unused = std::prev(unused_.end());
+        held.unused_position = std::prev(unused_.end());
     }
 }
 
 const fake_engine::step_result& fake_engine::end_step()
 {
-    for (auto of = running_.begin(); of != running_.end();) {
-        if (!of->decodes) {
-            ++of;
+    for (auto seq = running_.begin(); seq != running_.end();) {
+        if (!seq->decodes) {
+            ++seq;
             continue;
         }
-        of->decodes = false;
-        result_.tokens.push_back(of->id);
-        if (++of->made < of->output) {
-            ++of;
+        seq->decodes = false;
+        result_.tokens.push_back(seq->id);
+        if (++seq->generated < seq->output) {
+            ++seq;
             continue;
         }
-        result_.finished.push_back(of->id);
-        release(*of);
-        of = running_.erase(of);
+        result_.finished.push_back(seq->id);
+        release(*seq);
+        seq = running_.erase(seq);
     }
     return result_;
 }
--- a/bench/fake_engine.hpp
+++ b/bench/fake_engine.hpp
@@ -68,7 +68,7 @@
     /** Tokens held by running sequences, without unused cached blocks. */
     std::uint64_t memory_used() const;
     std::uint64_t preemptions() const { return preemptions_; }
-    std::uint64_t recomputed_tokens() const { return recomputed_; }
+    std::uint64_t recomputed_tokens() const { return recomputed_tokens_; }
 
 private:
     struct sequence {
@@ -77,34 +77,34 @@
         std::uint32_t output = 0;
         std::vector<std::uint64_t> prefix;
         int priority = 0;
-        std::uint32_t made = 0;
-        std::uint32_t to_read = 0;   ///< prompt tokens not computed yet
+        std::uint32_t generated = 0;
+        std::uint32_t prefill_left = 0; ///< prompt tokens not computed yet
         std::uint32_t recompute = 0; ///< part of these that was computed before
         std::uint64_t blocks = 0;    ///< held, without prefix blocks
         bool decodes = false;        ///< makes a token in the current step
     };
     struct cached_block {
         std::uint32_t users = 0;
-        std::list<std::uint64_t>::iterator unused;
+        std::list<std::uint64_t>::iterator unused_position;
     };
     using sequence_ptr = std::list<sequence>::iterator;
 
     void schedule_decodes();
     void schedule_waiting();
-    void read_prompts();
-    bool take_blocks(sequence& of, std::uint64_t wanted);
+    void prefill_running();
+    bool allocate_blocks(sequence& seq, std::uint64_t wanted);
     /** Starts a sequence, preempting those of lower priority if needed. */
-    bool make_room(sequence_ptr of);
-    bool start(sequence& of);
-    std::uint64_t private_blocks(const sequence& of,
+    bool make_room(sequence_ptr seq);
+    bool start(sequence& seq);
+    std::uint64_t private_blocks(const sequence& seq,
                                  std::uint32_t tokens) const;
-    void release(sequence& of);
-    void use_prefix(sequence& of);
+    void release(sequence& seq);
+    void use_prefix(sequence& seq);
     std::uint64_t free_blocks() const;
     void evict(std::uint64_t wanted);
     void preempt(sequence_ptr victim);
     sequence_ptr victim();
-    void enqueue(std::list<sequence>& from, sequence_ptr of, bool first);
+    void enqueue(std::list<sequence>& from, sequence_ptr seq, bool first);
 
     engine_settings settings_;
     std::uint64_t total_blocks_;
@@ -114,10 +114,10 @@
     std::list<sequence> waiting_;
     std::unordered_map<std::uint64_t, cached_block> cache_;
     std::list<std::uint64_t> unused_; ///< cached without users, oldest first
-    std::uint32_t reading_ = 0;       ///< prompt tokens in this step
-    bool preempted_now_ = false;
+    std::uint32_t step_prefill_tokens_ = 0; ///< prompt tokens in this step
+    bool preempted_in_step_ = false;
     std::uint64_t preemptions_ = 0;
-    std::uint64_t recomputed_ = 0;
+    std::uint64_t recomputed_tokens_ = 0;
     step_result result_;
 };
 
--- a/bench/linear_fit.cpp
+++ b/bench/linear_fit.cpp
@@ -9,30 +9,31 @@
 linear_fit fit_line(const std::vector<sample_point>& points)
 {
     const auto count = static_cast<double>(points.size());
-    double sizes = 0.0;
-    double values = 0.0;
+    double size_sum = 0.0;
+    double value_sum = 0.0;
     for (const auto& point : points) {
-        sizes += point.size;
-        values += point.value;
+        size_sum += point.size;
+        value_sum += point.value;
     }
-    double above = 0.0;
-    double below = 0.0;
+    double product_sum = 0.0;
+    double square_sum = 0.0;
     for (const auto& point : points) {
-        const auto distance = point.size - sizes / count;
-        above += distance * (point.value - values / count);
-        below += distance * distance;
+        const auto distance = point.size - size_sum / count;
+        product_sum += distance * (point.value - value_sum / count);
+        square_sum += distance * distance;
     }
     linear_fit fit;
-    fit.slope = below > 0.0 ? above / below : 0.0;
-    fit.base = values / count - fit.slope * sizes / count;
-    double largest = 0.0;
-    double farthest = 0.0;
+    fit.slope = square_sum > 0.0 ? product_sum / square_sum : 0.0;
+    fit.base = value_sum / count - fit.slope * size_sum / count;
+    double largest_value = 0.0;
+    double largest_deviation = 0.0;
     for (const auto& point : points) {
-        largest = std::max(largest, std::abs(point.value));
-        farthest =
-            std::max(farthest, std::abs(point.value - fit.at(point.size)));
+        largest_value = std::max(largest_value, std::abs(point.value));
+        largest_deviation = std::max(
+            largest_deviation, std::abs(point.value - fit.at(point.size)));
     }
-    fit.residual = largest > 0.0 ? farthest / largest : 0.0;
+    fit.residual =
+        largest_value > 0.0 ? largest_deviation / largest_value : 0.0;
     return fit;
 }
 
--- a/bench/log_histogram.cpp
+++ b/bench/log_histogram.cpp
@@ -9,21 +9,22 @@
 namespace
 {
 
-constexpr double least = 0.01;
-constexpr double most = 1e7;
+constexpr double min_value = 0.01;
+constexpr double max_value = 1e7;
 const double step = std::log(1.01);
 
 } // namespace
 
 log_histogram::log_histogram()
-    : buckets_(static_cast<std::size_t>(std::log(most / least) / step) + 2)
+    : buckets_(
+          static_cast<std::size_t>(std::log(max_value / min_value) / step) + 2)
 {
 }
 
 void log_histogram::add(double value)
 {
-    const double bounded = std::clamp(value, least, most);
-    ++buckets_[static_cast<std::size_t>(std::log(bounded / least) / step)];
+    const double bounded = std::clamp(value, min_value, max_value);
+    ++buckets_[static_cast<std::size_t>(std::log(bounded / min_value) / step)];
     ++count_;
 }
 
@@ -37,9 +38,9 @@
     for (std::size_t i = 0; i < buckets_.size(); ++i) {
         seen += buckets_[i];
         if (seen >= wanted)
-            return least * std::exp(step * (static_cast<double>(i) + 0.5));
+            return min_value * std::exp(step * (static_cast<double>(i) + 0.5));
     }
-    return most;
+    return max_value;
 }
 
 } // namespace cyclamenrun::bench
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -19,8 +19,8 @@
 namespace
 {
 
-constexpr std::size_t most_streams = 2000;
-constexpr std::chrono::seconds longest_time{120};
+constexpr std::size_t max_streams = 2000;
+constexpr std::chrono::seconds max_time{120};
 /** Stream starts are spread over this time. */
 constexpr milliseconds ramp{1000};
 
@@ -77,9 +77,9 @@
     if (!settings.direct.host().isLoopback() ||
         !settings.through.host().isLoopback())
         throw std::invalid_argument("targets must be in 127.0.0.0/8");
-    if (settings.streams == 0 || settings.streams > most_streams)
+    if (settings.streams == 0 || settings.streams > max_streams)
         throw std::invalid_argument("streams: 1 to 2000");
-    if (settings.time <= ramp || settings.time > longest_time)
+    if (settings.time <= ramp || settings.time > max_time)
         throw std::invalid_argument("seconds: 2 to 120");
 }
 
@@ -96,27 +96,28 @@
     {
         if (steady_now() >= deadline_)
             return;
-        const auto open = std::make_shared<pair>();
-        start_one(result_.direct, open, &pair::direct);
-        start_one(result_.through, open, &pair::through);
+        const auto open_pair = std::make_shared<pair>();
+        start_stream(result_.direct, open_pair, &pair::direct);
+        start_stream(result_.through, open_pair, &pair::through);
     }
 
 private:
     struct pair {
         std::optional<double> direct;
         std::optional<double> through;
-        int over = 0;
+        int ended_streams = 0;
     };
 
-    void start_one(path_target& target, const std::shared_ptr<pair>& open,
-                   std::optional<double> pair::*first_token)
+    void start_stream(path_target& target,
+                      const std::shared_ptr<pair>& open_pair,
+                      std::optional<double> pair::*first_token)
     {
         std::make_shared<path_stream>(
             reactor_, target,
-            [this, open, first_token](std::optional<double> time) {
-                (*open).*first_token = time;
-                if (++open->over == 2)
-                    end_pair(*open);
+            [this, open_pair, first_token](std::optional<double> time) {
+                (*open_pair).*first_token = time;
+                if (++open_pair->ended_streams == 2)
+                    end_pair(*open_pair);
             })
             ->start();
     }
--- a/bench/path_command.cpp
+++ b/bench/path_command.cpp
@@ -77,7 +77,7 @@
 }
 
 template <typename Measure>
-void guarded(const Measure& measure)
+void run_with_usage_errors(const Measure& measure)
 {
     try {
         measure();
@@ -98,34 +98,34 @@
         std::string through;
         std::int64_t seconds = 10;
     };
-    const auto given = std::make_shared<options>();
+    const auto parsed = std::make_shared<options>();
     CLI::App* command = app.add_subcommand(
         "path", "Latency and cost that entry and agent add to the engine's");
-    command->add_option("--direct", given->direct, "IP:PORT of the engine")
+    command->add_option("--direct", parsed->direct, "IP:PORT of the engine")
         ->required();
-    command->add_option("--through", given->through, "IP:PORT of the entry")
+    command->add_option("--through", parsed->through, "IP:PORT of the entry")
         ->required();
-    command->add_option("--streams", given->settings.streams,
+    command->add_option("--streams", parsed->settings.streams,
                         "concurrent streams to each target, up to 2000");
-    command->add_option("--seconds", given->seconds, "up to 120");
-    command->add_option("--key", given->settings.key, "the team's bearer key")
+    command->add_option("--seconds", parsed->seconds, "up to 120");
+    command->add_option("--key", parsed->settings.key, "the team's bearer key")
         ->required();
-    command->add_option("--model", given->settings.model, "the service")
+    command->add_option("--model", parsed->settings.model, "the service")
         ->required();
-    command->add_option("--prompt-words", given->settings.prompt_words,
+    command->add_option("--prompt-words", parsed->settings.prompt_words,
                         "words of each prompt");
-    command->add_option("--output-tokens", given->settings.output_tokens,
+    command->add_option("--output-tokens", parsed->settings.output_tokens,
                         "tokens of each answer");
     command
-        ->add_option("--pids", given->settings.processes,
+        ->add_option("--pids", parsed->settings.processes,
                      "processes whose memory is read")
         ->delimiter(',');
-    command->callback([given] {
-        guarded([&] {
-            path_settings settings = given->settings;
-            settings.direct = Poco::Net::SocketAddress(given->direct);
-            settings.through = Poco::Net::SocketAddress(given->through);
-            settings.time = std::chrono::seconds(given->seconds);
+    command->callback([parsed] {
+        run_with_usage_errors([&] {
+            path_settings settings = parsed->settings;
+            settings.direct = Poco::Net::SocketAddress(parsed->direct);
+            settings.through = Poco::Net::SocketAddress(parsed->through);
+            settings.time = std::chrono::seconds(parsed->seconds);
             const path_result result = measure_path(settings);
             print(settings, result);
             check(result);
@@ -144,7 +144,7 @@
     command->add_option("--token-bytes", settings->token_bytes,
                         "of each frame");
     command->callback([settings] {
-        guarded([&] {
+        run_with_usage_errors([&] {
             const links_result result = measure_links(*settings);
             std::cout << std::fixed << std::setprecision(2) << result.frames
                       << " frames; microseconds a frame: client "
@@ -165,17 +165,17 @@
         connections_settings settings;
         std::int64_t idle = 30;
     };
-    const auto given = std::make_shared<options>();
+    const auto parsed = std::make_shared<options>();
     CLI::App* command = app.add_subcommand(
         "connections", "Latency, memory and idle cost of link connections");
-    command->add_option("--connections", given->settings.connections,
+    command->add_option("--connections", parsed->settings.connections,
                         "1 to 1000");
-    command->add_option("--idle", given->idle,
+    command->add_option("--idle", parsed->idle,
                         "idle time in seconds, up to 120");
-    command->callback([given] {
-        guarded([&] {
-            connections_settings settings = given->settings;
-            settings.idle = std::chrono::seconds(given->idle);
+    command->callback([parsed] {
+        run_with_usage_errors([&] {
+            connections_settings settings = parsed->settings;
+            settings.idle = std::chrono::seconds(parsed->idle);
             const connections_result result = measure_connections(settings);
             std::cout << std::fixed << std::setprecision(3)
                       << "first answer with connect and handshake: p50 "
--- a/bench/path_connections.cpp
+++ b/bench/path_connections.cpp
@@ -18,8 +18,8 @@
 namespace
 {
 
-constexpr std::size_t most_connections = 1000;
-constexpr std::chrono::seconds longest_idle{120};
+constexpr std::size_t max_connections = 1000;
+constexpr std::chrono::seconds max_idle{120};
 
 double process_microseconds()
 {
@@ -35,7 +35,7 @@
 }
 
 /** Sends a request; returns the time to its answer in milliseconds. */
-double ask(link_client& client)
+double time_request(link_client& client)
 {
     std::promise<bool> ended;
     const time_point begin = steady_now();
@@ -53,9 +53,9 @@
 
 connections_result measure_connections(const connections_settings& settings)
 {
-    if (settings.connections == 0 || settings.connections > most_connections)
+    if (settings.connections == 0 || settings.connections > max_connections)
         throw std::invalid_argument("connections: 1 to 1000");
-    if (settings.idle > longest_idle)
+    if (settings.idle > max_idle)
         throw std::invalid_argument("idle: up to 120 seconds");
     connections_result result;
     link_loop server_loop;
@@ -67,7 +67,7 @@
     const auto connect = [&] {
         clients.push_back(
             link_client::create(client_loop, server.address(), "key", {}));
-        return ask(*clients.back());
+        return time_request(*clients.back());
     };
     // The first connection allocates the memory that all share.
     connect();
@@ -77,7 +77,7 @@
     const auto connections = static_cast<double>(settings.connections);
     result.bytes_per_connection = (heap_bytes() - before) / connections;
     for (const auto& client : clients)
-        result.next_answer.add(ask(*client));
+        result.next_answer.add(time_request(*client));
     const double spent = process_microseconds();
     std::this_thread::sleep_for(settings.idle);
     if (settings.idle.count() > 0)
--- a/bench/path_links.cpp
+++ b/bench/path_links.cpp
@@ -101,7 +101,7 @@
             const auto slot = std::make_shared<std::weak_ptr<client_stream>>();
             client_handlers handlers;
             handlers.on_frame = [this, slot](const std::string& frame) {
-                received(frame, *slot);
+                handle_frame(frame, *slot);
             };
             streams_.push_back(client_->open("/dispatch", "request", handlers));
             *slot = streams_.back();
@@ -109,7 +109,7 @@
         all_accepted_.get_future().wait();
     }
 
-    void flow(links_result& result)
+    void measure_flow(links_result& result)
     {
         const double client = loop_microseconds(client_loop_);
         const double server = loop_microseconds(server_loop_);
@@ -137,8 +137,8 @@
             all_accepted_.set_value();
     }
 
-    void received(const std::string& frame,
-                  const std::weak_ptr<client_stream>& stream)
+    void handle_frame(const std::string& frame,
+                      const std::weak_ptr<client_stream>& stream)
     {
         duration::rep sent = 0;
         std::memcpy(&sent, frame.data(), sizeof sent);
@@ -187,7 +187,7 @@
     links_trial trial(settings);
     const double before = heap_bytes();
     trial.open_all();
-    trial.flow(result);
+    trial.measure_flow(result);
     const auto streams = static_cast<double>(settings.streams);
     result.bytes_per_stream = (heap_bytes() - before) / streams;
     return result;
--- a/bench/path_samples.cpp
+++ b/bench/path_samples.cpp
@@ -9,13 +9,13 @@
 namespace
 {
 
-constexpr std::size_t most_samples = 8'000'000;
+constexpr std::size_t max_samples = 8'000'000;
 
 } // namespace
 
 void path_samples::add(double value)
 {
-    if (values_.size() < most_samples)
+    if (values_.size() < max_samples)
         values_.push_back(value);
 }
 
@@ -25,10 +25,10 @@
         return 0;
     std::vector<double> sorted = values_;
     const auto last = static_cast<double>(sorted.size() - 1);
-    const auto place =
+    const auto position =
         sorted.begin() + static_cast<std::ptrdiff_t>(share * last);
-    std::nth_element(sorted.begin(), place, sorted.end());
-    return *place;
+    std::nth_element(sorted.begin(), position, sorted.end());
+    return *position;
 }
 
 double path_samples::mean() const
--- a/bench/path_stream.cpp
+++ b/bench/path_stream.cpp
@@ -11,11 +11,11 @@
 namespace
 {
 
-constexpr std::string_view good_status = "HTTP/1.1 200";
-constexpr std::string_view event_start = "data: ";
-constexpr std::string_view last_event = "data: [DONE]";
+constexpr std::string_view success_status = "HTTP/1.1 200";
+constexpr std::string_view event_prefix = "data: ";
+constexpr std::string_view final_event = "data: [DONE]";
 /** Engines send no longer lines, so a longer one ends the stream. */
-constexpr std::size_t longest_line = 65536;
+constexpr std::size_t max_line_bytes = 65536;
 
 double in_milliseconds(duration time)
 {
@@ -25,8 +25,8 @@
 } // namespace
 
 path_stream::path_stream(link_reactor& reactor, path_target& target,
-                         over_function over)
-    : reactor_(reactor), target_(target), over_(std::move(over))
+                         end_handler on_end)
+    : reactor_(reactor), target_(target), on_end_(std::move(on_end))
 {
 }
 
@@ -80,34 +80,34 @@
     const int size =
         socket_.receiveBytes(room.data(), static_cast<int>(room.size()));
     if (size > 0)
-        take({room.data(), static_cast<std::size_t>(size)});
+        handle_bytes({room.data(), static_cast<std::size_t>(size)});
     else if (size == 0)
         close(last_event_seen_);
 }
 
-void path_stream::take(std::string_view bytes)
+void path_stream::handle_bytes(std::string_view bytes)
 {
     // Both targets write each event into one HTTP chunk, so lines of the
     // chunked transfer coding can be skipped.
     while (!bytes.empty() && !closed_) {
         const std::size_t end = bytes.find('\n');
-        unread_ += bytes.substr(0, end);
+        partial_line_ += bytes.substr(0, end);
         if (end == std::string_view::npos) {
-            if (unread_.size() > longest_line)
+            if (partial_line_.size() > max_line_bytes)
                 close(false);
             return;
         }
         bytes.remove_prefix(end + 1);
-        const std::string line = std::exchange(unread_, {});
+        const std::string line = std::exchange(partial_line_, {});
         if (!std::exchange(status_seen_, true) &&
-            !line.starts_with(good_status))
+            !line.starts_with(success_status))
             close(false);
-        else if (line.starts_with(event_start))
-            take_event(line.starts_with(last_event));
+        else if (line.starts_with(event_prefix))
+            handle_event(line.starts_with(final_event));
     }
 }
 
-void path_stream::take_event(bool last)
+void path_stream::handle_event(bool last)
 {
     if (last) {
         last_event_seen_ = true;
@@ -133,7 +133,7 @@
     const auto self = shared_from_this();
     reactor_.unwatch(watch_);
     socket_.close();
-    over_(first_token_);
+    on_end_(first_token_);
 }
 
 } // namespace cyclamenrun::bench
--- a/bench/path_stream.hpp
+++ b/bench/path_stream.hpp
@@ -21,10 +21,10 @@
 {
 public:
     /** Receives the time to the first token in ms, if a token arrived. */
-    using over_function = std::function<void(std::optional<double>)>;
+    using end_handler = std::function<void(std::optional<double>)>;
 
     /** `on_end` is called once, on the loop's thread. */
-    path_stream(link_reactor& reactor, path_target& target, over_function over);
+    path_stream(link_reactor& reactor, path_target& target, end_handler on_end);
 
     void start();
 
@@ -35,20 +35,20 @@
 private:
     void send_request();
     void receive();
-    void take(std::string_view bytes);
-    void take_event(bool last);
+    void handle_bytes(std::string_view bytes);
+    void handle_event(bool last);
     void close(bool complete);
 
     link_reactor& reactor_;
     path_target& target_;
-    over_function over_;
+    end_handler on_end_;
     Poco::Net::StreamSocket socket_;
     link_reactor::watch_id watch_ = 0;
     time_point started_;
     std::optional<time_point> last_token_;
     std::optional<double> first_token_;
     std::size_t sent_ = 0;
-    std::string unread_; ///< received part of the current line
+    std::string partial_line_; ///< received part of the current line
     bool status_seen_ = false;
     bool last_event_seen_ = false;
     bool closed_ = false;
--- a/bench/policy.cpp
+++ b/bench/policy.cpp
@@ -39,16 +39,16 @@
     return find<policy_kind>(policy_names, name);
 }
 
-bool leave_out(policy& of, std::string_view part)
+bool disable_part(policy& target, std::string_view part)
 {
     if (part == "prediction")
-        of.prediction = false;
+        target.prediction = false;
     else if (part == "prefix")
-        of.prefix = false;
+        target.prefix = false;
     else if (part == "fair_share")
-        of.fair_share = false;
+        target.fair_share = false;
     else if (part == "own_counts")
-        of.own_counts = false;
+        target.own_counts = false;
     else
         return false;
     return true;
--- a/bench/policy.hpp
+++ b/bench/policy.hpp
@@ -28,7 +28,7 @@
     std::optional<double> overflow_bound;
     std::optional<double> short_first;
 
-    bool ours() const
+    bool uses_cyclamenrun() const
     {
         return kind == policy_kind::cyclamenrun || kind == policy_kind::oracle;
     }
@@ -37,7 +37,7 @@
 std::string_view name_of(policy_kind kind);
 std::optional<policy_kind> policy_kind_of(std::string_view name);
 /** Returns false if no part has that name. */
-bool leave_out(policy& of, std::string_view part);
+bool disable_part(policy& target, std::string_view part);
 
 enum class fault_kind : std::uint8_t {
     none,
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -20,11 +20,11 @@
 const time_point epoch = time_point{} + 1h;
 
 // Readers don't notice gaps between tokens up to this length.
-constexpr double unnoticed_gap_ms = 100.0;
+constexpr double max_unnoticed_gap_ms = 100.0;
 // Retries of a refused caller after the time in the refusal.
-constexpr std::uint32_t max_returns = 3;
+constexpr std::uint32_t max_caller_retries = 3;
 // Upstreams tried for each request of a caller.
-constexpr std::size_t max_tries = 3;
+constexpr std::size_t max_upstreams_tried = 3;
 // Intervals and delays of load reports.
 constexpr duration agent_report_every = 250ms;
 constexpr duration agent_report_lag = 5ms;
@@ -41,7 +41,7 @@
 constexpr duration crash_outage = 20s;
 // A poison request crashes its engine at this token.
 constexpr std::uint32_t poison_token = 20;
-constexpr std::uint32_t poison_sendings = 8;
+constexpr std::uint32_t max_poison_attempts = 8;
 constexpr std::size_t heavy_team = 6;
 // Teams with mostly short answers, which request less than 60% of their share
 // of tokens at load 1.0.
@@ -53,24 +53,24 @@
         std::chrono::duration<double>(seconds));
 }
 
-double in_s(duration of)
+double in_s(duration span)
 {
-    return std::chrono::duration<double>(of).count();
+    return std::chrono::duration<double>(span).count();
 }
 
 struct caller {
     enum class phase : std::uint8_t { away, sent, done };
 
-    phase now = phase::away;
+    phase current_phase = phase::away;
     std::size_t entry = 0;
     std::size_t runner = SIZE_MAX; ///< in phase sent only
-    std::uint32_t returns = 0;
+    std::uint32_t retries_made = 0;
     std::uint32_t losses = 0; ///< engine losses while it ran
     std::uint32_t delivered = 0;
     bool poison = false;
     bool suspect = false;
     time_point arrival{};
-    time_point asked{}; ///< time of the last request
+    time_point last_request{};
     time_point deadline{};
     time_point last_token{};
     double stall_ms = 0;
@@ -98,8 +98,8 @@
 
     void after(duration wait, action act) { at(now_ + wait, std::move(act)); }
     void at(time_point when, action act);
-    bool counts(const caller& of) const;
-    bool is_in_window(time_point when) const;
+    bool is_measured(const caller& client) const;
+    bool in_window(time_point when) const;
 
     void plan_callers();
     void plan_reports();
@@ -123,10 +123,10 @@
     void token(std::size_t id);
     void answered(std::size_t id);
     void count_preemptions(std::size_t runner);
-    void tell_cache_events(std::size_t runner);
+    void report_cache_events(std::size_t runner);
 
-    void lose_engine(std::size_t runner, duration for_how_long);
-    void lost_under(std::size_t id);
+    void fail_engine(std::size_t runner, duration outage_duration);
+    void handle_engine_loss(std::size_t id);
     void resend_poison(std::size_t id);
 
     const trial_settings& settings_;
@@ -135,8 +135,8 @@
     std::vector<std::unique_ptr<bench_agent>> agents_;
     std::vector<std::unique_ptr<bench_entry>> entries_;
     std::vector<bool> listed_; ///< runners that the VM list shows
-    std::vector<std::uint64_t> engine_lives_;
-    std::vector<std::pair<std::uint64_t, std::uint64_t>> counted_;
+    std::vector<std::uint64_t> engine_incarnations_;
+    std::vector<std::pair<std::uint64_t, std::uint64_t>> counted_preemptions_;
     std::priority_queue<event> events_;
     std::uint64_t order_ = 0;
     time_point now_ = epoch;
@@ -149,8 +149,9 @@
 
 simulation::simulation(const trial_settings& settings)
     : settings_(settings),
-      end_(epoch + from_s(settings.warm_up_s + settings.window_s +
-                          (settings.patient ? 0 : settings.site.deadline_s))),
+      end_(epoch +
+           from_s(settings.warm_up_s + settings.window_s +
+                  (settings.no_deadlines ? 0 : settings.site.deadline_s))),
       random_(settings.seed * 7919 + 17), measures_(settings.site.teams.size())
 {
     workload_settings load;
@@ -168,14 +169,14 @@
     for (std::size_t i = 0; i < settings.site.runners; ++i)
         agents_.push_back(std::make_unique<bench_agent>(
             settings.site, settings.chosen, settings.engine, i, requests_,
-            settings.patient));
+            settings.no_deadlines));
     for (std::size_t i = 0; i < settings.site.failure_domains.size(); ++i)
         entries_.push_back(std::make_unique<bench_entry>(
             settings.site, settings.chosen, i, settings.seed * 31 + i,
-            settings.patient));
+            settings.no_deadlines));
     listed_.assign(agents_.size(), true);
-    engine_lives_.assign(agents_.size(), 0);
-    counted_.resize(agents_.size());
+    engine_incarnations_.assign(agents_.size(), 0);
+    counted_preemptions_.resize(agents_.size());
     measures_.window_s = settings.window_s;
 }
 
@@ -198,12 +199,12 @@
     return std::move(measures_);
 }
 
-bool simulation::counts(const caller& of) const
+bool simulation::is_measured(const caller& client) const
 {
-    return is_in_window(of.arrival);
+    return in_window(client.arrival);
 }
 
-bool simulation::is_in_window(time_point when) const
+bool simulation::in_window(time_point when) const
 {
     return when >= epoch + from_s(settings_.warm_up_s) &&
            when < epoch + from_s(settings_.warm_up_s + settings_.window_s);
@@ -218,27 +219,29 @@
 void simulation::plan_reports()
 {
     for (std::size_t i = 0; i < agents_.size(); ++i) {
-        const bool ours = settings_.chosen.ours();
-        const duration every = ours ? agent_report_every : engine_report_every;
+        const bool uses_cyclamenrun = settings_.chosen.uses_cyclamenrun();
+        const duration every =
+            uses_cyclamenrun ? agent_report_every : engine_report_every;
         for (time_point when = epoch + every * (i + 1) / agents_.size();
              when < end_; when += every)
-            at(when, [this, i, ours] {
-                const load_report told = agents_[i]->report(now_);
-                const duration lag = reports_late_ ? late_report_lag
-                                     : ours        ? agent_report_lag
-                                                   : engine_report_lag;
-                after(lag, [this, told] {
+            at(when, [this, i, uses_cyclamenrun] {
+                const load_report sent_report = agents_[i]->report(now_);
+                const duration lag = reports_late_      ? late_report_lag
+                                     : uses_cyclamenrun ? agent_report_lag
+                                                        : engine_report_lag;
+                after(lag, [this, sent_report] {
                     for (auto& entry : entries_)
-                        entry->report(told, now_);
+                        entry->report(sent_report, now_);
                 });
             });
-        for (time_point when = epoch; ours && when < end_;
+        for (time_point when = epoch; uses_cyclamenrun && when < end_;
              when += engine_report_every)
             at(when, [this, i] {
                 const engine_load_hint hint = agents_[i]->engine_load();
-                after(
-                    reports_late_ ? late_report_lag : engine_report_lag,
-                    [this, i, hint] { agents_[i]->engine_report(hint, now_); });
+                after(reports_late_ ? late_report_lag : engine_report_lag,
+                      [this, i, hint] {
+                          agents_[i]->handle_engine_report(hint, now_);
+                      });
             });
     }
 }
@@ -255,13 +258,13 @@
     case fault_kind::heavy_team:
         break;
     case fault_kind::engine_lost:
-        at(fault_time(), [this] { lose_engine(0, outage); });
+        at(fault_time(), [this] { fail_engine(0, outage); });
         break;
     case fault_kind::engine_reclaimed:
         at(fault_time(), [this] {
             agents_[0]->leaving = true;
             after(vm_list_lag, [this] { listed_[0] = false; });
-            after(reclaim_notice, [this] { lose_engine(0, outage); });
+            after(reclaim_notice, [this] { fail_engine(0, outage); });
         });
         break;
     case fault_kind::late_reports:
@@ -277,7 +280,7 @@
         at(fault_time(), [this] {
             for (auto& agent : agents_)
                 if (agent->failure_domain == entries_[0]->failure_domain)
-                    agent->cut_until = now_ + outage;
+                    agent->unreachable_until = now_ + outage;
             entries_[0]->alive = false;
             after(outage, [this] { entries_[0]->alive = true; });
         });
@@ -291,10 +294,10 @@
 void simulation::plan_poison()
 {
     for (std::size_t id = 0; id < requests_.size(); ++id) {
-        request& asked = requests_[id];
-        if (epoch + from_s(asked.arrival_s) < fault_time())
+        request& incoming = requests_[id];
+        if (epoch + from_s(incoming.arrival_s) < fault_time())
             continue;
-        asked.output_tokens = std::max(asked.output_tokens, poison_token);
+        incoming.output_tokens = std::max(incoming.output_tokens, poison_token);
         callers_[id].poison = true;
         return;
     }
@@ -302,20 +305,20 @@
 
 void simulation::arrive(std::size_t id)
 {
-    caller& of = callers_[id];
-    of.arrival = now_;
-    of.deadline =
-        now_ +
-        (settings_.patient ? duration(24h) : from_s(settings_.site.deadline_s));
-    if (counts(of)) {
+    caller& client = callers_[id];
+    client.arrival = now_;
+    client.deadline =
+        now_ + (settings_.no_deadlines ? duration(24h)
+                                       : from_s(settings_.site.deadline_s));
+    if (is_measured(client)) {
         ++measures_.callers;
-        ++measures_.team_asked[requests_[id].team];
+        ++measures_.team_requests[requests_[id].team];
     }
-    if (!settings_.patient)
-        at(of.deadline, [this, id] { give_up(id); });
-    of.entry = pick_entry();
-    of.asked = now_;
-    entries_[of.entry]->retries().request(
+    if (!settings_.no_deadlines)
+        at(client.deadline, [this, id] { give_up(id); });
+    client.entry = pick_entry();
+    client.last_request = now_;
+    entries_[client.entry]->retries().request(
         settings_.site.teams[requests_[id].team].name);
     route(id);
 }
@@ -330,43 +333,43 @@
 
 route_request simulation::request_of(std::size_t id) const
 {
-    const request& asked = requests_[id];
-    const caller& of = callers_[id];
-    route_request made;
-    made.service = settings_.site.service;
-    made.team = settings_.site.teams[asked.team].name;
-    made.prompt_tokens = asked.prompt_tokens;
-    made.prefix_blocks = asked.prefix_blocks;
-    made.suspect = of.suspect;
-    made.fingerprint = id + 1;
-    made.excluded = of.excluded;
-    made.own_failure_domain = entries_[of.entry]->failure_domain;
-    made.goal = settings_.site.goal;
-    return made;
+    const request& incoming = requests_[id];
+    const caller& client = callers_[id];
+    route_request result;
+    result.service = settings_.site.service;
+    result.team = settings_.site.teams[incoming.team].name;
+    result.prompt_tokens = incoming.prompt_tokens;
+    result.prefix_blocks = incoming.prefix_blocks;
+    result.suspect = client.suspect;
+    result.fingerprint = id + 1;
+    result.excluded = client.excluded;
+    result.own_failure_domain = entries_[client.entry]->failure_domain;
+    result.goal = settings_.site.goal;
+    return result;
 }
 
 std::vector<candidate> simulation::candidates_of(const bench_entry&) const
 {
-    std::vector<candidate> made;
+    std::vector<candidate> result;
     for (std::size_t i = 0; i < agents_.size(); ++i) {
-        if (!listed_[i] || agents_[i]->cut_until > now_)
+        if (!listed_[i] || agents_[i]->unreachable_until > now_)
             continue;
-        auto& each = made.emplace_back();
+        auto& each = result.emplace_back();
         each.upstream = agents_[i]->name;
         each.failure_domain = agents_[i]->failure_domain;
         each.incarnation = 1;
         each.hash = i + 1;
     }
-    return made;
+    return result;
 }
 
 void simulation::route(std::size_t id)
 {
-    caller& of = callers_[id];
-    bench_entry& entry = *entries_[of.entry];
+    caller& client = callers_[id];
+    bench_entry& entry = *entries_[client.entry];
     const auto candidates = candidates_of(entry);
-    const route_request asked = request_of(id);
-    const auto chosen = entry.choose(asked, candidates, now_);
+    const route_request incoming = request_of(id);
+    const auto chosen = entry.choose(incoming, candidates, now_);
     if (!chosen) {
         refuse(id, chosen.error());
         return;
@@ -375,26 +378,28 @@
     std::size_t runner = 0;
     while (agents_[runner]->name != name)
         ++runner;
-    of.now = caller::phase::sent;
-    of.runner = runner;
-    entry.routes().dispatched(name, asked, now_);
+    client.current_phase = caller::phase::sent;
+    client.runner = runner;
+    entry.routes().dispatched(name, incoming, now_);
     after(from_s(settings_.site.one_way_ms / 1000),
           [this, id, runner] { deliver(id, runner); });
 }
 
 void simulation::deliver(std::size_t id, std::size_t runner)
 {
-    caller& of = callers_[id];
-    if (of.now != caller::phase::sent || of.runner != runner)
+    caller& client = callers_[id];
+    if (client.current_phase != caller::phase::sent || client.runner != runner)
         return;
     bench_agent& agent = *agents_[runner];
-    if (!agent.alive || (agent.leaving && settings_.chosen.ours())) {
+    if (!agent.alive ||
+        (agent.leaving && settings_.chosen.uses_cyclamenrun())) {
         retry_elsewhere(id, std::nullopt);
         return;
     }
-    const auto taken = agent.take(id, of.deadline, of.suspect, now_);
-    if (!taken) {
-        retry_elsewhere(id, taken.error());
+    const auto accepted =
+        agent.submit(id, client.deadline, client.suspect, now_);
+    if (!accepted) {
+        retry_elsewhere(id, accepted.error());
         return;
     }
     step(runner);
@@ -403,14 +408,15 @@
 void simulation::retry_elsewhere(std::size_t id,
                                  const std::optional<refusal>& why)
 {
-    caller& of = callers_[id];
-    bench_entry& entry = *entries_[of.entry];
-    entry.routes().settled(agents_[of.runner]->name, now_);
-    of.excluded.push_back(agents_[of.runner]->name);
-    of.now = caller::phase::away;
-    of.runner = SIZE_MAX;
+    caller& client = callers_[id];
+    bench_entry& entry = *entries_[client.entry];
+    entry.routes().settled(agents_[client.runner]->name, now_);
+    client.excluded.push_back(agents_[client.runner]->name);
+    client.current_phase = caller::phase::away;
+    client.runner = SIZE_MAX;
     const std::string& team = settings_.site.teams[requests_[id].team].name;
-    if (of.excluded.size() < max_tries && entry.retries().try_retry(team)) {
+    if (client.excluded.size() < max_upstreams_tried &&
+        entry.retries().try_retry(team)) {
         route(id);
         return;
     }
@@ -419,55 +425,57 @@
 
 void simulation::refuse(std::size_t id, const refusal& why)
 {
-    caller& of = callers_[id];
-    of.now = caller::phase::away;
-    of.excluded.clear();
-    if (counts(of)) {
+    caller& client = callers_[id];
+    client.current_phase = caller::phase::away;
+    client.excluded.clear();
+    if (is_measured(client)) {
         ++measures_.refusals;
-        measures_.refusal_ms.add(1000 * in_s(now_ - of.asked) +
+        measures_.refusal_ms.add(1000 * in_s(now_ - client.last_request) +
                                  settings_.site.one_way_ms);
     }
     const duration wait = why.retry_after.value_or(1s);
-    if (of.returns >= max_returns || now_ + wait >= of.deadline) {
-        if (counts(of))
-            ++measures_.turned_away;
+    if (client.retries_made >= max_caller_retries ||
+        now_ + wait >= client.deadline) {
+        if (is_measured(client))
+            ++measures_.finally_refused;
         end(id);
         return;
     }
-    ++of.returns;
+    ++client.retries_made;
     after(wait, [this, id] {
-        caller& back = callers_[id];
-        if (back.now != caller::phase::away)
+        caller& returning = callers_[id];
+        if (returning.current_phase != caller::phase::away)
             return;
-        back.asked = now_;
-        back.entry = pick_entry();
+        returning.last_request = now_;
+        returning.entry = pick_entry();
         route(id);
     });
 }
 
 void simulation::give_up(std::size_t id)
 {
-    caller& of = callers_[id];
-    if (of.now == caller::phase::done)
+    caller& client = callers_[id];
+    if (client.current_phase == caller::phase::done)
         return;
-    if (of.now == caller::phase::sent) {
-        agents_[of.runner]->cancel(id, now_);
-        entries_[of.entry]->routes().settled(agents_[of.runner]->name, now_);
+    if (client.current_phase == caller::phase::sent) {
+        agents_[client.runner]->cancel(id, now_);
+        entries_[client.entry]->routes().settled(agents_[client.runner]->name,
+                                                 now_);
     }
-    if (counts(of))
+    if (is_measured(client))
         ++measures_.gave_up;
     end(id);
 }
 
 void simulation::end(std::size_t id)
 {
-    caller& of = callers_[id];
-    of.now = caller::phase::done;
-    if (!counts(of))
+    caller& client = callers_[id];
+    client.current_phase = caller::phase::done;
+    if (!is_measured(client))
         return;
-    if (of.delivered == 0)
-        of.stall_ms = 1000 * in_s(now_ - of.arrival);
-    measures_.stall_s += of.stall_ms / 1000;
+    if (client.delivered == 0)
+        client.stall_ms = 1000 * in_s(now_ - client.arrival);
+    measures_.stall_s += client.stall_ms / 1000;
     measures_.stall_charged_s += settings_.site.deadline_s;
 }
 
@@ -482,9 +490,9 @@
     agent.stepping = true;
     const double ms = agent.engine().begin_step_ms();
     count_preemptions(runner);
-    const std::uint64_t life = engine_lives_[runner];
-    after(from_s(ms / 1000), [this, runner, life] {
-        if (engine_lives_[runner] == life)
+    const std::uint64_t engine_incarnation = engine_incarnations_[runner];
+    after(from_s(ms / 1000), [this, runner, engine_incarnation] {
+        if (engine_incarnations_[runner] == engine_incarnation)
             end_step(runner);
     });
 }
@@ -492,8 +500,8 @@
 void simulation::count_preemptions(std::size_t runner)
 {
     const fake_engine& engine = agents_[runner]->engine();
-    auto& [preemptions, recomputed] = counted_[runner];
-    if (is_in_window(now_)) {
+    auto& [preemptions, recomputed] = counted_preemptions_[runner];
+    if (in_window(now_)) {
         measures_.preemptions += engine.preemptions() - preemptions;
         measures_.recomputed_tokens += engine.recomputed_tokens() - recomputed;
     }
@@ -506,17 +514,17 @@
     bench_agent& agent = *agents_[runner];
     agent.stepping = false;
     const auto& result = agent.end_step(now_);
-    if (is_in_window(now_))
+    if (in_window(now_))
         measures_.output_tokens += result.tokens.size();
     for (const auto id : result.tokens)
         token(id);
     for (const auto id : result.finished)
         answered(id);
-    tell_cache_events(runner);
+    report_cache_events(runner);
     for (const auto id : result.tokens) {
         if (!callers_[id].poison || callers_[id].delivered != poison_token)
             continue;
-        lose_engine(runner, crash_outage);
+        fail_engine(runner, crash_outage);
         return;
     }
     step(runner);
@@ -524,16 +532,17 @@
 
 void simulation::token(std::size_t id)
 {
-    caller& of = callers_[id];
-    const time_point seen = std::max(now_, agents_[of.runner]->cut_until);
-    ++of.delivered;
-    const time_point before = std::exchange(of.last_token, seen);
-    if (!counts(of))
+    caller& client = callers_[id];
+    const time_point seen =
+        std::max(now_, agents_[client.runner]->unreachable_until);
+    ++client.delivered;
+    const time_point before = std::exchange(client.last_token, seen);
+    if (!is_measured(client))
         return;
     ++measures_.team_tokens[requests_[id].team];
-    if (of.delivered == 1) {
-        const double wait = 1000 * in_s(seen - of.arrival);
-        of.stall_ms = wait;
+    if (client.delivered == 1) {
+        const double wait = 1000 * in_s(seen - client.arrival);
+        client.stall_ms = wait;
         measures_.first_token_ms.add(wait);
         if (std::ranges::count(light_teams, requests_[id].team) > 0)
             measures_.light_team_first_token_ms.add(wait);
@@ -541,30 +550,31 @@
     }
     const double gap = 1000 * in_s(seen - before);
     measures_.between_tokens_ms.add(gap);
-    of.stall_ms += std::max(gap - unnoticed_gap_ms, 0.0);
+    client.stall_ms += std::max(gap - max_unnoticed_gap_ms, 0.0);
 }
 
 void simulation::answered(std::size_t id)
 {
-    caller& of = callers_[id];
-    of.now = caller::phase::done;
-    entries_[of.entry]->routes().settled(agents_[of.runner]->name, now_);
-    if (is_in_window(now_)) {
+    caller& client = callers_[id];
+    client.current_phase = caller::phase::done;
+    entries_[client.entry]->routes().settled(agents_[client.runner]->name,
+                                             now_);
+    if (in_window(now_)) {
         ++measures_.answers_in_window;
-        measures_.tokens_in_window += of.delivered;
+        measures_.tokens_in_window += client.delivered;
     }
-    if (!counts(of))
+    if (!is_measured(client))
         return;
     ++measures_.answered;
     ++measures_.team_answered[requests_[id].team];
-    measures_.stall_s += of.stall_ms / 1000;
-    measures_.stall_answered_s += of.stall_ms / 1000;
-    measures_.stall_charged_s += of.stall_ms / 1000;
+    measures_.stall_s += client.stall_ms / 1000;
+    measures_.stall_answered_s += client.stall_ms / 1000;
+    measures_.stall_charged_s += client.stall_ms / 1000;
 }
 
-void simulation::tell_cache_events(std::size_t runner)
+void simulation::report_cache_events(std::size_t runner)
 {
-    if (!settings_.chosen.ours())
+    if (!settings_.chosen.uses_cyclamenrun())
         return;
     const auto& result = agents_[runner]->engine().last_step();
     for (const auto& happened : result.cache_events) {
@@ -583,59 +593,60 @@
     }
 }
 
-void simulation::lose_engine(std::size_t runner, duration for_how_long)
+void simulation::fail_engine(std::size_t runner, duration outage_duration)
 {
     bench_agent& agent = *agents_[runner];
     ++measures_.engine_losses;
-    ++engine_lives_[runner];
+    ++engine_incarnations_[runner];
     agent.alive = false;
     agent.stepping = false;
-    agent.lose_engine();
+    agent.fail_engine();
     for (std::size_t id = 0; id < callers_.size(); ++id)
-        if (callers_[id].now == caller::phase::sent &&
+        if (callers_[id].current_phase == caller::phase::sent &&
             callers_[id].runner == runner)
-            lost_under(id);
+            handle_engine_loss(id);
     after(vm_list_lag, [this, runner] { listed_[runner] = false; });
-    after(for_how_long, [this, runner] {
+    after(outage_duration, [this, runner] {
         agents_[runner]->alive = true;
         agents_[runner]->leaving = false;
         listed_[runner] = true;
     });
 }
 
-void simulation::lost_under(std::size_t id)
+void simulation::handle_engine_loss(std::size_t id)
 {
-    caller& of = callers_[id];
-    agents_[of.runner]->cancel(id, now_);
-    ++of.losses;
-    if (of.delivered == 0) {
+    caller& client = callers_[id];
+    agents_[client.runner]->cancel(id, now_);
+    ++client.losses;
+    if (client.delivered == 0) {
         retry_elsewhere(id, std::nullopt);
         return;
     }
-    entries_[of.entry]->routes().settled(agents_[of.runner]->name, now_);
-    if (of.poison && of.losses < poison_sendings) {
+    entries_[client.entry]->routes().settled(agents_[client.runner]->name,
+                                             now_);
+    if (client.poison && client.losses < max_poison_attempts) {
         resend_poison(id);
         return;
     }
-    if (counts(of))
+    if (is_measured(client))
         ++measures_.cut_short;
     end(id);
 }
 
 void simulation::resend_poison(std::size_t id)
 {
-    caller& of = callers_[id];
+    caller& client = callers_[id];
     // cyclamenrun marks requests that ran on a lost engine and refuses them
     // after two losses.
-    of.suspect = settings_.chosen.ours();
-    of.now = caller::phase::away;
-    of.delivered = 0;
-    if (settings_.chosen.ours() && of.losses >= 2) {
+    client.suspect = settings_.chosen.uses_cyclamenrun();
+    client.current_phase = caller::phase::away;
+    client.delivered = 0;
+    if (settings_.chosen.uses_cyclamenrun() && client.losses >= 2) {
         end(id);
         return;
     }
     after(1s, [this, id] {
-        if (callers_[id].now == caller::phase::away)
+        if (callers_[id].current_phase == caller::phase::away)
             route(id);
     });
 }
@@ -659,7 +670,7 @@
     settings.engine = engine;
     settings.lengths = lengths;
     settings.chosen.kind = policy_kind::round_robin;
-    settings.patient = true;
+    settings.no_deadlines = true;
     settings.requests_per_second =
         overload_rps_per_runner * static_cast<double>(site.runners);
     double answers = 0;
--- a/bench/trial.hpp
+++ b/bench/trial.hpp
@@ -24,7 +24,7 @@
     double warm_up_s = 120;
     double window_s = 240; ///< measured arrivals, after the warm-up
     /** For calibration: no deadlines and no refusals. */
-    bool patient = false;
+    bool no_deadlines = false;
 };
 
 /** Runs one policy over one workload in virtual time. */
--- a/bench/trial_measures.hpp
+++ b/bench/trial_measures.hpp
@@ -13,7 +13,7 @@
 /** Measurements of one run; docs/MEASURES.md has the formulas. */
 struct trial_measures {
     explicit trial_measures(std::size_t teams)
-        : team_asked(teams), team_answered(teams), team_tokens(teams)
+        : team_requests(teams), team_answered(teams), team_tokens(teams)
     {
     }
 
@@ -23,7 +23,7 @@
     std::uint64_t answers_in_window = 0; ///< for any time of arrival
     std::uint64_t tokens_in_window = 0;  ///< of these answers
     std::uint64_t gave_up = 0;           ///< at the deadline
-    std::uint64_t turned_away = 0;       ///< refused without another retry
+    std::uint64_t finally_refused = 0;   ///< refused without another retry
     std::uint64_t cut_short = 0;         ///< failed after the first token
     std::uint64_t refusals = 0; ///< sent to callers, including those that retry
     double stall_s = 0;         ///< over all callers
@@ -37,7 +37,7 @@
     log_histogram light_team_first_token_ms; ///< of teams below their share
     log_histogram between_tokens_ms;
     log_histogram refusal_ms;
-    std::vector<std::uint64_t> team_asked;
+    std::vector<std::uint64_t> team_requests;
     std::vector<std::uint64_t> team_answered;
     std::vector<std::uint64_t> team_tokens;
 };
--- a/bench/workload.cpp
+++ b/bench/workload.cpp
@@ -16,7 +16,7 @@
 constexpr double heavy_factor = 10.0;
 // The first blocks of every prompt hold the service's instructions.
 constexpr std::uint32_t service_blocks = 4;
-constexpr length_law own_part = {120, 0.7, 1'024};
+constexpr length_distribution own_prompt_length = {120, 0.7, 1'024};
 
 /** A load factor that switches between calm and burst with a mean of 1. */
 class burst_process
@@ -38,12 +38,13 @@
     bool in_burst_ = false;
 };
 
-std::uint32_t draw(const length_law& law, std::mt19937_64& random)
+std::uint32_t draw(const length_distribution& distribution,
+                   std::mt19937_64& random)
 {
-    std::lognormal_distribution<double> lengths(std::log(law.median),
-                                                law.sigma);
+    std::lognormal_distribution<double> lengths(std::log(distribution.median),
+                                                distribution.sigma);
     const double drawn =
-        std::clamp(std::round(lengths(random)), 1.0, double(law.max));
+        std::clamp(std::round(lengths(random)), 1.0, double(distribution.max));
     return static_cast<std::uint32_t>(drawn);
 }
 
@@ -58,28 +59,28 @@
                      std::mt19937_64& random)
 {
     const team_profile& profile = site.teams[team];
-    request made;
-    made.arrival_s = arrival_s;
-    made.team = team;
+    request result;
+    result.arrival_s = arrival_s;
+    result.team = team;
     std::uint32_t blocks = profile.prefix_blocks;
     if (settings.lengths.empty()) {
         const bool is_long =
             std::bernoulli_distribution(profile.long_share)(random);
-        made.prompt_tokens =
-            blocks * prefix_block_tokens + draw(own_part, random);
-        made.output_tokens =
+        result.prompt_tokens =
+            blocks * prefix_block_tokens + draw(own_prompt_length, random);
+        result.output_tokens =
             draw(is_long ? site.long_answer : site.short_answer, random);
     } else {
         const auto& row =
             settings.lengths[std::uniform_int_distribution<std::size_t>(
                 0, settings.lengths.size() - 1)(random)];
-        made.prompt_tokens = std::max(row.prompt_tokens, 1U);
-        made.output_tokens = std::max(row.output_tokens, 1U);
-        blocks = std::min(blocks, made.prompt_tokens / prefix_block_tokens);
+        result.prompt_tokens = std::max(row.prompt_tokens, 1U);
+        result.output_tokens = std::max(row.output_tokens, 1U);
+        blocks = std::min(blocks, result.prompt_tokens / prefix_block_tokens);
     }
     for (std::uint32_t block = 0; block < blocks; ++block)
-        made.prefix_blocks.push_back(block_hash(team, block));
-    return made;
+        result.prefix_blocks.push_back(block_hash(team, block));
+    return result;
 }
 
 } // namespace
@@ -103,23 +104,27 @@
                                    std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
-    burst_process everyone(0.8, 1.6);
-    std::vector<burst_process> own(site.teams.size(), burst_process(0.6, 2.2));
+    burst_process shared_bursts(0.8, 1.6);
+    std::vector<burst_process> team_bursts(site.teams.size(),
+                                           burst_process(0.6, 2.2));
     std::vector<request> requests;
-    for (double at = 0; at < settings.seconds; at += slot_s) {
-        const double together = everyone.next(random);
+    for (double slot_start_s = 0; slot_start_s < settings.seconds;
+         slot_start_s += slot_s) {
+        const double shared_factor = shared_bursts.next(random);
         for (std::size_t team = 0; team < site.teams.size(); ++team) {
-            double rate = settings.requests_per_second * together *
-                          site.teams[team].share * own[team].next(random);
-            if (team == settings.heavy_team && at >= settings.heavy_from_s)
+            double rate = settings.requests_per_second * shared_factor *
+                          site.teams[team].share *
+                          team_bursts[team].next(random);
+            if (team == settings.heavy_team &&
+                slot_start_s >= settings.heavy_from_s)
                 rate *= heavy_factor;
             const int count =
                 std::poisson_distribution<int>(rate * slot_s)(random);
             for (int i = 0; i < count; ++i) {
-                const double into =
+                const double offset_s =
                     std::uniform_real_distribution<double>(0, slot_s)(random);
-                requests.push_back(
-                    make_request(site, settings, team, at + into, random));
+                requests.push_back(make_request(
+                    site, settings, team, slot_start_s + offset_s, random));
             }
         }
     }
