--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# `make demo` and `make test` each take a fresh machine all the way.
+# `make demo` and `make test` install packages and build first if needed.
 PACKAGES = cmake ninja-build g++ ccache clang-format clang-tidy \
     libpoco-dev libnghttp2-dev libprotobuf-dev libcli11-dev \
     libgoogle-glog-dev libexpected-dev libtomlplusplus-dev libboost-dev \
@@ -29,11 +29,11 @@
 	CYCLAMENRUN_SOAK_RUNS=10000 $(BUILD)/bin/test_faults \
 	    --gtest_filter='*random*'
 
-# Each fuzz target for a minute, with a seed of the day.
+# Runs each fuzz target for a minute, seeded with the current date.
 fuzz: deps
 	scripts/fuzz 60 $(shell date +%Y%m%d)
 
-# Writes the tables of docs/FAULTS.md again.
+# Regenerates the tables of docs/FAULTS.md.
 docs: build
 	CYCLAMENRUN_WRITE_DOCS=1 $(BUILD)/bin/test_faults \
 	    --gtest_filter='faults_page.*'
@@ -41,6 +41,6 @@
 format:
 	scripts/format
 
-# Only needed after a change of the schema: generated code is committed.
+# Only needed after a schema change, since generated code is committed.
 schema:
 	cd schema && protoc --cpp_out=generated *.proto
--- a/scripts/day_log.py
+++ b/scripts/day_log.py
@@ -1,10 +1,10 @@
-"""Reads what a played day's processes have logged."""
+"""Reads the logs of the processes of a simulated day."""
 
 import json
 
 
 def read_lines(path):
-    """The JSON lines of a log, each with what stands before it."""
+    """Yields the prefix and the parsed JSON of each log line that has JSON."""
     with open(path, encoding="utf-8", errors="replace") as log:
         for text in log:
             at = text.find('{"time"')
