--- a/bench/decisions_command.cpp
+++ b/bench/decisions_command.cpp
@@ -254,7 +254,7 @@
     command->add_option("--overflow-bound", options->overflow_bound,
                         "accepted overflow risk, overrides the objective's");
     command->add_option("--short-first", options->short_first,
-                        "priority of short answers, overrides the objective's");
+                        "lead of short answers, overrides the objective's");
     command->add_option("--warm-up", options->warm_up_s, "seconds");
     command->add_option("--window", options->window_s,
                         "seconds of arrivals that count");
