--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -19,12 +19,12 @@
 namespace
 {
 
-constexpr std::size_t most_streams = 2000;
-constexpr std::chrono::seconds longest_time{120};
-/** Starts are spread over this, as callers' are. */
+constexpr std::size_t max_streams = 2000;
+constexpr std::chrono::seconds max_time{120};
+/** Stream starts are spread over this time. */
 constexpr milliseconds ramp{1000};
 
-/** Resident memory from /proc/PID/status, or 0 if there is none to read. */
+/** Resident memory from /proc/PID/status; 0 if it can't be read. */
 std::uint64_t resident_kilobytes(int process)
 {
     std::ifstream status("/proc/" + std::to_string(process) + "/status");
@@ -38,12 +38,12 @@
     return 0;
 }
 
-/** Processor time of a process so far, or 0 if there is none to read. */
+/** Processor time used by a process; 0 if it can't be read. */
 double processor_seconds(int process)
 {
     std::ifstream stat("/proc/" + std::to_string(process) + "/stat");
-    // The name is in brackets and may hold blanks; user and system time are
-    // the 12th and 13th fields after it.
+    // The name is in parentheses and may contain blanks; user and system time
+    // are the 12th and 13th fields after it.
     stat.ignore(std::numeric_limits<std::streamsize>::max(), ')');
     std::string skipped;
     for (int i = 0; i < 11; ++i)
@@ -77,13 +77,13 @@
     if (!settings.direct.host().isLoopback() ||
         !settings.through.host().isLoopback())
         throw std::invalid_argument("targets must be in 127.0.0.0/8");
-    if (settings.streams == 0 || settings.streams > most_streams)
+    if (settings.streams == 0 || settings.streams > max_streams)
         throw std::invalid_argument("streams: 1 to 2000");
-    if (settings.time <= ramp || settings.time > longest_time)
+    if (settings.time <= ramp || settings.time > max_time)
         throw std::invalid_argument("seconds: 2 to 120");
 }
 
-/** Keeps a number of pairs open on a loop; lives on the loop's thread. */
+/** Starts and restarts pairs of streams; used on the loop's thread only. */
 class path_load
 {
 public:
@@ -96,27 +96,28 @@
     {
         if (steady_now() >= deadline_)
             return;
-        const auto open = std::make_shared<pair>();
-        start_one(result_.direct, open, &pair::direct);
-        start_one(result_.through, open, &pair::through);
+        const auto open_pair = std::make_shared<pair>();
+        start_stream(result_.direct, open_pair, &pair::direct);
+        start_stream(result_.through, open_pair, &pair::through);
     }
 
 private:
     struct pair {
         std::optional<double> direct;
         std::optional<double> through;
-        int over = 0;
+        int ended_streams = 0;
     };
 
-    void start_one(path_target& target, const std::shared_ptr<pair>& open,
-                   std::optional<double> pair::*first_token)
+    void start_stream(path_target& target,
+                      const std::shared_ptr<pair>& open_pair,
+                      std::optional<double> pair::*first_token)
     {
         std::make_shared<path_stream>(
             reactor_, target,
-            [this, open, first_token](std::optional<double> time) {
-                (*open).*first_token = time;
-                if (++open->over == 2)
-                    end_pair(*open);
+            [this, open_pair, first_token](std::optional<double> time) {
+                (*open_pair).*first_token = time;
+                if (++open_pair->ended_streams == 2)
+                    end_pair(*open_pair);
             })
             ->start();
     }
@@ -126,7 +127,7 @@
         if (ended.direct && ended.through)
             result_.first_token_added.add(*ended.through - *ended.direct);
         // Streams end with a step of the engine; a random pause keeps the
-        // next from starting at the same point of each step.
+        // next pair from always starting at the same point of a step.
         const milliseconds pause(pause_(random_));
         reactor_.post_at(reactor_.now() + pause, [this] { start_pair(); });
     }
--- a/bench/path_connections.cpp
+++ b/bench/path_connections.cpp
@@ -18,8 +18,8 @@
 namespace
 {
 
-constexpr std::size_t most_connections = 1000;
-constexpr std::chrono::seconds longest_idle{120};
+constexpr std::size_t max_connections = 1000;
+constexpr std::chrono::seconds max_idle{120};
 
 double process_microseconds()
 {
@@ -34,8 +34,8 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-/** One request and its answer, in milliseconds. */
-double ask(link_client& client)
+/** Sends a request; returns the time to its answer in milliseconds. */
+double time_request(link_client& client)
 {
     std::promise<bool> ended;
     const time_point begin = steady_now();
@@ -43,7 +43,8 @@
                                              ended.set_value(how.clean);
                                          }});
     if (!ended.get_future().get())
-        throw std::runtime_error("a link's request got no answer");
+        throw std::runtime_error(
+            "the link closed before it answered the request");
     return std::chrono::duration<double, std::milli>(steady_now() - begin)
         .count();
 }
@@ -52,9 +53,9 @@
 
 connections_result measure_connections(const connections_settings& settings)
 {
-    if (settings.connections == 0 || settings.connections > most_connections)
+    if (settings.connections == 0 || settings.connections > max_connections)
         throw std::invalid_argument("connections: 1 to 1000");
-    if (settings.idle > longest_idle)
+    if (settings.idle > max_idle)
         throw std::invalid_argument("idle: up to 120 seconds");
     connections_result result;
     link_loop server_loop;
@@ -66,9 +67,9 @@
     const auto connect = [&] {
         clients.push_back(
             link_client::create(client_loop, server.address(), "key", {}));
-        return ask(*clients.back());
+        return time_request(*clients.back());
     };
-    // The first one allocates what all share.
+    // The first connection allocates the memory that all share.
     connect();
     const double before = heap_bytes();
     for (std::size_t i = 0; i < settings.connections; ++i)
@@ -76,7 +77,7 @@
     const auto connections = static_cast<double>(settings.connections);
     result.bytes_per_connection = (heap_bytes() - before) / connections;
     for (const auto& client : clients)
-        result.next_answer.add(ask(*client));
+        result.next_answer.add(time_request(*client));
     const double spent = process_microseconds();
     std::this_thread::sleep_for(settings.idle);
     if (settings.idle.count() > 0)
