--- a/src/libcyclamenrun/decisions/admission.hpp
+++ b/src/libcyclamenrun/decisions/admission.hpp
@@ -116,7 +116,7 @@
         std::uint32_t work_items = 0;           ///< waiting and running
         std::deque<work_id> waiting;
         std::uint64_t prompt_tokens = 0; ///< of waiting work items
-        double expected_tokens = 0;      ///< expected length of the last one
+        double expected_tokens = 0; ///< expected output of the one queued last
         drain_rate drain;
         /// The latest return time given to a refused caller.
         time_point last_retry_at{};
--- a/src/libcyclamenrun/decisions/attempt_policy.hpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.hpp
@@ -54,9 +54,9 @@
 /**
  * Returns the response timeout of an attempt: the time without any part of a
  * response after which the request is retried at another upstream. Empty: the
- * attempt may use all the time that the request has left. Without it an
- * upstream that accepts requests and never responds uses up the whole time of
- * its callers.
+ * attempt may use all the time that the request has left. Without a timeout,
+ * an upstream that accepts requests and never responds would use up the whole
+ * time of its callers.
  *
  * `usual_bound` is the longest usual response time, see response_time. With a
  * fixed timeout, requests would be taken out of queues whenever many callers
@@ -73,9 +73,9 @@
 milliseconds spread_retry(milliseconds after, std::mt19937_64& random);
 
 /**
- * Upstreams that one request may be sent to. When three have turned it away
- * the service is most likely full, and the caller can decide better whether
- * to wait.
+ * Maximum number of times that one request is sent to an upstream. When that
+ * many upstreams have rejected it, the service is most likely full, and the
+ * caller can decide better whether to wait.
  */
 inline constexpr unsigned max_sends = 4;
 
--- a/src/libcyclamenrun/decisions/backup_policy.hpp
+++ b/src/libcyclamenrun/decisions/backup_policy.hpp
@@ -20,7 +20,7 @@
 class backup_policy
 {
 public:
-    /** An engine with no announced removal has broken off a stream. */
+    /** A stream broke at an engine whose removal was not announced. */
     void crash_seen(time_point now) { last_crash_ = now; }
 
     bool wanted(time_point now) const
--- a/src/libcyclamenrun/decisions/copy_turns.hpp
+++ b/src/libcyclamenrun/decisions/copy_turns.hpp
@@ -56,7 +56,8 @@
 
 /**
  * A copy of a large prompt takes 0.4 s between failure domains. A copy that
- * exceeds this limit is taken to be stuck, and the next one starts beside it.
+ * exceeds this limit is taken to be stuck, and the next copy starts while it
+ * still runs.
  */
 inline constexpr milliseconds copy_turn_duration_limit{900};
 /** Gateways repeat a request every 50 ms; it expires after this time. */
--- a/src/libcyclamenrun/decisions/engine_outlook.cpp
+++ b/src/libcyclamenrun/decisions/engine_outlook.cpp
@@ -11,15 +11,15 @@
 
 /**
  * A start granted this long ago is in the engine's status, unless it was not
- * used or has ended: the request takes some milliseconds to the engine, and
- * the engine is polled again within 100 ms.
+ * used or has ended: the request reaches the engine within some milliseconds,
+ * and the engine is polled again within 100 ms.
  */
 constexpr milliseconds stale_grant_age{150};
 /** Lower bound of the output tokens expected from a running generation. */
 constexpr double min_expected_tokens = 30;
 /**
- * Share of its served value that a generation loses when it is preempted: its
- * stream pauses until its memory is restored.
+ * Fraction of a generation's value that is lost when it is preempted, because
+ * its stream pauses until its memory is restored.
  */
 constexpr double value_lost_by_preemption = 0.85;
 /** Weight of the newest prompt in the moving mean of prompt lengths. */
--- a/src/libcyclamenrun/decisions/fair_share.cpp
+++ b/src/libcyclamenrun/decisions/fair_share.cpp
@@ -30,9 +30,9 @@
 
 void fair_share::drop_idle()
 {
-    // An account at the floor loses nothing, since raise_to_floor() raises a
-    // new one to it. If that frees too few, all idle accounts are dropped with
-    // their debts to keep the bound.
+    // An account at the virtual time loses nothing, since raise_to_floor()
+    // raises a new one to it. If that frees too few, all idle accounts are
+    // dropped with their debts to keep the bound.
     const auto at_floor = [this](const auto& item) {
         return item.second.holders == 0 && item.second.counter <= floor_;
     };
--- a/src/libcyclamenrun/decisions/fair_share.hpp
+++ b/src/libcyclamenrun/decisions/fair_share.hpp
@@ -35,12 +35,13 @@
 
     /**
      * Raises the counter of a team whose queue was empty to the lowest
-     * counter of the waiting teams, at most to the floor: the highest counter
-     * that was served so far.
+     * counter of the waiting teams, but not beyond the virtual time, which is
+     * the highest counter served so far.
      */
     void raise_to_floor(account& target, double lowest_waiting) const;
     void charge(account& target, double tokens);
-    /** Records that the account is served; raises the floor to its counter. */
+    /** Records that the account is served; raises the virtual time to its
+     * counter. */
     void record_served(const account& target);
 
     std::size_t size() const { return accounts_.size(); }
--- a/src/libcyclamenrun/decisions/length_predictor.cpp
+++ b/src/libcyclamenrun/decisions/length_predictor.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-// Approximate number of recent answers that a curve weighs.
+// Approximate number of recent answers that have weight in a curve.
 constexpr float team_memory_answers = 150.0F;
 constexpr float service_memory_answers = 400.0F;
 constexpr float overall_memory_answers = 800.0F;
--- a/src/libcyclamenrun/decisions/load_view.hpp
+++ b/src/libcyclamenrun/decisions/load_view.hpp
@@ -15,9 +15,9 @@
  * all requests of a burst would go to the upstream that is idle in the last
  * report.
  *
- * A report's age follows from the agent's uptime in it. The report with the
- * least delay gives the offset between the two clocks; a report that is behind
- * that offset is late by the difference.
+ * The agent's uptime in a report dates it. The report with the least delay
+ * gives the offset between the agent's uptime and the local clock. The delay of
+ * every other report follows from that offset.
  */
 class load_view
 {
--- a/src/libcyclamenrun/decisions/placement.cpp
+++ b/src/libcyclamenrun/decisions/placement.cpp
@@ -9,7 +9,10 @@
 namespace
 {
 
-/** Each slot in use adds 0.12 ms to the 7 ms of a token. */
+/**
+ * Cost when all slots are in use: each one adds 0.12 ms to the 7 ms that a
+ * token takes.
+ */
 constexpr double slot_cost = 0.3;
 /** Above this fraction memory is short: generations may be preempted. */
 constexpr double short_memory_share = 0.8;
@@ -21,7 +24,10 @@
 constexpr double memory_cost = 0.2;
 /** An upstream that fails half of its requests costs as much as a full one. */
 constexpr double failure_cost = 2.0;
-/** Used only if there is no other one, until it is tried again later. */
+/**
+ * High, so that an unreachable upstream is chosen only if all are unreachable;
+ * upstream_choice then returns none.
+ */
 constexpr double unreachable_cost = 20.0;
 constexpr double unconfirmed_cost = 10.0;
 /** Smaller differences of cost count as ties, against thundering herds. */
--- a/src/libcyclamenrun/decisions/placement.hpp
+++ b/src/libcyclamenrun/decisions/placement.hpp
@@ -31,8 +31,9 @@
     /** Weight of the wait for the prompts that are read first. */
     double wait = 1;
     /**
-     * Cost of another failure domain: 0.5 ms of latency and the cost of an
-     * answer's bytes count as much as a wait of 30 ms of 1.5 s.
+     * Cost of another failure domain. 0.5 ms of latency and the transfer of
+     * the answer's bytes count as much as a wait of 30 ms at an objective of
+     * 1.5 s.
      */
     double other_domain = 0.02;
 };
--- a/src/libcyclamenrun/decisions/start_queue.hpp
+++ b/src/libcyclamenrun/decisions/start_queue.hpp
@@ -35,7 +35,10 @@
 public:
     /** Replaces the engine's status. `leaving`: no more starts are granted. */
     void take_view(const engine_view& status, bool leaving, time_point now);
-    /** Sets the generations that the engine runs at once, by the directory. */
+    /**
+     * Sets how many generations the engine can run at once, as listed in the
+     * directory.
+     */
     void set_slots(unsigned slots) { slots_ = slots; }
 
     /** Adds or renews a start request; repeated while the request waits. */
@@ -81,7 +84,7 @@
     bool leaving_ = false;
 };
 
-/** Gateways repeat a request within a fifth of this; see start_search. */
+/** Gateways repeat a request every 150 ms; see start_search. */
 inline constexpr milliseconds start_request_timeout{700};
 /** Requests that wait at one engine; further ones are ignored. */
 inline constexpr std::size_t most_waiting_starts = 512;
--- a/src/libcyclamenrun/decisions/team_limiter.cpp
+++ b/src/libcyclamenrun/decisions/team_limiter.cpp
@@ -90,7 +90,7 @@
 {
     if (teams_.size() < max_teams_)
         return true;
-    // A team in debt stays, or new teams could make its debt be dropped.
+    // A team in debt is kept, or a burst of new teams would erase its debt.
     std::erase_if(teams_, [](const auto& item) {
         return item.second.running == 0 && item.second.tokens >= 0.0;
     });
--- a/src/libcyclamenrun/gateway/directory_feed.hpp
+++ b/src/libcyclamenrun/gateway/directory_feed.hpp
@@ -30,7 +30,10 @@
 struct directory_page {
     std::vector<Item> items;
     std::uint64_t next_offset = 0;
-    /** Offset of each item; empty in a page of the newest records. */
+    /**
+     * Offset of each item; empty in a page of the newest records or from a
+     * relay.
+     */
     std::vector<std::uint64_t> offsets = {};
     /** Keys of records that were skipped because they can't be parsed. */
     std::vector<std::string> unreadable = {};
@@ -41,7 +44,10 @@
      * directory had at that time.
      */
     std::optional<boot_time> sent_at = {};
-    /** Read by a relay, which limits the rate itself: read again at once. */
+    /**
+     * True if a relay read this page. A relay limits the rate of its reads, so
+     * the next call may follow at once.
+     */
     bool relayed = false;
 };
 
@@ -77,7 +83,8 @@
                              page_read on_page = {}) = 0;
     /**
      * Reads the records from an offset on, waiting up to `wait` for the first
-     * one. Records that can't be parsed are left out but counted in the offset.
+     * one. Records that can't be parsed are left out but counted in the offset;
+     * an upstream whose record can't be parsed is reported as removed.
      */
     virtual void read_from(std::uint64_t offset, milliseconds wait,
                            time_point deadline, answered on_answer) = 0;
--- a/src/libcyclamenrun/gateway/directory_messages.hpp
+++ b/src/libcyclamenrun/gateway/directory_messages.hpp
@@ -30,7 +30,7 @@
 v1::DirectoryAnswer answer_of(const directory_page<upstream_change>& page);
 v1::DirectoryAnswer answer_of(const directory_page<configuration_text>& page);
 v1::DirectoryAnswer answer_of(directory_problem problem);
-/** The same answers in serialised form. */
+/** The same answers in serialized form. */
 std::string page_bytes(const directory_page<upstream_change>& page);
 std::string page_bytes(const directory_page<configuration_text>& page);
 std::string refusal_bytes(directory_problem problem);
--- a/src/libcyclamenrun/gateway/directory_relay.hpp
+++ b/src/libcyclamenrun/gateway/directory_relay.hpp
@@ -17,7 +17,7 @@
     std::shared_ptr<upstream_feed> upstreams;
 };
 
-/** Caches the serialised form of a page that answers several calls. */
+/** Caches the serialized form of a page that answers several calls. */
 template <typename Item>
 class encoded_answer
 {
--- a/src/libcyclamenrun/gateway/directory_watch.hpp
+++ b/src/libcyclamenrun/gateway/directory_watch.hpp
@@ -79,7 +79,10 @@
     std::shared_ptr<relay_clients> relays_;
     std::shared_ptr<feed_follower<gateway_configuration>> configurations_;
     std::shared_ptr<feed_follower<upstream_change>> upstreams_;
-    /** Records are unconfirmed until this time after a directory outage. */
+    /**
+     * Until this time, a removed record may only have expired during a
+     * directory outage: its upstream is kept as unconfirmed.
+     */
     time_point unconfirmed_until_{};
     bool upstreams_known_ = false;
     bool lease_held_ = false;
--- a/src/libcyclamenrun/gateway/engine_callers.hpp
+++ b/src/libcyclamenrun/gateway/engine_callers.hpp
@@ -13,9 +13,9 @@
 {
 
 /**
- * Pool of connections for orders to engines. An engine replies to an order only
- * after it has executed it, so concurrent orders to one engine need a
- * connection each.
+ * Pool of connections for the gateway's own calls to engines: orders to copy
+ * generations, and load queries. An engine replies to an order only after it
+ * has executed it, so concurrent orders to one engine need a connection each.
  */
 class engine_callers
 {
--- a/src/libcyclamenrun/gateway/engine_monitor.cpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.cpp
@@ -170,7 +170,7 @@
                                           const std::string& gateway,
                                           const v1::StartWanted& wanted)
 {
-    // The datagram with the grant was lost.
+    // The start is granted already, so the datagram with the grant was lost.
     if (starts_.was_given(wanted.id())) {
         send_start_grant(gateway, wanted.id());
         return;
@@ -218,8 +218,8 @@
 
 void engine_monitor::grant_starts()
 {
-    // Without the engine's id in the grant, the gateway may send its
-    // predecessor's id, and the engine would reject the request.
+    // Without the engine's id in the grant, the gateway may address the request
+    // to the engine's predecessor, and the engine would reject it.
     if (is_identifying())
         return;
     for (const auto& start : starts_.give(reactor_->now())) {
--- a/src/libcyclamenrun/gateway/engine_monitor.hpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.hpp
@@ -33,10 +33,10 @@
 
 /**
  * Polls the engine of its own VM, sends the load to subscribed gateways, and
- * grants them starts and copy turns. Polling within the VM is cheap and
- * current. The alternatives are worse: the directory reports a load seconds
- * late, and if each gateway polled each engine, the number of calls would grow
- * with gateways times engines.
+ * grants them starts and copy turns. Polling within the VM is cheap and gives
+ * current values. The alternatives are worse: the directory reports a load
+ * seconds late, and if each gateway polled each engine, the number of calls
+ * would grow with gateways times engines.
  */
 class engine_monitor : public std::enable_shared_from_this<engine_monitor>
 {
--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -243,7 +243,8 @@
         const auto left =
             time_left(admitted_.answer_by, context_.reactor->now());
         // The deadline would pass in the queue of the best upstream. The
-        // caller should retry when the rest of the queue takes half its time.
+        // caller should retry when the rest of the queue takes half of the time
+        // that the request has left now.
         if (may_refuse() && placed->first_part_after > left)
             refuse(gateway_refusal::overloaded,
                    placed->first_part_after - left / 2);
--- a/src/libcyclamenrun/gateway/gateway_configuration.hpp
+++ b/src/libcyclamenrun/gateway/gateway_configuration.hpp
@@ -45,10 +45,10 @@
 struct engine_traits {
     unsigned slots = 0;
     std::uint64_t memory_tokens = 0;
-    double token_bytes = 0;
-    double link_mbps = 0;
-    bool moves = false;   ///< running generations can be moved
-    bool backups = false; ///< running generations can be replicated
+    double token_bytes = 0; ///< memory of one token; not used by the gateway
+    double link_mbps = 0;   ///< speed of the VM's link; not used by the gateway
+    bool moves = false;     ///< running generations can be moved
+    bool backups = false;   ///< running generations can be replicated
 };
 
 struct gateway_service {
--- a/src/libcyclamenrun/gateway/gateway_process.hpp
+++ b/src/libcyclamenrun/gateway/gateway_process.hpp
@@ -34,8 +34,7 @@
     std::string address() const;
     std::string ready_address() const;
 
-    /** Reads the settings again and applies those that may change at run time.
-     */
+    /** Reads the settings again and applies those that may change. */
     void reload();
 
     /**
--- a/src/libcyclamenrun/gateway/generation_move.hpp
+++ b/src/libcyclamenrun/gateway/generation_move.hpp
@@ -12,8 +12,16 @@
 
 enum class move_failure : std::uint8_t {
     not_running, ///< The generation has ended or not begun at the source.
-    no_room,     ///< The destination has no room; the source continues.
-    uncertain,   ///< No reply: the generation may or may not still run.
+    /**
+     * The copy failed, for example for lack of room. The source continues
+     * unless it has received the stop order.
+     */
+    no_room,
+    /**
+     * No reply to the stop order, or an invalid reply to either order: the
+     * generation may or may not still run.
+     */
+    uncertain,
 };
 
 std::string_view name_of(move_failure failure);
--- a/src/libcyclamenrun/gateway/monitor_link.hpp
+++ b/src/libcyclamenrun/gateway/monitor_link.hpp
@@ -39,9 +39,9 @@
  * copy turns from any of them.
  *
  * A gateway subscribes only to the engines at which its own requests run, and
- * to a few more. If each monitor sent its load to each gateway, the traffic
- * would grow with both numbers, and with a hundred gateways each one would
- * receive a load only once a second.
+ * to those that may read the directory for it. If each monitor sent its load to
+ * each gateway, the traffic would grow with both numbers, and with a hundred
+ * gateways each one would receive a load only once a second.
  */
 class monitor_link : public std::enable_shared_from_this<monitor_link>
 {
--- a/src/libcyclamenrun/gateway/read_coalescer.hpp
+++ b/src/libcyclamenrun/gateway/read_coalescer.hpp
@@ -173,11 +173,13 @@
     struct pending_call {
         std::optional<std::uint64_t> from;
         time_point arrived_at;
-        /** End of the caller's wait, counted from the arrival of the call. The
-         * time that the call spent behind the previous read counts, and the
-         * next read waits for the remainder. Reads without any wait would
-         * follow one another endlessly, each for the calls that arrived
-         * during the last one. */
+        /**
+         * End of the caller's wait. It counts from the arrival of the call, so
+         * it includes the time spent behind the previous read; the next read
+         * waits for the remainder. If reads did not wait, they would follow
+         * one another without pause, each for the calls that arrived during
+         * the last one.
+         */
         time_point wait_until;
         /** The call arrived before the current read was sent. */
         bool covered = false;
--- a/src/libcyclamenrun/gateway/relay_clients.cpp
+++ b/src/libcyclamenrun/gateway/relay_clients.cpp
@@ -13,14 +13,15 @@
 namespace
 {
 
-/** An unreachable relay is not used for this time. */
+/** An unreachable or leaving relay is not used for this time. */
 constexpr milliseconds avoidance_time{3000};
 /** A relay that does not reach the directory is used last for this time. */
 constexpr milliseconds demotion_time{1000};
 /** Longest time to a monitor's first report after it was requested. */
 constexpr milliseconds first_report_timeout{600};
 
-/** One call sent to a relay. Only its first end is reported. */
+/** One call sent to a relay. The handler is called once, when the call first
+ * ends. */
 struct relayed_call {
     std::shared_ptr<client_stream> stream;
     relay_clients::answer_handler on_answer;
--- a/src/libcyclamenrun/gateway/relay_clients.hpp
+++ b/src/libcyclamenrun/gateway/relay_clients.hpp
@@ -48,7 +48,11 @@
     relay_clients(const relay_clients&) = delete;
     relay_clients& operator=(const relay_clients&) = delete;
 
-    /** Relays that respond, in the order in which to try them. */
+    /**
+     * Returns the relays that respond, in the order in which to try them.
+     * Closes the links to monitors that are no longer used, and records since
+     * when no chosen relay responds.
+     */
     std::vector<std::string> usable_hosts();
     /**
      * No chosen monitor has responded yet, but the time for their first
@@ -56,7 +60,10 @@
      * itself.
      */
     bool awaits_first_report() const;
-    /** Chosen relays, whether they respond or not: their reports are needed. */
+    /**
+     * Chosen relays, whether they respond or not. The gateway subscribes to
+     * their loads to detect whether they do.
+     */
     std::vector<std::string> chosen_hosts();
 
     /** Sends a call; `on_answer` is called once, by the deadline at latest. */
--- a/src/libcyclamenrun/gateway/relayed_feed.hpp
+++ b/src/libcyclamenrun/gateway/relayed_feed.hpp
@@ -23,8 +23,8 @@
  * answer.
  *
  * While monitors respond but report that they can't reach the directory,
- * direct calls are limited to one in a few seconds. Such an outage is hardly
- * limited to this VM, and calls of a whole fleet delay the directory's
+ * direct calls are limited to one in a few seconds. Such an outage most likely
+ * affects all gateways, and calls from all of them would delay the directory's
  * recovery.
  */
 template <typename Item>
@@ -272,8 +272,8 @@
             const auto self = weak.lock();
             if (!self)
                 return false;
-            // Reads on: this gateway has no relays. They may have been set
-            // since the call began, so this is checked here.
+            // Without relays the read continues. Checked here, since they may
+            // have been set after the call began.
             if (!self->on_.relays || !self->on_.relays())
                 return true;
             self->on_.partial(std::vector<Item>(so_far));
--- a/src/libcyclamenrun/gateway/request_admission.hpp
+++ b/src/libcyclamenrun/gateway/request_admission.hpp
@@ -17,10 +17,14 @@
 struct admitted_request {
     const gateway_route* route = nullptr; ///< of the current configuration
     const gateway_team* team = nullptr;   ///< none where no key is needed
-    time_point answer_by; ///< earlier of the caller's and the route's deadline
+    /**
+     * Earliest of the caller's deadline, the route's deadline and the default
+     * answer timeout.
+     */
+    time_point answer_by;
 };
 
-/** Timeout of an answer if neither the caller nor the route sets one. */
+/** Upper bound of the time to answer; also the default. */
 inline constexpr milliseconds default_answer_timeout{600000};
 
 /**
--- a/src/libcyclamenrun/gateway/request_profile.cpp
+++ b/src/libcyclamenrun/gateway/request_profile.cpp
@@ -18,11 +18,11 @@
  */
 constexpr milliseconds max_connect_timeout{250};
 constexpr milliseconds min_connect_timeout{40};
-/** Assumed notice of a reclaim without a time; the shortest is 1.5 s. */
+/** Notice assumed if a reclaim states no time; the shortest is 1.5 s. */
 constexpr milliseconds default_notice{1500};
 /** A step of an engine that runs a few requests takes 7 to 8 ms. */
 constexpr milliseconds time_per_token{8};
-/** A crowded engine takes up to 10 ms per token. */
+/** An engine with all slots in use takes up to 10 ms per token. */
 constexpr milliseconds slow_time_per_token{10};
 
 /** Time in which a short queue empties. */
--- a/src/libcyclamenrun/gateway/request_trace.hpp
+++ b/src/libcyclamenrun/gateway/request_trace.hpp
@@ -34,7 +34,7 @@
     }
 
     void record(log_event_name event, std::vector<log_field> fields);
-    /** Marks the request as one of whose answer a part was late. */
+    /** Records that a part of the answer was late. */
     void mark_late() { late_ = true; }
 
     /**
--- a/src/libcyclamenrun/gateway/start_search.cpp
+++ b/src/libcyclamenrun/gateway/start_search.cpp
@@ -9,12 +9,18 @@
 namespace
 {
 
-/** Engines in the first round; the message count grows only with this. */
+/**
+ * Engines in the first round. Limits the messages of a request that is granted
+ * in this round.
+ */
 constexpr std::size_t initial_engines = 8;
 /** Further engines in each later round, up to `max_engines` in total. */
 constexpr std::size_t further_engines = 8;
 constexpr std::size_t max_engines = 32;
-/** Covers lost datagrams and finds other engines that have room by then. */
+/**
+ * Interval at which requests are repeated, in case a datagram was lost, and
+ * sent to further engines, which may have room.
+ */
 constexpr milliseconds request_interval{150};
 /**
  * Monitors reply at once, with a delay of a few milliseconds. One that takes
--- a/src/libcyclamenrun/gateway/upstream_board.cpp
+++ b/src/libcyclamenrun/gateway/upstream_board.cpp
@@ -37,8 +37,7 @@
  * unless the directory lists it.
  */
 constexpr milliseconds listing_timeout{5000};
-/** A monitor's report does not add a dropped upstream again within this time.
- */
+/** Time in which a monitor's report does not add a dropped upstream again. */
 constexpr milliseconds dropped_retention{60000};
 constexpr std::size_t max_dropped = 4096;
 /** Weight of one result in the failure rate. */
@@ -93,7 +92,8 @@
     const double growth =
         static_cast<double>(request.output_tokens) * remaining_output_share;
     if (!fresh) {
-        // Assumes that each other gateway sends as much as this one does.
+        // For the memory, assumes that each other gateway sends as much as
+        // this one.
         result.requests = upstream.own_running;
         result.memory_tokens =
             result.requests * request.gateways *
--- a/src/libcyclamenrun/gateway/upstream_choice.hpp
+++ b/src/libcyclamenrun/gateway/upstream_choice.hpp
@@ -69,7 +69,8 @@
 
     /**
      * Destination for a running generation whose engine leaves: the engine
-     * with room to which the copy ends soonest.
+     * of least copy cost, which favours free memory and the same failure
+     * domain.
      */
     std::optional<placed_upstream>
     for_move(const std::string& service, const placement_request& request,
--- a/tests/gateway/gateway_program.hpp
+++ b/tests/gateway/gateway_program.hpp
@@ -73,7 +73,7 @@
            key + "\"]}]}";
 }
 
-/** Runs the gateway program with a stand-in store and one upstream. */
+/** Runs the gateway program with a fake store and one upstream. */
 class gateway_program : public testing::Test
 {
 protected:
