--- a/src/libcyclamenrun/decisions/admission.cpp
+++ b/src/libcyclamenrun/decisions/admission.cpp
@@ -138,7 +138,7 @@
     if (queued_prompt_tokens_ + work.prompt_tokens >
         settings_.max_queued_prompt_tokens)
         return refuse_full(queue, now, "prompt tokens");
-    if (over_share(work, queue))
+    if (exceeds_queue_share(work, queue))
         return refuse_full(queue, now, "requests of this team");
     if (queue.waiting.empty())
         return std::nullopt;
@@ -153,8 +153,8 @@
     return std::nullopt;
 }
 
-bool admission::over_share(const waiting_work& work,
-                           const team_queue& queue) const
+bool admission::exceeds_queue_share(const waiting_work& work,
+                                    const team_queue& queue) const
 {
     if (!settings_.parts.fair_share)
         return false;
--- a/src/libcyclamenrun/decisions/admission.hpp
+++ b/src/libcyclamenrun/decisions/admission.hpp
@@ -137,7 +137,8 @@
                                       team_queue& queue, time_point now);
     refusal refuse_full(team_queue& queue, time_point now,
                         const char* resource);
-    bool over_share(const waiting_work& work, const team_queue& queue) const;
+    bool exceeds_queue_share(const waiting_work& work,
+                             const team_queue& queue) const;
 
     team_queue& queue_for(const waiting_work& work);
     double least_waiting_counter() const;
--- a/src/libcyclamenrun/decisions/copy_turns.cpp
+++ b/src/libcyclamenrun/decisions/copy_turns.cpp
@@ -8,39 +8,39 @@
 bool copy_turns::ask(const turn& requested, time_point now)
 {
     drop_expired(now);
-    const auto found =
-        std::find_if(places_.begin(), places_.end(), [&](const place& each) {
+    const auto found = std::find_if(
+        queue_.begin(), queue_.end(), [&](const queued_request& each) {
             return each.requested.id == requested.id;
         });
-    if (found != places_.end()) {
+    if (found != queue_.end()) {
         found->requested_at = now;
-    } else if (places_.size() < max_copy_turns) {
+    } else if (queue_.size() < max_copy_turns) {
         insert(requested, now);
     }
-    return !places_.empty() && places_.front().requested.id == requested.id;
+    return !queue_.empty() && queue_.front().requested.id == requested.id;
 }
 
 void copy_turns::insert(const turn& requested, time_point now)
 {
-    if (places_.empty()) {
+    if (queue_.empty()) {
         turn_ends_ = now + copy_turn_duration_limit;
-        places_.push_back({requested, now});
+        queue_.push_back({requested, now});
         return;
     }
     // The holder keeps the turn; equal sizes stay in the order of requests.
     const auto before = std::find_if(
-        places_.begin() + 1, places_.end(), [&](const place& each) {
+        queue_.begin() + 1, queue_.end(), [&](const queued_request& each) {
             return each.requested.tokens > requested.tokens;
         });
-    places_.insert(before, {requested, now});
+    queue_.insert(before, {requested, now});
 }
 
 void copy_turns::end(const std::string& id)
 {
-    const bool had_turn =
-        !places_.empty() && places_.front().requested.id == id;
-    std::erase_if(places_,
-                  [&](const place& each) { return each.requested.id == id; });
+    const bool had_turn = !queue_.empty() && queue_.front().requested.id == id;
+    std::erase_if(queue_, [&](const queued_request& each) {
+        return each.requested.id == id;
+    });
     if (had_turn)
         turn_ends_ = time_point::max();
 }
@@ -48,29 +48,29 @@
 std::optional<copy_turns::turn> copy_turns::holder(time_point now)
 {
     drop_expired(now);
-    if (places_.empty())
+    if (queue_.empty())
         return std::nullopt;
-    return places_.front().requested;
+    return queue_.front().requested;
 }
 
 void copy_turns::drop_expired(time_point now)
 {
     const bool new_turn = turn_ends_ == time_point::max();
     // The holder need not repeat its request; it has the turn until its end.
-    while (!places_.empty() && turn_ends_ <= now) {
-        places_.pop_front();
+    while (!queue_.empty() && turn_ends_ <= now) {
+        queue_.pop_front();
         turn_ends_ = now + copy_turn_duration_limit;
     }
     if (new_turn)
         turn_ends_ = now + copy_turn_duration_limit;
-    const auto kept = new_turn || places_.empty() ? 0 : 1;
-    places_.erase(std::remove_if(places_.begin() + kept, places_.end(),
-                                 [&](const place& each) {
-                                     return each.requested_at +
-                                                copy_turn_request_timeout <=
-                                            now;
-                                 }),
-                  places_.end());
+    const auto kept = new_turn || queue_.empty() ? 0 : 1;
+    queue_.erase(std::remove_if(queue_.begin() + kept, queue_.end(),
+                                [&](const queued_request& each) {
+                                    return each.requested_at +
+                                               copy_turn_request_timeout <=
+                                           now;
+                                }),
+                 queue_.end());
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/copy_turns.hpp
+++ b/src/libcyclamenrun/decisions/copy_turns.hpp
@@ -42,7 +42,7 @@
     std::optional<turn> holder(time_point now);
 
 private:
-    struct place {
+    struct queued_request {
         turn requested;
         time_point requested_at;
     };
@@ -50,7 +50,7 @@
     void insert(const turn& requested, time_point now);
     void drop_expired(time_point now);
 
-    std::deque<place> places_; ///< the first has the turn
+    std::deque<queued_request> queue_; ///< the first has the turn
     time_point turn_ends_{};
 };
 
--- a/src/libcyclamenrun/decisions/fair_share.cpp
+++ b/src/libcyclamenrun/decisions/fair_share.cpp
@@ -33,18 +33,19 @@
     // An account at the virtual time loses nothing, since raise_to_floor()
     // raises a new one to it. If that frees too few, all idle accounts are
     // dropped with their debts to keep the bound.
-    const auto at_floor = [this](const auto& item) {
-        return item.second.holders == 0 && item.second.counter <= floor_;
+    const auto at_virtual_time = [this](const auto& item) {
+        return item.second.holders == 0 && item.second.counter <= virtual_time_;
     };
     const auto idle = [](const auto& item) { return item.second.holders == 0; };
-    idle_ -= std::erase_if(accounts_, at_floor);
+    idle_ -= std::erase_if(accounts_, at_virtual_time);
     if (idle_ > max_idle_)
         idle_ -= std::erase_if(accounts_, idle);
 }
 
 void fair_share::raise_to_floor(account& target, double lowest_waiting) const
 {
-    target.counter = std::max(target.counter, std::min(floor_, lowest_waiting));
+    target.counter =
+        std::max(target.counter, std::min(virtual_time_, lowest_waiting));
 }
 
 void fair_share::charge(account& target, double tokens)
@@ -54,7 +55,7 @@
 
 void fair_share::record_served(const account& target)
 {
-    floor_ = std::max(floor_, target.counter);
+    virtual_time_ = std::max(virtual_time_, target.counter);
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/fair_share.hpp
+++ b/src/libcyclamenrun/decisions/fair_share.hpp
@@ -51,7 +51,7 @@
 
     std::size_t max_idle_;
     std::size_t idle_ = 0;
-    double floor_ = 0.0;
+    double virtual_time_ = 0.0;
     std::unordered_map<std::string, account> accounts_;
 };
 
--- a/src/libcyclamenrun/decisions/shared_retry_budget.cpp
+++ b/src/libcyclamenrun/decisions/shared_retry_budget.cpp
@@ -40,7 +40,7 @@
     auto& counts = counts_of(service);
     const double earned =
         settings_.share * static_cast<double>(counts.requests.count(now)) +
-        settings_.extra / sharers_;
+        settings_.extra / gateway_count_;
     return used_share * earned - static_cast<double>(counts.retries.count(now));
 }
 
--- a/src/libcyclamenrun/decisions/shared_retry_budget.hpp
+++ b/src/libcyclamenrun/decisions/shared_retry_budget.hpp
@@ -33,9 +33,9 @@
     {
     }
 
-    unsigned sharers() const { return sharers_; }
+    unsigned sharers() const { return gateway_count_; }
     /** Sets the number of gateways that share the budget. */
-    void set_sharers(unsigned count) { sharers_ = count > 0 ? count : 1; }
+    void set_sharers(unsigned count) { gateway_count_ = count > 0 ? count : 1; }
 
     void request(const std::string& service, time_point now);
     /** Spends one retry; false if the budget is exhausted. */
@@ -54,7 +54,7 @@
     service_counts& counts_of(const std::string& service);
 
     retry_budget_settings settings_;
-    unsigned sharers_ = 8; ///< until set; a number too high is safe
+    unsigned gateway_count_ = 8; ///< until set; a number too high is safe
     std::unordered_map<std::string, service_counts> services_;
 };
 
--- a/src/libcyclamenrun/decisions/survival_curve.cpp
+++ b/src/libcyclamenrun/decisions/survival_curve.cpp
@@ -96,7 +96,8 @@
            fraction * (survival_[bucket + 1] - survival_[bucket]);
 }
 
-float survival_curve::conditional(std::uint32_t made, std::uint32_t ahead) const
+float survival_curve::conditional_survival(std::uint32_t made,
+                                           std::uint32_t ahead) const
 {
     return survival(made + ahead) / survival(made);
 }
--- a/src/libcyclamenrun/decisions/survival_curve.hpp
+++ b/src/libcyclamenrun/decisions/survival_curve.hpp
@@ -43,7 +43,7 @@
     /** P(length > tokens). */
     float survival(std::uint32_t tokens) const;
     /** P(length > made + ahead | length > made). */
-    float conditional(std::uint32_t made, std::uint32_t ahead) const;
+    float conditional_survival(std::uint32_t made, std::uint32_t ahead) const;
     /** Expected further tokens after `made` if the length is capped. */
     float expected_remaining(std::uint32_t made, std::uint32_t cap) const;
 
--- a/src/libcyclamenrun/gateway/answer_relay.cpp
+++ b/src/libcyclamenrun/gateway/answer_relay.cpp
@@ -58,20 +58,20 @@
         const auto passed = events_.feed(bytes);
         if (!passed)
             return tl::unexpected(passed.error());
-        return passed->empty() ? progress() : pass(*passed, now);
+        return passed->empty() ? progress() : write_part(*passed, now);
     }
     if (relaying_)
-        return pass(bytes, now);
+        return write_part(bytes, now);
     body_ += bytes;
     if (body_.size() <= max_buffered_answer_bytes || !facts_.sealed ||
         !is_success(head_.status))
         return progress();
     relaying_ = true;
-    return pass(std::exchange(body_, {}), now);
+    return write_part(std::exchange(body_, {}), now);
 }
 
-answer_relay::progress answer_relay::pass(std::string_view bytes,
-                                          time_point now)
+answer_relay::progress answer_relay::write_part(std::string_view bytes,
+                                                time_point now)
 {
     progress result;
     result.relayed = true;
@@ -123,7 +123,7 @@
 {
     const auto rest = events_.take_remainder();
     if (!rest.empty() || !begun_)
-        pass(rest, now);
+        write_part(rest, now);
     writer_->finish();
     writer_.reset();
 }
--- a/src/libcyclamenrun/gateway/answer_relay.hpp
+++ b/src/libcyclamenrun/gateway/answer_relay.hpp
@@ -86,7 +86,7 @@
     void on_drained(std::function<void()> drained);
 
 private:
-    progress pass(std::string_view bytes, time_point now);
+    progress write_part(std::string_view bytes, time_point now);
     std::optional<milliseconds> record_part(time_point now);
 
     std::shared_ptr<answer_writer> writer_;
--- a/src/libcyclamenrun/gateway/directory_relay.cpp
+++ b/src/libcyclamenrun/gateway/directory_relay.cpp
@@ -19,11 +19,11 @@
  */
 constexpr milliseconds upstream_read_interval{450};
 
-coalescer_pace upstream_pace()
+coalescer_pace upstream_timing()
 {
-    coalescer_pace pace;
-    pace.pause = upstream_read_interval;
-    return pace;
+    coalescer_pace timing;
+    timing.pause = upstream_read_interval;
+    return timing;
 }
 
 /** Answers a call on its stream; removes the call if the stream closes. */
@@ -71,7 +71,7 @@
               loop.reactor(), "configurations", feeds.configurations,
               coalescer_pace(), metrics)),
       upstreams_(std::make_shared<relayed_calls<upstream_record_traits>>(
-          loop.reactor(), "upstreams", feeds.upstreams, upstream_pace(),
+          loop.reactor(), "upstreams", feeds.upstreams, upstream_timing(),
           metrics)),
       server_(std::make_unique<link_server>(
           loop, Poco::Net::SocketAddress(listen.host, listen.port),
--- a/src/libcyclamenrun/gateway/directory_watch.cpp
+++ b/src/libcyclamenrun/gateway/directory_watch.cpp
@@ -107,8 +107,8 @@
 
 void directory_watch::follow_configurations(const gateway_settings& settings)
 {
-    feed_pace pace;
-    pace.wait = settings.configuration_wait;
+    feed_pace timing;
+    timing.wait = settings.configuration_wait;
     feed_follower<gateway_configuration>::hooks on;
     add_common_hooks(on, configuration_feed_name);
     on.items = [this](std::vector<gateway_configuration>&& versions, bool) {
@@ -130,14 +130,14 @@
         platform_.configurations(context_.reactor, settings.directory),
         context_.random, std::move(relayed));
     configurations_ = std::make_shared<feed_follower<gateway_configuration>>(
-        context_.reactor, feed, pace, std::move(on));
+        context_.reactor, feed, timing, std::move(on));
     configurations_->start();
 }
 
 void directory_watch::follow_upstreams(const gateway_settings& settings)
 {
-    feed_pace pace;
-    pace.wait = settings.upstream_wait;
+    feed_pace timing;
+    timing.wait = settings.upstream_wait;
     feed_follower<upstream_change>::hooks on;
     add_common_hooks(on, upstream_feed_name);
     on.items = [this](std::vector<upstream_change>&& changes, bool whole) {
@@ -155,7 +155,7 @@
         platform_.upstreams(context_.reactor, settings.directory),
         context_.random, std::move(relayed));
     upstreams_ = std::make_shared<feed_follower<upstream_change>>(
-        context_.reactor, feed, pace, std::move(on));
+        context_.reactor, feed, timing, std::move(on));
     upstreams_->start();
 }
 
--- a/src/libcyclamenrun/gateway/engine_monitor.cpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.cpp
@@ -26,17 +26,17 @@
 
 constexpr milliseconds publish_interval_per_gateway{8};
 
-engine_view view_of(const engine_load& load)
+engine_view status_of(const engine_load& load)
 {
-    engine_view view;
-    view.running = load.running;
-    view.starting = load.starting;
-    view.queued = load.queued;
-    view.next_tokens = load.next_tokens;
-    view.memory_used = load.memory_used;
-    view.memory_total = load.memory_total;
-    view.generations = load.generations;
-    return view;
+    engine_view status;
+    status.running = load.running;
+    status.starting = load.starting;
+    status.queued = load.queued;
+    status.next_tokens = load.next_tokens;
+    status.memory_used = load.memory_used;
+    status.memory_total = load.memory_total;
+    status.generations = load.generations;
+    return status;
 }
 
 } // namespace
@@ -56,8 +56,8 @@
           [this](const ip_endpoint& from, std::string_view bytes) {
               handle_request(from, bytes);
           })),
-      engine_(std::make_shared<http_caller>(reactor, settings.engine)),
-      identity_(std::make_shared<http_caller>(reactor, settings.engine)),
+      load_client_(std::make_shared<http_caller>(reactor, settings.engine)),
+      identity_client_(std::make_shared<http_caller>(reactor, settings.engine)),
       metrics_(metrics)
 {
 }
@@ -117,10 +117,10 @@
         return;
     // Sent even without a load: the gateway can then query this monitor for the
     // directory, whatever the state of its engine.
-    v1::MonitorNotice greeting;
-    greeting.set_gateways(static_cast<std::uint32_t>(gateways_.size()));
+    v1::MonitorNotice notice;
+    notice.set_gateways(static_cast<std::uint32_t>(gateways_.size()));
     socket_->send(gateway.address, last_load_ ? load_notice(*last_load_)
-                                              : greeting.SerializeAsString());
+                                              : notice.SerializeAsString());
 }
 
 std::size_t engine_monitor::count_subscribers() const
@@ -250,15 +250,15 @@
 {
     const auto now = steady_now();
     if (health_target_.empty() || !engine_id_.empty() || !last_load_ ||
-        identity_->busy() || now < identify_at_)
+        identity_client_->busy() || now < identify_at_)
         return;
     identify_at_ = now + identity_retry;
-    identity_->call(dialect_->health_call(health_target_), {},
-                    now + identity_timeout,
-                    [weak = weak_from_this()](const call_outcome& outcome) {
-                        if (const auto self = weak.lock())
-                            self->handle_identity(outcome);
-                    });
+    identity_client_->call(
+        dialect_->health_call(health_target_), {}, now + identity_timeout,
+        [weak = weak_from_this()](const call_outcome& outcome) {
+            if (const auto self = weak.lock())
+                self->handle_identity(outcome);
+        });
 }
 
 void engine_monitor::handle_identity(const call_outcome& outcome)
@@ -276,7 +276,7 @@
 
 bool engine_monitor::is_identifying() const
 {
-    return engine_id_.empty() && identity_->busy() &&
+    return engine_id_.empty() && identity_client_->busy() &&
            steady_now() < identify_at_;
 }
 
@@ -297,11 +297,11 @@
         return;
     }
     polled_at_ = steady_now();
-    engine_->call(dialect_->load_call(), {}, steady_now() + engine_timeout,
-                  [weak = weak_from_this()](const call_outcome& outcome) {
-                      if (const auto self = weak.lock())
-                          self->handle_load_reply(outcome);
-                  });
+    load_client_->call(dialect_->load_call(), {}, steady_now() + engine_timeout,
+                       [weak = weak_from_this()](const call_outcome& outcome) {
+                           if (const auto self = weak.lock())
+                               self->handle_load_reply(outcome);
+                       });
 }
 
 void engine_monitor::schedule_poll()
@@ -320,7 +320,7 @@
     if (load) {
         record_load_metrics(*load);
         last_load_ = *load;
-        starts_.take_view(view_of(*load), load->leaving, reactor_->now());
+        starts_.take_view(status_of(*load), load->leaving, reactor_->now());
         grant_starts();
         publish_load(*load);
         if (load->leaving && on_leaving_)
--- a/src/libcyclamenrun/gateway/engine_monitor.hpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.hpp
@@ -100,8 +100,8 @@
     std::shared_ptr<const gateway_dialect> dialect_;
     engine_monitor_settings settings_;
     std::shared_ptr<datagram_socket> socket_;
-    std::shared_ptr<http_caller> engine_;
-    std::shared_ptr<http_caller> identity_;
+    std::shared_ptr<http_caller> load_client_;
+    std::shared_ptr<http_caller> identity_client_;
     std::string health_target_;
     std::string engine_id_; ///< empty: unknown
     time_point identify_at_{};
--- a/src/libcyclamenrun/gateway/feed_follower.hpp
+++ b/src/libcyclamenrun/gateway/feed_follower.hpp
@@ -20,7 +20,7 @@
     /** Time for which the directory holds a call without new records. */
     milliseconds wait{1500};
     /** Time for an answer beyond the wait, before the call times out. */
-    milliseconds slack{1200};
+    milliseconds answer_timeout{1200};
     milliseconds first_retry_delay{100};
     milliseconds max_retry_delay{800};
 };
@@ -60,10 +60,10 @@
     };
 
     feed_follower(std::shared_ptr<link_reactor> reactor,
-                  std::shared_ptr<directory_feed<Item>> feed, feed_pace pace,
+                  std::shared_ptr<directory_feed<Item>> feed, feed_pace timing,
                   hooks on)
-        : reactor_(std::move(reactor)), feed_(std::move(feed)), pace_(pace),
-          on_(std::move(on)), retry_delay_(pace.first_retry_delay)
+        : reactor_(std::move(reactor)), feed_(std::move(feed)), timing_(timing),
+          on_(std::move(on)), retry_delay_(timing.first_retry_delay)
     {
     }
 
@@ -96,13 +96,13 @@
             if (const auto self = weak.lock())
                 self->handle_answer(std::move(result));
         };
-        const auto wait = on_.wait ? on_.wait() : pace_.wait;
+        const auto wait = on_.wait ? on_.wait() : timing_.wait;
         if (offset_)
             feed_->read_from(*offset_, wait,
-                             read_started_at_ + wait + pace_.slack,
+                             read_started_at_ + wait + timing_.answer_timeout,
                              std::move(answer));
         else
-            feed_->read_newest(read_started_at_ + pace_.slack,
+            feed_->read_newest(read_started_at_ + timing_.answer_timeout,
                                std::move(answer));
     }
 
@@ -113,7 +113,7 @@
             handle_failure(result.error());
             return;
         }
-        retry_delay_ = pace_.first_retry_delay;
+        retry_delay_ = timing_.first_retry_delay;
         if (lost_since_ && on_.regained)
             on_.regained(steady_now() - *lost_since_);
         lost_since_.reset();
@@ -152,7 +152,7 @@
                 on_.lost(problem);
         }
         read_at(steady_now() + retry_delay_);
-        retry_delay_ = std::min(2 * retry_delay_, pace_.max_retry_delay);
+        retry_delay_ = std::min(2 * retry_delay_, timing_.max_retry_delay);
     }
 
     void read_at(time_point when)
@@ -173,7 +173,7 @@
 
     std::shared_ptr<link_reactor> reactor_;
     std::shared_ptr<directory_feed<Item>> feed_;
-    feed_pace pace_;
+    feed_pace timing_;
     hooks on_;
     std::optional<std::uint64_t> offset_;
     bool reading_ = false;
--- a/src/libcyclamenrun/gateway/generation_mover.cpp
+++ b/src/libcyclamenrun/gateway/generation_mover.cpp
@@ -141,13 +141,13 @@
     on.stopped = [weak = weak_from_this(), source,
                   to](const continuation& from) {
         if (const auto self = weak.lock())
-            self->stopped(from, source, to);
+            self->handle_stopped(from, source, to);
     };
     on.failed = [weak = weak_from_this(),
                  source](move_failure failure,
                          const std::optional<continuation>& kept) {
         if (const auto self = weak.lock())
-            self->failed(failure, kept, source);
+            self->handle_failure(failure, kept, source);
     };
     move_ = std::make_shared<generation_move>(
         context_, request_id_, source, to,
@@ -155,16 +155,16 @@
     move_->start();
 }
 
-void generation_mover::stopped(const continuation& from,
-                               const upstream_record& source,
-                               const upstream_record& to)
+void generation_mover::handle_stopped(const continuation& from,
+                                      const upstream_record& source,
+                                      const upstream_record& to)
 {
     release_turns();
     move_.reset();
     if (over_)
         return;
     on_.move_ended(source, to, std::nullopt);
-    pending_ = pending_step{from, to};
+    pending_ = resume_point{from, to};
     resume_after_last_events();
 }
 
@@ -214,9 +214,9 @@
     return false;
 }
 
-void generation_mover::failed(move_failure failure,
-                              const std::optional<continuation>& kept,
-                              const upstream_record& source)
+void generation_mover::handle_failure(move_failure failure,
+                                      const std::optional<continuation>& kept,
+                                      const upstream_record& source)
 {
     release_turns();
     const auto move = std::exchange(move_, nullptr);
@@ -231,7 +231,7 @@
     }
     if (kept) {
         // The generation is stopped, and the source still holds its memory.
-        pending_ = pending_step{*kept, source};
+        pending_ = resume_point{*kept, source};
         resume_after_last_events();
         return;
     }
@@ -246,7 +246,7 @@
 void generation_mover::wait_for_stop(const continuation& kept,
                                      const upstream_record& source)
 {
-    unconfirmed_ = pending_step{kept, source};
+    unconfirmed_ = resume_point{kept, source};
     context_.reactor->post_at(context_.reactor->now() + last_events_timeout,
                               [weak = weak_from_this(), source] {
                                   const auto self = weak.lock();
--- a/src/libcyclamenrun/gateway/generation_mover.hpp
+++ b/src/libcyclamenrun/gateway/generation_mover.hpp
@@ -91,10 +91,11 @@
     void handle_no_destination(const upstream_record& source);
     void start(const upstream_record& source, const upstream_record& to);
     void release_turns();
-    void stopped(const continuation& from, const upstream_record& source,
-                 const upstream_record& to);
-    void failed(move_failure failure, const std::optional<continuation>& kept,
-                const upstream_record& source);
+    void handle_stopped(const continuation& from, const upstream_record& source,
+                        const upstream_record& to);
+    void handle_failure(move_failure failure,
+                        const std::optional<continuation>& kept,
+                        const upstream_record& source);
     void wait_for_stop(const continuation& kept, const upstream_record& source);
     void resume_after_last_events();
     void resume();
@@ -111,17 +112,17 @@
     std::string refused_by_; ///< last destination that had no room
     unsigned moves_ = 0;
     /** Where a stopped generation resumes after the source's last events. */
-    struct pending_step {
+    struct resume_point {
         continuation from;
         upstream_record to;
     };
-    std::optional<pending_step> pending_;
+    std::optional<resume_point> pending_;
     /**
      * Set while the stop order was sent but its reply is lost. If the source's
      * stream ends now, the order was executed and the generation resumes from
      * here.
      */
-    std::optional<pending_step> unconfirmed_;
+    std::optional<resume_point> unconfirmed_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/read_coalescer.hpp
+++ b/src/libcyclamenrun/gateway/read_coalescer.hpp
@@ -16,7 +16,7 @@
 /** Timing and limits of a read_coalescer. */
 struct coalescer_pace {
     /** Calls that arrive within this time of the first share its read. */
-    milliseconds gather{10};
+    milliseconds batch_window{10};
     /** Least time between two reads. */
     milliseconds pause{0};
     /** Longest time for which the directory holds a read. */
@@ -62,9 +62,9 @@
         milliseconds wait;
     };
 
-    explicit read_coalescer(const coalescer_pace& pace)
-        : pace_(pace), history_(pace.max_changes),
-          retry_delay_(pace.first_retry_delay)
+    explicit read_coalescer(const coalescer_pace& timing)
+        : timing_(timing), history_(timing.max_changes),
+          retry_delay_(timing.first_retry_delay)
     {
     }
 
@@ -75,7 +75,7 @@
     std::optional<call_id> add_call(std::optional<std::uint64_t> from,
                                     milliseconds wait, time_point now)
     {
-        if (calls_.size() >= pace_.max_calls)
+        if (calls_.size() >= timing_.max_calls)
             return std::nullopt;
         calls_[++last_call_id_] = {from, now, now + wait, false};
         return last_call_id_;
@@ -92,7 +92,8 @@
     {
         if (reading_ || calls_.empty())
             return std::nullopt;
-        return std::max(calls_.begin()->second.arrived_at + pace_.gather,
+        return std::max(calls_.begin()->second.arrived_at +
+                            timing_.batch_window,
                         not_before_);
     }
 
@@ -100,8 +101,8 @@
     read begin_read(time_point now)
     {
         reading_ = true;
-        not_before_ = now + pace_.pause;
-        read result{std::nullopt, pace_.max_wait};
+        not_before_ = now + timing_.pause;
+        read result{std::nullopt, timing_.max_wait};
         for (auto& [id, call] : calls_) {
             call.covered = true;
             result.wait =
@@ -113,7 +114,7 @@
             result.wait = milliseconds(0);
         timeout_at_ =
             now + result.wait +
-            (result.from ? pace_.read_timeout : pace_.newest_read_timeout);
+            (result.from ? timing_.read_timeout : timing_.newest_read_timeout);
         return result;
     }
 
@@ -125,7 +126,7 @@
         reading_ = false;
         if (!result)
             return handle_failure(result.error(), now);
-        retry_delay_ = pace_.first_retry_delay;
+        retry_delay_ = timing_.first_retry_delay;
         if (history_.known())
             history_.extend(*result);
         else
@@ -218,7 +219,7 @@
             return {};
         }
         not_before_ = now + retry_delay_;
-        retry_delay_ = std::min(2 * retry_delay_, pace_.max_retry_delay);
+        retry_delay_ = std::min(2 * retry_delay_, timing_.max_retry_delay);
         return refuse([](const pending_call& each) { return each.covered; });
     }
 
@@ -241,7 +242,7 @@
             calls_.erase(each.call);
     }
 
-    coalescer_pace pace_;
+    coalescer_pace timing_;
     feed_history<Traits> history_;
     std::map<call_id, pending_call> calls_; ///< in order of arrival
     call_id last_call_id_ = 0;
--- a/src/libcyclamenrun/gateway/relayed_calls.hpp
+++ b/src/libcyclamenrun/gateway/relayed_calls.hpp
@@ -28,9 +28,9 @@
 
     relayed_calls(std::shared_ptr<link_reactor> reactor, std::string_view name,
                   std::shared_ptr<directory_feed<item>> feed,
-                  const coalescer_pace& pace, exported_metrics& metrics)
+                  const coalescer_pace& timing, exported_metrics& metrics)
         : reactor_(std::move(reactor)), name_(name), feed_(std::move(feed)),
-          coalescer_(pace), metrics_(metrics)
+          coalescer_(timing), metrics_(metrics)
     {
     }
 
@@ -48,7 +48,7 @@
             return std::nullopt;
         }
         waiting_.emplace(*call, std::move(on_answer));
-        read_later();
+        schedule_read();
         return call;
     }
 
@@ -67,9 +67,9 @@
 
 private:
     /** Time beyond its wait in which a slow directory may answer a read. */
-    static constexpr milliseconds slack{1200};
+    static constexpr milliseconds answer_timeout{1200};
 
-    void read_later()
+    void schedule_read()
     {
         const auto due = coalescer_.next_read();
         if (!due || (timer_at_ > steady_now() && timer_at_ <= *due))
@@ -87,7 +87,7 @@
         if (due && *due <= steady_now())
             read();
         else
-            read_later();
+            schedule_read();
     }
 
     void read()
@@ -105,7 +105,7 @@
             if (const auto self = weak.lock())
                 self->handle_result(read);
         };
-        const auto deadline = now + next.wait + slack;
+        const auto deadline = now + next.wait + answer_timeout;
         if (next.from)
             feed_->read_from(*next.from, next.wait, deadline,
                              std::move(answer));
@@ -121,7 +121,7 @@
         else
             record_failure(read.error());
         deliver(coalescer_.end_read(read, now));
-        read_later();
+        schedule_read();
     }
 
     void record_success(const directory_page<item>& page, duration took)
--- a/src/libcyclamenrun/gateway/relayed_feed.hpp
+++ b/src/libcyclamenrun/gateway/relayed_feed.hpp
@@ -124,7 +124,7 @@
         if (relays_)
             pending->hosts = relays_->usable_hosts();
         if (relays_ && pending->hosts.empty() && waits_for_relays(*pending))
-            begin_later(pending);
+            schedule_begin(pending);
         else
             try_next(pending);
     }
@@ -136,7 +136,7 @@
         return pending.from && relays_->awaits_first_report();
     }
 
-    void begin_later(const std::shared_ptr<call>& pending)
+    void schedule_begin(const std::shared_ptr<call>& pending)
     {
         reactor_->post_at(steady_now() + relay_poll_interval,
                           [weak = this->weak_from_this(), pending] {
--- a/src/libcyclamenrun/gateway/start_search.cpp
+++ b/src/libcyclamenrun/gateway/start_search.cpp
@@ -90,7 +90,7 @@
 {
     if (over_)
         return;
-    drop_removed();
+    drop_unusable();
     for (const auto& each : requested_)
         context_.monitors->ask_start(each.engine.address.host, request_,
                                      each.engine.slots);
@@ -98,7 +98,7 @@
     schedule_repeat();
 }
 
-void start_search::drop_removed()
+void start_search::drop_unusable()
 {
     std::erase_if(requested_, [&](const requested_engine& each) {
         const auto* state = context_.board.find(each.engine.id);
--- a/src/libcyclamenrun/gateway/start_search.hpp
+++ b/src/libcyclamenrun/gateway/start_search.hpp
@@ -57,7 +57,7 @@
     void request_more(std::size_t count);
     void repeat_requests();
     void schedule_repeat();
-    void drop_removed();
+    void drop_unusable();
     void check_responses();
     bool all_responded() const;
     void handle_grant(const std::string& host, const given_place& place);
--- a/src/libcyclamenrun/gateway/upstream_attempt.cpp
+++ b/src/libcyclamenrun/gateway/upstream_attempt.cpp
@@ -10,7 +10,7 @@
 {
 
 /** Idle timeout of a connection whose peer states none. */
-constexpr milliseconds default_idle{4000};
+constexpr milliseconds default_idle_timeout{4000};
 /**
  * An idle connection is closed this long before its peer would close it, since
  * a request sent while the peer closes has an unknown outcome. Delays between
@@ -193,7 +193,7 @@
         connection_->close();
         return;
     }
-    const auto idle = facts_.keeps_idle.value_or(default_idle);
+    const auto idle = facts_.keeps_idle.value_or(default_idle_timeout);
     if (idle <= idle_margin) {
         connection_->close();
         return;
--- a/src/libcyclamenrun/gateway/upstream_board.cpp
+++ b/src/libcyclamenrun/gateway/upstream_board.cpp
@@ -59,7 +59,7 @@
 double failure_rate_at(const upstream_state& upstream, time_point now)
 {
     const auto halves =
-        std::chrono::duration<double>(now - upstream.failure_at) /
+        std::chrono::duration<double>(now - upstream.failure_rate_updated_at) /
         std::chrono::duration<double>(failure_half_life);
     return upstream.failure_rate * std::exp2(-std::max(0.0, halves));
 }
@@ -373,7 +373,7 @@
 {
     const double rate = failure_rate_at(upstream, now);
     upstream.failure_rate = rate + failure_weight * (sample - rate);
-    upstream.failure_at = now;
+    upstream.failure_rate_updated_at = now;
 }
 
 const upstream_state* upstream_board::find(const std::string& id) const
--- a/src/libcyclamenrun/gateway/upstream_board.hpp
+++ b/src/libcyclamenrun/gateway/upstream_board.hpp
@@ -40,7 +40,7 @@
     /** Set after a failed connection; not tried again before this time. */
     time_point unreachable_until{};
     double failure_rate = 0;
-    time_point failure_at{};
+    time_point failure_rate_updated_at{};
 
     struct dispatch {
         time_point at;
--- a/tests/decisions/test_admission.cpp
+++ b/tests/decisions/test_admission.cpp
@@ -50,7 +50,7 @@
     }
 }
 
-RC_GTEST_PROP(admission_property, counts_are_conserved_whatever_happens, ())
+RC_GTEST_PROP(admission_property, counts_are_conserved_for_any_events, ())
 {
     admission_settings settings;
     settings.memory_tokens = 5'000;
--- a/tests/decisions/test_herds.cpp
+++ b/tests/decisions/test_herds.cpp
@@ -26,10 +26,10 @@
 constexpr int load_age_ms = 200;
 constexpr int poll_ms = 100;
 constexpr int objective_ms = 1500;
-constexpr int length_ms = 30000;
+constexpr int duration_ms = 30000;
 /** Callers disconnect if nothing has arrived by then. */
 constexpr int caller_timeout_ms = 4 * objective_ms;
-constexpr std::uint64_t calm_team_count = 20;
+constexpr std::uint64_t normal_team_count = 20;
 const std::string flooding_team = "flood";
 const time_point epoch{std::chrono::hours(1)};
 
@@ -126,7 +126,7 @@
     fleet& operator=(const fleet&) = delete;
 
     /** Runs the fleet; returns the share of late or missing first parts. */
-    double late_share(int until_ms = length_ms)
+    double late_share(int until_ms = duration_ms)
     {
         for (now_ms = 0; now_ms < until_ms; now_ms += step_ms) {
             if (now_ms % 3300 == 0)
@@ -134,7 +134,7 @@
             std::poisson_distribution<int> arrivals(arrivals_per_s * step_ms /
                                                     1000);
             for (int i = arrivals(random); i > 0; --i)
-                arrive(draw(std::to_string(random() % calm_team_count)));
+                arrive(draw(std::to_string(random() % normal_team_count)));
             std::poisson_distribution<int> floods(flood_per_s_ * step_ms /
                                                   1000);
             for (int i = flood_per_s_ > 0 ? floods(random) : 0; i > 0; --i)
@@ -216,7 +216,7 @@
 };
 
 /** Each gateway chooses by old load reports and its own dispatches. */
-class choosing_fleet : public fleet
+class gateway_choice_fleet : public fleet
 {
 public:
     using fleet::fleet;
@@ -269,10 +269,10 @@
 };
 
 /** Generations wait at several engines and start at the first with room. */
-class queueing_fleet : public fleet
+class start_queue_fleet : public fleet
 {
 public:
-    explicit queueing_fleet(std::uint64_t seed, bool knows_teams = true)
+    explicit start_queue_fleet(std::uint64_t seed, bool knows_teams = true)
         : fleet(seed), knows_teams_(knows_teams)
     {
         for (auto& each : queues_) {
@@ -371,14 +371,14 @@
 // old, all gateways send to the few engines that were empty in the reports, and
 // callers wait although the fleet has room. With start requests at several
 // engines, few first parts are late.
-TEST(herds, keep_no_callers_waiting_where_engines_grant_starts)
+TEST(thundering_herds, keep_no_callers_waiting_where_engines_grant_starts)
 {
     double late_by_reports = 0;
     double late_by_requests = 0;
     for (const std::uint64_t seed : {1, 2, 3}) {
-        choosing_fleet choosing(seed);
+        gateway_choice_fleet choosing(seed);
         late_by_reports += choosing.late_share() / 3;
-        queueing_fleet queueing(seed);
+        start_queue_fleet queueing(seed);
         late_by_requests += queueing.late_share() / 3;
         EXPECT_GE(queueing.begun(), choosing.begun());
     }
@@ -391,15 +391,15 @@
 // Guards against a team that floods: one of twenty-one teams sends as much as
 // all others together and the engines are full. In order of arrival, the
 // requests of the other teams wait behind the flood and are late.
-TEST(herds, let_no_team_that_floods_make_the_others_late)
+TEST(thundering_herds, a_flooding_team_does_not_delay_others)
 {
     constexpr double flood_per_s = 75;
     constexpr int flood_ms = 9000;
-    queueing_fleet unaware(1, false);
+    start_queue_fleet unaware(1, false);
     unaware.flood(flood_per_s);
     unaware.late_share(flood_ms);
     const double in_order = unaware.calm_teams().late_share();
-    queueing_fleet aware(1);
+    start_queue_fleet aware(1);
     aware.flood(flood_per_s);
     aware.late_share(flood_ms);
     const double shared = aware.calm_teams().late_share();
--- a/tests/gateway/test_explaining.cpp
+++ b/tests/gateway/test_explaining.cpp
@@ -13,7 +13,7 @@
 using testing::ContainsRegex;
 
 /** Runs the walk-throughs of docs/OPERATIONS.md on the program's own log. */
-class explaining : public gateway_program
+class request_explanation : public gateway_program
 {
 protected:
     /** Sends a request, waits for its answer, and returns its id. */
@@ -47,7 +47,7 @@
 };
 
 // Walk-through: a caller reports that its stream was cut in the middle.
-TEST_F(explaining, a_stream_that_was_cut)
+TEST_F(request_explanation, shows_why_a_stream_was_cut)
 {
     const auto id = send("k1", "/s/x");
     EXPECT_FALSE(last.whole);
@@ -69,7 +69,7 @@
 // Walk-through: a caller was refused although the dashboard showed a free
 // upstream. The gateway had received nothing from the store for longer than
 // its lease on the configuration, and with it on the keys.
-TEST_F(explaining, a_refusal_while_upstreams_were_free)
+TEST_F(request_explanation, shows_why_a_request_was_refused)
 {
     store.set_mood(stand_in_store::mood::silent);
     wait_for_answer("k1", 503);
@@ -87,7 +87,7 @@
 
 // Walk-through: a key was revoked. One request was still served with it, the
 // next was refused. The output shows the configuration at either time.
-TEST_F(explaining, a_key_that_was_revoked)
+TEST_F(request_explanation, shows_when_a_key_was_revoked)
 {
     const auto served = send("k1", "/a/x");
     EXPECT_EQ(last.status(), 200U);
--- a/tests/gateway/test_feed_follower.cpp
+++ b/tests/gateway/test_feed_follower.cpp
@@ -91,9 +91,9 @@
     const auto count = rest.size() + 1;
     auto feed = std::make_shared<scripted_feed>(std::move(rest));
     follower_record record;
-    feed_pace pace;
-    pace.first_retry_delay = milliseconds(1);
-    pace.max_retry_delay = milliseconds(4);
+    feed_pace timing;
+    timing.first_retry_delay = milliseconds(1);
+    timing.max_retry_delay = milliseconds(4);
     {
         link_loop loop;
         feed_follower<int>::hooks on;
@@ -105,7 +105,7 @@
         on.lost = [&](directory_problem) { ++record.lost; };
         on.regained = [&](duration) { ++record.regained; };
         const auto follower = std::make_shared<feed_follower<int>>(
-            loop.reactor(), feed, pace, std::move(on));
+            loop.reactor(), feed, timing, std::move(on));
         loop.post([follower] { follower->start(); });
         calls = feed->wait_for_calls(count);
     }
--- a/tests/gateway/test_passing_on.cpp
+++ b/tests/gateway/test_passing_on.cpp
@@ -7,7 +7,7 @@
 namespace
 {
 
-class passing_on : public gateway_fixture
+class request_forwarding : public gateway_fixture
 {
 };
 
@@ -16,7 +16,7 @@
     reply.answer(request, 200, "echo " + request.body);
 }
 
-TEST_F(passing_on, requests_and_answers_go_through_unchanged)
+TEST_F(request_forwarding, requests_and_answers_go_through_unchanged)
 {
     start();
     auto& upstream = add("u1", answer_with_body);
@@ -36,7 +36,7 @@
     EXPECT_EQ(arrived[0].field("Authorization"), "");
 }
 
-TEST_F(passing_on, a_connection_serves_one_request_after_another)
+TEST_F(request_forwarding, a_connection_serves_one_request_after_another)
 {
     start();
     add("u1", answer_with_body);
@@ -50,7 +50,8 @@
     EXPECT_EQ(caller.read().body, "echo three");
 }
 
-TEST_F(passing_on, a_malformed_request_is_refused_and_closes_the_connection)
+TEST_F(request_forwarding,
+       a_malformed_request_is_refused_and_closes_the_connection)
 {
     start();
     auto& upstream = add("u1", answer_with_body);
@@ -67,7 +68,7 @@
 
 // Guards against connections held open by half a request: the header timeout
 // applies, not the longer timeout of an idle connection.
-TEST_F(passing_on, half_a_request_is_closed_after_the_header_timeout)
+TEST_F(request_forwarding, half_a_request_is_closed_after_the_header_timeout)
 {
     start();
     auto limited = configuration();
@@ -84,7 +85,7 @@
 
 // Guards against a 404 or 401 from a process that has just started and has no
 // configuration yet; callers would give up on routes and keys that exist.
-TEST_F(passing_on, a_process_without_a_configuration_is_not_ready)
+TEST_F(request_forwarding, a_process_without_a_configuration_is_not_ready)
 {
     start(false);
     EXPECT_EQ(readiness(), 503U);
@@ -97,7 +98,7 @@
     EXPECT_EQ(ask("/plain/x").status(), 200U);
 }
 
-TEST_F(passing_on, routes_and_keys_are_those_of_the_newest_version)
+TEST_F(request_forwarding, routes_and_keys_are_those_of_the_newest_version)
 {
     start();
     add("u1", answer_with_body);
@@ -115,7 +116,7 @@
 
 // Guards against the return of a revoked key: an older version arrives after a
 // newer one, for example from a record that is read twice.
-TEST_F(passing_on, an_older_configuration_is_ignored)
+TEST_F(request_forwarding, an_older_configuration_is_ignored)
 {
     start();
     add("u1", answer_with_body);
@@ -133,7 +134,7 @@
 
 // Guards against the use of revoked keys: the directory does not respond for
 // longer than the lease on the configuration.
-TEST_F(passing_on, an_expired_configuration_refuses_all_requests)
+TEST_F(request_forwarding, an_expired_configuration_refuses_all_requests)
 {
     settings.configuration_lease = milliseconds(900);
     settings.configuration_wait = milliseconds(100);
@@ -145,7 +146,7 @@
     EXPECT_EQ(readiness(), 503U);
 }
 
-TEST_F(passing_on, a_missing_upstream_is_refused_at_once)
+TEST_F(request_forwarding, a_missing_upstream_is_refused_at_once)
 {
     start();
     const auto began = steady_now();
@@ -154,7 +155,7 @@
     EXPECT_LT(steady_now() - began, milliseconds(1000));
 }
 
-TEST_F(passing_on, leaving_upstreams_get_no_new_requests)
+TEST_F(request_forwarding, leaving_upstreams_get_no_new_requests)
 {
     start();
     auto& leaving = add("u1", answer_with_body);
@@ -169,7 +170,7 @@
     EXPECT_GE(staying.arrived().size(), 10U);
 }
 
-TEST_F(passing_on, a_planned_stop_completes_running_requests)
+TEST_F(request_forwarding, a_planned_stop_completes_running_requests)
 {
     start();
     std::atomic<bool> may_answer = false;
--- a/tests/gateway/test_read_coalescer.cpp
+++ b/tests/gateway/test_read_coalescer.cpp
@@ -47,18 +47,18 @@
 class coalesced_reads : public testing::Test
 {
 protected:
-    coalesced_reads() : reads(pace())
+    coalesced_reads() : reads(timing())
     {
         (void)reads.add_call(std::nullopt, milliseconds(0), now);
         (void)read(newest({change("a")}, 5));
     }
 
-    static coalescer_pace pace()
+    static coalescer_pace timing()
     {
-        coalescer_pace pace;
-        pace.max_changes = 3;
-        pace.max_calls = 4;
-        return pace;
+        coalescer_pace timing;
+        timing.max_changes = 3;
+        timing.max_calls = 4;
+        return timing;
     }
 
     coalescer::call_id add_call(std::optional<std::uint64_t> from)
@@ -98,7 +98,7 @@
     const auto second = add_call(5);
     const auto sent = begin();
     EXPECT_EQ(sent.from, 5U);
-    EXPECT_EQ(sent.wait, milliseconds(900) - pace().gather)
+    EXPECT_EQ(sent.wait, milliseconds(900) - timing().batch_window)
         << "the wait of the first call, counted from its arrival";
     EXPECT_FALSE(reads.next_read());
     const auto answers = end(read_from(5, {change("b")}));
@@ -253,10 +253,10 @@
         const auto pause =
             std::chrono::duration_cast<milliseconds>(*reads.next_read() - now);
         EXPECT_GE(pause, last);
-        EXPECT_LE(pause, pace().max_retry_delay);
+        EXPECT_LE(pause, timing().max_retry_delay);
         last = pause;
     }
-    EXPECT_EQ(last, pace().max_retry_delay);
+    EXPECT_EQ(last, timing().max_retry_delay);
 }
 
 // A connection to the directory does not respond. The calls that wait for its
--- a/tests/platform/test_spoiled_messages.cpp
+++ b/tests/platform/test_spoiled_messages.cpp
@@ -44,7 +44,7 @@
 
 // A corrupted configuration must be rejected or give only values with which
 // requests can be served.
-RC_GTEST_PROP(spoiled_messages, give_no_invalid_configuration, ())
+RC_GTEST_PROP(corrupted_messages, give_no_invalid_configuration, ())
 {
     const auto read = read_configuration(corrupted(configuration_text));
     if (!read)
@@ -57,7 +57,7 @@
     }
 }
 
-RC_GTEST_PROP(spoiled_messages, give_a_load_or_an_error, ())
+RC_GTEST_PROP(corrupted_messages, give_a_load_or_an_error, ())
 {
     const std::string text =
         R"({"running":3,"starting":1,"queued":2,"next":1700,"kv_used":900,)"
@@ -67,7 +67,7 @@
     RC_ASSERT(load || load.error() == call_failure::malformed);
 }
 
-RC_GTEST_PROP(spoiled_messages, of_a_move_are_never_taken_for_a_copy, ())
+RC_GTEST_PROP(corrupted_messages, of_a_move_are_never_taken_for_a_copy, ())
 {
     const std::string text = R"({"handle":"h1","created":30})";
     const auto status = *rc::gen::element(200U, 404U, 409U, 503U, 500U);
@@ -78,7 +78,7 @@
     }
 }
 
-RC_GTEST_PROP(spoiled_messages,
+RC_GTEST_PROP(corrupted_messages,
               of_the_store_give_no_more_records_than_they_hold, ())
 {
     std::string batch(16, '\0');
@@ -94,7 +94,7 @@
 }
 
 /** A caller's header fields, each of them corrupted, repeated or missing. */
-RC_GTEST_PROP(spoiled_messages, of_callers_are_read_or_refused, ())
+RC_GTEST_PROP(corrupted_messages, of_callers_are_read_or_refused, ())
 {
     http_head head;
     head.method = "POST";
