--- a/src/libcyclamenrun/decisions/admission.hpp
+++ b/src/libcyclamenrun/decisions/admission.hpp
@@ -116,7 +116,7 @@
         std::uint32_t work_items = 0;           ///< waiting and running
         std::deque<work_id> waiting;
         std::uint64_t prompt_tokens = 0; ///< of waiting work items
-        double expected_tokens = 0;      ///< expected length of the last one
+        double expected_tokens = 0; ///< expected output of the one queued last
         drain_rate drain;
         /// The latest return time given to a refused caller.
         time_point last_retry_at{};
@@ -137,7 +137,8 @@
                                       team_queue& queue, time_point now);
     refusal refuse_full(team_queue& queue, time_point now,
                         const char* resource);
-    bool over_share(const waiting_work& work, const team_queue& queue) const;
+    bool exceeds_queue_share(const waiting_work& work,
+                             const team_queue& queue) const;
 
     team_queue& queue_for(const waiting_work& work);
     double least_waiting_counter() const;
--- a/src/libcyclamenrun/decisions/copy_turns.hpp
+++ b/src/libcyclamenrun/decisions/copy_turns.hpp
@@ -42,7 +42,7 @@
     std::optional<turn> holder(time_point now);
 
 private:
-    struct place {
+    struct queued_request {
         turn requested;
         time_point requested_at;
     };
@@ -50,13 +50,14 @@
     void insert(const turn& requested, time_point now);
     void drop_expired(time_point now);
 
-    std::deque<place> places_; ///< the first has the turn
+    std::deque<queued_request> queue_; ///< the first has the turn
     time_point turn_ends_{};
 };
 
 /**
  * A copy of a large prompt takes 0.4 s between failure domains. A copy that
- * exceeds this limit is taken to be stuck, and the next one starts beside it.
+ * exceeds this limit is taken to be stuck, and the next copy starts while it
+ * still runs.
  */
 inline constexpr milliseconds copy_turn_duration_limit{900};
 /** Gateways repeat a request every 50 ms; it expires after this time. */
