--- a/src/libcyclamenrun/configuration/configuration_state.hpp
+++ b/src/libcyclamenrun/configuration/configuration_state.hpp
@@ -47,7 +47,7 @@
 /**
  * The configuration, computed deterministically from the log's records in
  * offset order. Readers that have applied the same records hold the same
- * state, so that of several concurrent changes the same one wins everywhere.
+ * state, so the same one of several concurrent changes wins everywhere.
  * The revision is the offset of the next record to apply.
  */
 class configuration_state
--- a/src/libcyclamenrun/configuration/log_tailer.cpp
+++ b/src/libcyclamenrun/configuration/log_tailer.cpp
@@ -70,8 +70,8 @@
     std::unique_lock lock(mutex_);
     while (!stopping_) {
         lock.unlock();
-        // A new process does not wait for records until it has seen the end
-        // of the log. If no records arrived it would stay unready for the
+        // Until it has seen the end of the log, a new process does not wait
+        // for new records: if none arrived, it would stay unready for the
         // whole wait.
         const milliseconds pause =
             pass(end_seen_ ? settings_.read_wait : milliseconds(0));
--- a/src/libcyclamenrun/configuration/snapshot_writer.hpp
+++ b/src/libcyclamenrun/configuration/snapshot_writer.hpp
@@ -40,7 +40,10 @@
      */
     bool poll(const log_tail_cursor& cursor, time_point now);
 
-    /** Size of one record, below the log's limit on a record. */
+    /**
+     * Maximum total size of the items in one record of a snapshot, unless a
+     * single item is larger. Below the log's limit on a record.
+     */
     static constexpr std::size_t part_bytes = 48UL * 1024;
 
 private:
--- a/src/libcyclamenrun/entry/caller_request.cpp
+++ b/src/libcyclamenrun/entry/caller_request.cpp
@@ -142,7 +142,7 @@
         "X-Delivery must be whole, or stream if the body sets stream"));
 }
 
-/** Sets `max_tokens` in the body, so that the engine enforces our limit. */
+/** Sets `max_tokens` in the body, so that the engine enforces it. */
 std::string body_for_engine(const std::string& body, std::uint32_t max_tokens)
 {
     auto object = parse_json_object(body);
--- a/src/libcyclamenrun/entry/caller_request.hpp
+++ b/src/libcyclamenrun/entry/caller_request.hpp
@@ -46,7 +46,9 @@
                                                const std::string& body,
                                                const caller_limits& limits);
 
-/** Makes the relay's request; `service` is the current configuration. */
+/**
+ * Makes the relay's request; `service` is the service's current configuration.
+ */
 outcome<relay_request>
 make_completion_request(completion_shape shape, const completion_body& parsed,
                         const std::string& body, const caller_headers& headers,
@@ -69,7 +71,9 @@
  */
 bool is_usable_id(const std::string& caller_id, std::size_t max_bytes);
 
-/** Estimates a prompt's tokens; the entry has no tokenizer of the engine. */
+/**
+ * Estimates a prompt's tokens; the entry does not have the engine's tokenizer.
+ */
 std::uint32_t estimate_tokens(std::size_t bytes);
 
 /**
--- a/src/libcyclamenrun/entry/entry_core.cpp
+++ b/src/libcyclamenrun/entry/entry_core.cpp
@@ -32,7 +32,7 @@
     return {agent.upstream, agent.address};
 }
 
-/** Refuses a request that has not started, so the caller can retry it. */
+/** The refusal of a request that has not started: the caller can retry it. */
 refusal not_ready_refusal()
 {
     return not_run(refusal_reason::not_ready,
@@ -247,7 +247,10 @@
     links_.watch(agents);
 }
 
-/** Removes VMs that left the list, so no wait for all revisions blocks. */
+/**
+ * Removes the revisions of VMs that left the list, so that operators who wait
+ * for a revision everywhere do not wait for them.
+ */
 void entry_core::remove_unlisted_vms(const vm_list& list)
 {
     std::set<std::string> listed;
@@ -291,7 +294,7 @@
 {
     // Each entry sends heartbeats to many agents, so a few agents, spread over
     // all services, know every entry. Querying all agents would transfer
-    // megabytes per call.
+    // far more data per call.
     std::vector<std::shared_ptr<agent_question>> queries;
     const auto agents = routes_.members().subset();
     const auto stride =
@@ -339,8 +342,8 @@
 /**
  * Guards against a thundering herd when an agent or an entry starts: if each
  * entry sent the whole configuration to each agent without one, the start of
- * one agent would cost a hundred copies. A few entries send it at once; the
- * others send it only if the agent still has none after several replies.
+ * one agent would cost one copy for each entry. A few entries send it at once;
+ * the others send it only if the agent still has none after several replies.
  */
 bool entry_core::should_send_configuration(const std::string& upstream,
                                            const agent_state& known) const
--- a/src/libcyclamenrun/entry/entry_process.hpp
+++ b/src/libcyclamenrun/entry/entry_process.hpp
@@ -75,7 +75,7 @@
 
     cancellation stop_log_;
     std::unique_ptr<platform_log_client> log_;      // for appends and snapshots
-    std::unique_ptr<platform_log_client> tail_log_; // for the tail
+    std::unique_ptr<platform_log_client> tail_log_; // for the tailer
     std::unique_ptr<logging_platform_log> logged_;
     std::unique_ptr<logging_platform_log> logged_tail_;
     std::shared_ptr<snapshot_writer> snapshots_;
--- a/src/libcyclamenrun/entry/relay_runner.hpp
+++ b/src/libcyclamenrun/entry/relay_runner.hpp
@@ -30,7 +30,7 @@
     /** The request no longer counts towards the upstream's load. */
     std::function<void(const std::string& upstream)> completed;
     std::function<void(const link::LoadReport& load)> load;
-    /** A number of tokens were sent to the team. */
+    /** Called with the number of tokens sent to a caller of the team. */
     std::function<void(const std::string& team, std::uint64_t tokens)>
         tokens_sent;
 };
--- a/src/libcyclamenrun/entry/team_desk.cpp
+++ b/src/libcyclamenrun/entry/team_desk.cpp
@@ -8,7 +8,7 @@
 
 constexpr std::size_t shard_count = 8;
 constexpr std::size_t max_teams_per_shard = 512;
-/** Maximum retries that a team can accumulate while its requests succeed. */
+/** Maximum number of unused retries that a team can accumulate. */
 constexpr double retry_burst = 10.0;
 constexpr milliseconds retry_delay{1000};
 
--- a/src/libcyclamenrun/http/http_text.hpp
+++ b/src/libcyclamenrun/http/http_text.hpp
@@ -18,7 +18,7 @@
 };
 
 /**
- * Returns the serialised head, with the framing fields added. `head` must not
+ * Returns the serialized head, with the framing fields added. `head` must not
  * contain framing fields itself.
  */
 std::string request_text(const http_head& head, http_framing framing,
--- a/src/libcyclamenrun/http/tcp_connection.cpp
+++ b/src/libcyclamenrun/http/tcp_connection.cpp
@@ -15,7 +15,7 @@
 namespace
 {
 
-/** Sent bytes are erased from the output buffer above this number. */
+/** Sent bytes are erased from the output buffer once they exceed this. */
 constexpr std::size_t compaction_threshold_bytes = std::size_t(64) << 10;
 constexpr int keepalive_probes = 2;
 constexpr milliseconds second{1000};
--- a/src/libcyclamenrun/http/tcp_connection.hpp
+++ b/src/libcyclamenrun/http/tcp_connection.hpp
@@ -24,15 +24,18 @@
 
 std::string_view name_of(connection_end end);
 
-/** How long a peer's host may not respond before the connection is broken. */
+/**
+ * How long a peer's host may stay unresponsive before the connection counts as
+ * broken.
+ */
 struct connection_patience {
     milliseconds unacknowledged{3000}; ///< for sent data
     milliseconds idle_probe{1000};     ///< between keep-alive probes
 };
 
 /**
- * A TCP connection on a reactor. Hooks receive bytes, and a buffer holds bytes
- * to send. The connection keeps itself and its hooks alive while it is open;
+ * A TCP connection on a reactor. Received bytes go to a hook; bytes to send are
+ * buffered. The connection keeps itself and its hooks alive while it is open;
  * close() releases both without calling a hook.
  */
 class tcp_connection final : public link_watcher,
--- a/src/libcyclamenrun/links/link_client_connection.hpp
+++ b/src/libcyclamenrun/links/link_client_connection.hpp
@@ -14,7 +14,7 @@
 namespace cyclamenrun
 {
 
-/** The client end of a link, as the entry has it. */
+/** The client end of a link, used by entries. */
 class link_client_connection final : public link_connection
 {
 public:
@@ -39,7 +39,10 @@
     void open(const std::shared_ptr<client_stream>& stream);
     void cancel(const std::shared_ptr<client_stream>& stream);
     void return_window(std::int32_t stream, std::size_t bytes);
-    /** Number of the owner's streams, with those awaiting the handshake. */
+    /**
+     * Number of the owner's streams, including those that wait for the
+     * handshake.
+     */
     std::size_t streams() const;
     bool accepts_streams() const;
     /** Closes the connection once its last stream has ended. */
--- a/src/libcyclamenrun/links/link_connection.hpp
+++ b/src/libcyclamenrun/links/link_connection.hpp
@@ -21,8 +21,8 @@
 {
 
 /**
- * Bound on the header bytes of one stream. The project's own requests need a
- * tenth of it.
+ * Bound on the header bytes of one stream. The project's own requests need far
+ * less.
  */
 constexpr std::uint32_t max_header_bytes = 2048;
 
--- a/src/libcyclamenrun/links/link_limits.hpp
+++ b/src/libcyclamenrun/links/link_limits.hpp
@@ -13,7 +13,7 @@
 /** Limits and timeouts of links between cyclamenrun processes. */
 struct link_limits {
     std::size_t max_frame_bytes = std::size_t{4} << 20;
-    /** Concurrent streams of a connection, with those not sent yet. */
+    /** Concurrent streams of a connection, including those not sent yet. */
     std::uint32_t max_streams = 4096;
     /** Authenticated connections of a server. */
     std::size_t max_connections = 2048;
@@ -33,9 +33,15 @@
      * a PING each second.
      */
     std::string long_poll_path = "/heartbeat";
-    /** Time without received data until a PING is sent; streams are open. */
+    /**
+     * Time without received data after which a PING is sent while streams are
+     * open.
+     */
     milliseconds busy_ping_after{1000};
-    /** Time without received data until a PING is sent; no stream is open. */
+    /**
+     * Time without received data after which a PING is sent while no stream is
+     * open.
+     */
     milliseconds idle_ping_after{15000};
     /** Timeout for the answer to a PING. */
     milliseconds ping_time{2000};
--- a/src/libcyclamenrun/links/link_reactor.hpp
+++ b/src/libcyclamenrun/links/link_reactor.hpp
@@ -20,8 +20,8 @@
 
 /**
  * Event loop of a link_loop: sockets, tasks and timers on one thread. All
- * objects of the loop share ownership, so that a call after the end of the
- * loop reaches a stopped reactor and not freed memory.
+ * objects of the loop share ownership of the reactor, so that a call after the
+ * end of the loop reaches a stopped reactor and not freed memory.
  */
 class link_reactor
 {
--- a/src/libcyclamenrun/links/link_server.hpp
+++ b/src/libcyclamenrun/links/link_server.hpp
@@ -16,8 +16,8 @@
 class link_loop;
 
 /**
- * The server end of links, as the agent has it. It serves only peers that
- * have authenticated by the link key. The destructor closes all connections
+ * The server end of links, used by agents. It serves only peers that have
+ * authenticated with the link key. The destructor closes all connections
  * and, unless it runs on the loop's own thread, waits for running callbacks.
  */
 class link_server
--- a/src/libcyclamenrun/links/link_server_connection.hpp
+++ b/src/libcyclamenrun/links/link_server_connection.hpp
@@ -23,7 +23,7 @@
     request_handler handler;
 };
 
-/** The server end of a link, as the agent has it. */
+/** The server end of a link, used by agents. */
 class link_server_connection final : public link_connection
 {
 public:
--- a/src/libcyclamenrun/links/link_session.hpp
+++ b/src/libcyclamenrun/links/link_session.hpp
@@ -15,7 +15,7 @@
 nghttp2_session* make_client_session(link_connection& connection);
 nghttp2_session* make_server_session(link_connection& connection);
 
-/** Provider that reads a stream's data by link_connection::read_data(). */
+/** Provider that reads a stream's data through link_connection::read_data(). */
 nghttp2_data_provider data_provider();
 
 /**
--- a/src/libcyclamenrun/links/link_watcher.hpp
+++ b/src/libcyclamenrun/links/link_watcher.hpp
@@ -4,7 +4,7 @@
 namespace cyclamenrun
 {
 
-/** Owner of a socket of a loop; called on the loop's thread. */
+/** Handles the events of one socket on the loop's thread. */
 class link_watcher
 {
 public:
@@ -14,7 +14,7 @@
     virtual ~link_watcher() = default;
 
     virtual void ready(bool readable, bool writable) = 0;
-    /** Called at the end of a loop iteration that called flush_later(). */
+    /** Called at the end of a loop iteration after a flush_later() call. */
     virtual void flush() = 0;
     /** The loop is about to end; the watcher must close its socket. */
     virtual void loop_stopping() = 0;
--- a/src/libcyclamenrun/membership/candidate.hpp
+++ b/src/libcyclamenrun/membership/candidate.hpp
@@ -9,7 +9,7 @@
 namespace cyclamenrun
 {
 
-/** What the router knows of an upstream when it chooses one. */
+/** An upstream that the router may choose, with its location and state. */
 struct candidate {
     std::string upstream;
     std::string address;
--- a/src/libcyclamenrun/membership/domain_cut_detector.hpp
+++ b/src/libcyclamenrun/membership/domain_cut_detector.hpp
@@ -12,8 +12,8 @@
 /**
  * Distinguishes a failure domain that is cut off from single failed upstreams.
  * A domain counts as cut off when at least half of its known upstreams, and at
- * least two, become suspects at about the same time. The cut ends when fewer
- * are suspects.
+ * least two, become suspects at about the same time. It counts as connected
+ * again when fewer of them are suspects.
  */
 class domain_cut_detector
 {
--- a/src/libcyclamenrun/membership/membership.cpp
+++ b/src/libcyclamenrun/membership/membership.cpp
@@ -64,8 +64,9 @@
 
 list_result membership::check_list(const vm_list& list, time_point now) const
 {
-    // A list service that restarts empty would remove every upstream at once.
-    // If all VMs were really removed, other signs would show it.
+    // An empty list after a restart of the list service would remove every
+    // upstream at once. If all VMs were really gone, their lost connections
+    // and missed heartbeats would show it.
     if (list.vms.empty() && !listed_.empty())
         return list_result::kept_for_empty;
     // A lagging replica would bring back upstreams that are leaving. Lower
--- a/src/libcyclamenrun/membership/membership.hpp
+++ b/src/libcyclamenrun/membership/membership.hpp
@@ -22,12 +22,18 @@
 {
 
 struct membership_settings {
-    std::string entry;                   ///< id of the entry's own VM
-    std::string entry_service = "entry"; ///< of entries in the list
+    std::string entry; ///< id of the entry's own VM
+    /** Service name of entries in the list. */
+    std::string entry_service = "entry";
     subset_settings subset;
-    /** How long unlisted upstreams can still be found, for resumes. */
+    /**
+     * How long an upstream can still be found after it left the list, so that
+     * generations can be resumed.
+     */
     milliseconds forget_after{600'000};
-    /** How long after an accepted list those of a lower revision are rejected.
+    /**
+     * How long lists of a lower revision are rejected after a list was
+     * accepted.
      */
     milliseconds reject_older_lists_for{30'000};
 };
@@ -79,12 +85,12 @@
     /** The subsets of all services: upstreams to keep connections to. */
     std::vector<candidate> subset() const;
 
-    /** Entries that are live in the list, and always this one. */
+    /** Ids of the entries that are live in the list, and of this entry. */
     std::vector<std::string> entries() const;
 
     /**
      * Whether the failure domain is cut off: many of its upstreams were lost
-     * at once, so that no single upstream is at fault.
+     * at once, so no single upstream is at fault.
      */
     bool is_cut(const std::string& failure_domain) const;
 
--- a/src/libcyclamenrun/membership/router.cpp
+++ b/src/libcyclamenrun/membership/router.cpp
@@ -18,11 +18,12 @@
 // An upstream without a report costs more than one known to be idle.
 constexpr double no_report_cost_ms = 20.0;
 
-// Numbers of leading prompt blocks, each of which selects a home upstream. How
-// much of a prompt is shared is unknown: the first blocks may be common to the
-// whole service, and later blocks may be unique to the request. A suspect
-// request has as many homes, selected by its fingerprint, which bounds the
-// number of upstreams that it may crash.
+// Prefix lengths in blocks. For each of them, the hash of the prompt's prefix
+// selects a preferred upstream. How much of a prompt is shared is unknown: the
+// first blocks may be common to the whole service, and later blocks may be
+// unique to the request. A suspect request has as many preferred upstreams,
+// selected by its fingerprint, which bounds the number of upstreams that it may
+// crash.
 constexpr std::array<std::size_t, 3> home_depths = {4, 8, 16};
 
 std::uint64_t mix(std::uint64_t left, std::uint64_t right)
--- a/src/libcyclamenrun/membership/router.hpp
+++ b/src/libcyclamenrun/membership/router.hpp
@@ -36,11 +36,13 @@
  * Chooses the upstream with the least cost in time for a request: the expected
  * wait, the prefill of the part of the prompt that is not cached there, and the
  * network distance. An upstream's load is its last report plus this router's
- * dispatches since. Of many candidates the router compares only the homes of
- * the prompt's prefix and a random sample. This bounds the cost of a choice and
- * keeps entries from all choosing the same upstream.
+ * dispatches since. Of many candidates the router compares only the upstreams
+ * that the prompt's prefix selects by rendezvous hashing and a random sample.
+ * This bounds the cost of a choice and keeps entries from all choosing the same
+ * upstream.
  *
- * One per entry and shard. Not thread-safe. No I/O. Deterministic by seed.
+ * An entry has one router for each shard of services. Not thread-safe; does no
+ * I/O; deterministic for a given seed.
  */
 class router
 {
--- a/src/libcyclamenrun/membership/router_settings.hpp
+++ b/src/libcyclamenrun/membership/router_settings.hpp
@@ -17,8 +17,8 @@
     /** Prompt tokens per prefix block. */
     std::uint32_t block_tokens = 64;
     /**
-     * Cost of a prompt token that an upstream has not cached. The memory for a
-     * second copy makes up most of it, and the prefill time the smaller part.
+     * Cost of a prompt token that an upstream has not cached. Covers the memory
+     * for a second copy and the prefill time.
      */
     double prefix_miss_ms_per_token = 2.0;
     /**
@@ -32,8 +32,8 @@
     milliseconds region_cost{50};
     /** A request is refused if the expected wait is longer everywhere. */
     milliseconds max_wait{20'000};
-    bool prefix = true;     ///< prefix affinity; false only for comparison
-    bool own_counts = true; ///< count own dispatches; false for comparison
+    bool prefix = true;     ///< prefix affinity; false only in benchmarks
+    bool own_counts = true; ///< count own dispatches; false only in benchmarks
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/subset.hpp
+++ b/src/libcyclamenrun/membership/subset.hpp
@@ -13,8 +13,12 @@
 
 /** Bounds the subset of one service's upstreams that an entry uses. */
 struct subset_settings {
-    std::size_t size = 24;
-    std::size_t overlap = 3; ///< entries whose subset holds each upstream
+    std::size_t size = 24; ///< lower bound, if there are that many upstreams
+    /**
+     * Minimum average number of entries whose subset contains an upstream;
+     * `max_size` may reduce it.
+     */
+    std::size_t overlap = 3;
     std::size_t max_size = 128;
 };
 
--- a/src/libcyclamenrun/membership/suspicion.hpp
+++ b/src/libcyclamenrun/membership/suspicion.hpp
@@ -9,11 +9,11 @@
 {
 
 /**
- * Decides from signs of failure whether one upstream is a suspect. The network
- * may cause a lost connection, a pause a missed heartbeat and load a refusal.
- * Signs of one kind are therefore not enough, except for
- * `missed_heartbeats_to_suspect` heartbeats missed in a row. Two replies in a
- * row clear the suspicion.
+ * Decides from signs of failure whether one upstream is a suspect. A network
+ * fault can cause a lost connection, a paused process can miss a heartbeat, and
+ * an overloaded one can refuse work. Signs of one kind are therefore not
+ * enough, except for `missed_heartbeats_to_suspect` heartbeats missed in a row.
+ * Two replies in a row clear the suspicion.
  */
 class suspicion
 {
@@ -29,6 +29,7 @@
     /** When the upstream last became a suspect. */
     time_point since() const { return since_; }
 
+    /** Points at which an upstream becomes a suspect. */
     static constexpr int threshold = 3;
     /** Missed heartbeats in a row that alone make an upstream a suspect. */
     static constexpr std::uint32_t missed_heartbeats_to_suspect = 5;
--- a/src/libcyclamenrun/orders/order_claims.hpp
+++ b/src/libcyclamenrun/orders/order_claims.hpp
@@ -36,7 +36,10 @@
 public:
     order_claims(platform_log& log, configuration_store& store);
 
-    /** Returns the current claim, read to the log's end at the call. */
+    /**
+     * Reads the log up to its end at the time of the call and returns the
+     * current claim.
+     */
     tl::expected<std::optional<v1::ClaimState>, claim_failure>
     read(const std::string& upstream);
 
--- a/src/libcyclamenrun/orders/order_lease.hpp
+++ b/src/libcyclamenrun/orders/order_lease.hpp
@@ -57,7 +57,7 @@
      */
     void on_claim_failed(time_point now);
 
-    /** Handles the current claim, read to the log's end at the given time. */
+    /** Handles the current claim as of the log's end at `read_started_at`. */
     void on_claim_read(const std::optional<v1::ClaimState>& current,
                        time_point read_started_at, time_point now);
 
--- a/src/libcyclamenrun/orders/order_queue.hpp
+++ b/src/libcyclamenrun/orders/order_queue.hpp
@@ -42,7 +42,7 @@
 /** The result of an order. */
 enum class order_result : std::uint8_t {
     done,
-    failed,        ///< failed or not answered, so that it is sent again
+    failed,        ///< failed or not answered; the order is sent again
     store_limited, ///< the weight store was at its limit
     old_number,    ///< the engine has seen a higher fencing number
 };
@@ -50,7 +50,7 @@
 /**
  * The orders that an agent has yet to send, one at a time. Loads start at a
  * random time within a window that grows with the number of upstreams of the
- * service. After any failure the queue retries with a randomised exponential
+ * service. After any failure the queue retries with a randomized exponential
  * backoff. This avoids a thundering herd: when a failure domain restarts, all
  * its agents have the same orders at once, and the weight store would reject
  * most of them repeatedly.
--- a/src/libcyclamenrun/orders/order_worker.cpp
+++ b/src/libcyclamenrun/orders/order_worker.cpp
@@ -16,7 +16,10 @@
 
 /** Minimum pause between two steps, even if the runner requests less. */
 constexpr milliseconds min_pause{20};
-/** Assumed number of agents that may load at once, which is unknown here. */
+/**
+ * Assumed number of agents that may load at once; the actual number is not
+ * known here.
+ */
 constexpr std::size_t assumed_peers = 24;
 
 order_queue::random_function uniform_random()
--- a/src/libcyclamenrun/outcomes/gate.hpp
+++ b/src/libcyclamenrun/outcomes/gate.hpp
@@ -69,8 +69,9 @@
     /** Handles the end of the engine's process: all running work is lost. */
     void engine_lost(time_point now);
     /**
-     * Handles an engine that responds and runs no work of this gate. Work of
-     * an earlier incarnation still occupies `external_tokens` of its memory.
+     * Handles an engine that responds and runs no work of this gate.
+     * `external_tokens` is the engine memory, in tokens, that work of an
+     * earlier incarnation still occupies.
      */
     void engine_ready(std::uint64_t external_tokens, time_point now);
     /** Handles a load report of the engine, which arrives with a delay. */
--- a/src/libcyclamenrun/outcomes/gate_settings.hpp
+++ b/src/libcyclamenrun/outcomes/gate_settings.hpp
@@ -39,7 +39,10 @@
      * caller and the entry may still break.
      */
     milliseconds acknowledged_grace{10'000};
-    /** Exceeds the time for which a stalled link can delay a dispatch. */
+    /**
+     * How long a tombstone is kept: longer than a stalled link can delay a
+     * dispatch.
+     */
     milliseconds tombstone_life{600'000};
     milliseconds poison_life{3'600'000};
     /**
--- a/src/libcyclamenrun/outcomes/poison_register.hpp
+++ b/src/libcyclamenrun/outcomes/poison_register.hpp
@@ -39,7 +39,10 @@
 
     void mark(std::uint64_t fingerprint, std::uint64_t loss, time_point now);
     void clear(std::uint64_t fingerprint, time_point now);
-    /** Clears a loss whose reported process has responded since. */
+    /**
+     * Clears the marks of a loss after the process that was reported lost has
+     * responded again.
+     */
     void clear_loss(std::uint64_t loss, time_point now);
     void merge(const link::PoisonMark& mark, time_point now);
 
--- a/src/libcyclamenrun/outcomes/poison_watch.hpp
+++ b/src/libcyclamenrun/outcomes/poison_watch.hpp
@@ -47,15 +47,21 @@
 private:
     struct peer {
         std::uint64_t incarnation = 0;
-        std::uint64_t merged_version = 0;   // our marks that the peer has
-        std::uint64_t sent_version = 0;     // our marks in the last heartbeat
-        std::uint64_t received_version = 0; // the peer's marks merged here
+        /** Version of this entry's marks that the peer has. */
+        std::uint64_t merged_version = 0;
+        /** Version of this entry's marks in the last heartbeat. */
+        std::uint64_t sent_version = 0;
+        /** Version of the peer's marks that are merged here. */
+        std::uint64_t received_version = 0;
     };
 
     mutable std::mutex mutex_;
     poison_register marks_;
     std::unordered_map<std::string, peer> peers_;
-    /** Losses reported by this entry of agents that may respond again. */
+    /**
+     * Losses of agents that this entry reported, and clears if the agent
+     * responds again.
+     */
     std::set<std::uint64_t> reported_;
 };
 
--- a/src/libcyclamenrun/outcomes/relay.cpp
+++ b/src/libcyclamenrun/outcomes/relay.cpp
@@ -114,8 +114,8 @@
 {
     if (done_ || stream != stream_ || !stream_open_)
         return {};
-    // Guards against an answer to another request on a link that confuses its
-    // streams. Such a frame has another request id; its content is ignored.
+    // Guards against a frame that is delivered on the wrong stream. Such a
+    // frame has another request id; its content is ignored.
     if (frame.request_id() != attempt_id())
         return handle_protocol_error(
             "the agent sent a frame of another request", now);
--- a/src/libcyclamenrun/outcomes/session_table.hpp
+++ b/src/libcyclamenrun/outcomes/session_table.hpp
@@ -57,7 +57,8 @@
 
     /**
      * Adds a reader that needs the tokens from `next_index` on. Returns a
-     * refusal if `next_index` lies outside the kept tokens.
+     * refusal if the answer has too many readers or if `next_index` lies
+     * outside the kept tokens.
      */
     outcome<reader_id> attach(work_id work, const std::string& request_id,
                               std::uint64_t next_index);
--- a/src/libcyclamenrun/outcomes/work_session.hpp
+++ b/src/libcyclamenrun/outcomes/work_session.hpp
@@ -45,13 +45,16 @@
     std::optional<refusal> refused;
 
     std::vector<std::uint64_t> readers; // ids of the answer's readers
-    /** Set while there are no readers: when the work is cancelled. */
+    /**
+     * When the work is cancelled for lack of a reader; not set while it has
+     * one.
+     */
     std::optional<time_point> orphan_deadline;
     /** Id of the engine loss that ended the work and marked it; 0 if none. */
     std::uint64_t loss = 0;
     /** Whether the entry has received the whole answer. */
     bool acknowledged = false;
-    /** Set in state `ended`: when the answer may be removed. */
+    /** When the answer may be removed; valid in state `ended`. */
     time_point keep_until;
 
     bool is_call() const { return request.kind() == link::WORK_KIND_CALL; }
--- a/tests/configuration/test_interleavings.cpp
+++ b/tests/configuration/test_interleavings.cpp
@@ -133,7 +133,7 @@
     }
 
     /**
-     * Replaces the oldest entry by a new one that starts from its state, or
+     * Replaces the oldest entry with a new one that starts from its state, or
      * expires records of the log.
      */
     void replace_entry_or_expire_records(const random_step& step)
--- a/tests/configuration/test_log_tail.cpp
+++ b/tests/configuration/test_log_tail.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Sets the weight of the team through the entry, on its current revision. */
+/** Sets the team's weight through the entry, based on the entry's revision. */
 void set_weight(simulated_entry& entry, std::uint32_t weight)
 {
     const auto base = entry.store.view()->resources.revision_of(
--- a/tests/configuration/test_order_lease.cpp
+++ b/tests/configuration/test_order_lease.cpp
@@ -36,9 +36,10 @@
     }
 
     /**
-     * Returns whether an order was accepted after one of a later claimant. An
-     * engine that checks fencing numbers serializes the orders it receives; at
-     * any other engine, orders of two agents must not overlap in time either.
+     * Returns whether an order was accepted after an order of a later claimant.
+     * An engine that checks fencing numbers serializes the orders it receives;
+     * at any other engine, orders of two agents must not overlap in time
+     * either.
      */
     bool has_order_violation() const
     {
--- a/tests/faults/fake_upstream.hpp
+++ b/tests/faults/fake_upstream.hpp
@@ -40,7 +40,7 @@
     void start(const run_order& order);
     void stop(work_id work);
 
-    /** Ends the process and all of its runs; it restarts after a delay. */
+    /** Crashes the process with all of its runs; it restarts after a delay. */
     void die();
     /** Stops progress for `pause`: memory is full, or the process is slow. */
     void pause(milliseconds pause);
--- a/tests/faults/fault_world.cpp
+++ b/tests/faults/fault_world.cpp
@@ -521,7 +521,10 @@
         node.agent_gate->detach(open->reader, time_.now());
 }
 
-/** Closes a stream at both ends if its link fails for the keepalive time. */
+/**
+ * Closes a stream at both ends if its link is stalled when the keepalive timer
+ * fires.
+ */
 void fault_world::watch_keepalive(const stream_pointer& open)
 {
     time_.after(keepalive, [this, open] {
--- a/tests/faults/fault_world.hpp
+++ b/tests/faults/fault_world.hpp
@@ -43,7 +43,7 @@
         std::unique_ptr<fake_upstream> upstream;
         std::optional<time_point> frozen_until;
         bool leaving = false;
-        /** Late events may still refer to these. */
+        /** Events that arrive late may still refer to these gates. */
         std::vector<std::unique_ptr<gate>> stopped_gates;
     };
     /** Both directions of the link between an entry and an agent. */
--- a/tests/faults/history.hpp
+++ b/tests/faults/history.hpp
@@ -35,7 +35,7 @@
 struct event {
     event_kind kind = event_kind::exchange_begun;
     std::int64_t at_ms = 0;
-    /** The caller's work; resends and resumes have the same one. */
+    /** Id of the caller's work; the same for its resends and resumes. */
     std::string work;
     /** One HTTP request of the caller. */
     std::string exchange;
--- a/tests/faults/test_faults_page.cpp
+++ b/tests/faults/test_faults_page.cpp
@@ -92,9 +92,9 @@
 }
 
 /**
- * Guards against a page of faults that differs from the system's behaviour: the
- * tables tell operators what callers observe and must equal the results of the
- * matrix, cell by cell. `make docs` rewrites them.
+ * Guards against documentation of faults that differs from the system's
+ * behaviour: the tables tell operators what callers observe and must equal the
+ * results of the matrix, cell by cell. `make docs` rewrites them.
  */
 TEST(faults_page, tables_match_the_matrix)
 {
--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -197,7 +197,7 @@
     EXPECT_EQ(candidate_ids().size(), 24U);
 }
 
-/** Returns upstreams in domains of unequal size, as in the target fleet. */
+/** Returns upstreams in failure domains of unequal size. */
 std::vector<vm> fleet(int upstreams)
 {
     std::vector<vm> vms;
@@ -245,7 +245,8 @@
         min_known = std::min(min_known, known[each.id]);
         max_known = std::max(max_known, known[each.id]);
     }
-    EXPECT_GE(min_known, 20); // the average is 44
+    // Average: 24 places * 370 entries / 200 upstreams = 44.
+    EXPECT_GE(min_known, 20);
     EXPECT_LE(max_known, 75);
 }
 
