--- a/src/libcyclamenrun/agent/upstream_driver.cpp
+++ b/src/libcyclamenrun/agent/upstream_driver.cpp
@@ -106,7 +106,7 @@
 void upstream_driver::attach(gate& gate)
 {
     gate_ = &gate;
-    poll_thread_ = std::thread([this] { watch(); });
+    poll_thread_ = std::thread([this] { poll_until_stopped(); });
 }
 
 void upstream_driver::start(const run_order& order)
@@ -187,7 +187,7 @@
 
 void upstream_driver::on_engine_started(std::function<void()> hook)
 {
-    engine_started_ = std::move(hook);
+    engine_ready_hook_ = std::move(hook);
 }
 
 void upstream_driver::run(const run_order& order, active_run& active)
@@ -259,7 +259,7 @@
     active_.erase(work);
 }
 
-void upstream_driver::watch()
+void upstream_driver::poll_until_stopped()
 {
     if (settings_.kind == upstream_kind::application) {
         gate_->engine_ready(0, clock_());
@@ -346,8 +346,8 @@
               {{log_key::address, settings_.address},
                {log_key::incarnation, engine_.epoch()}});
     gate_->engine_ready(external_tokens, clock_());
-    if (engine_started_)
-        engine_started_();
+    if (engine_ready_hook_)
+        engine_ready_hook_();
     return true;
 }
 
--- a/src/libcyclamenrun/agent/upstream_driver.hpp
+++ b/src/libcyclamenrun/agent/upstream_driver.hpp
@@ -72,7 +72,7 @@
                                    const engine_error& error);
     void remove_run(work_id work);
 
-    void watch();
+    void poll_until_stopped();
     bool initialize_engine();
     /** False if the engine does not answer, or has restarted. */
     bool poll_engine();
@@ -96,7 +96,7 @@
     std::uint64_t epoch_ = 0; // the engine's epoch; 0: no engine
     bool stopping_ = false;
     bool poll_now_ = false;
-    std::function<void()> engine_started_;
+    std::function<void()> engine_ready_hook_;
     std::atomic<time_point> last_token_at_{time_point{}};
 
     Poco::ThreadPool threads_;
--- a/src/libcyclamenrun/entry/caller_request.cpp
+++ b/src/libcyclamenrun/entry/caller_request.cpp
@@ -68,11 +68,11 @@
         invalid_request(std::string(name) + " must be true or false"));
 }
 
-/** Sets whether the request is idempotent, and its deadline. */
-outcome<void> set_execution_terms(const caller_headers& headers,
-                                  const v1::Service& service,
-                                  const caller_limits& limits, bool idempotent,
-                                  time_point now, relay_request& request)
+outcome<void> set_idempotency_and_deadline(const caller_headers& headers,
+                                           const v1::Service& service,
+                                           const caller_limits& limits,
+                                           bool idempotent, time_point now,
+                                           relay_request& request)
 {
     const auto flag = flag_of(headers.idempotent, idempotent, "X-Idempotent");
     if (!flag)
@@ -247,10 +247,10 @@
     if (!delivery)
         return tl::unexpected(delivery.error());
     request.delivery = *delivery;
-    const auto terms =
-        set_execution_terms(headers, service, limits, true, now, request);
-    if (!terms)
-        return tl::unexpected(terms.error());
+    const auto applied = set_idempotency_and_deadline(headers, service, limits,
+                                                      true, now, request);
+    if (!applied)
+        return tl::unexpected(applied.error());
 
     request.kind = link::WORK_KIND_GENERATION;
     request.service = service.name();
@@ -275,10 +275,10 @@
         return tl::unexpected(invalid_request("the body is not a JSON object"));
     relay_request request;
     request.id = make_request_id(headers.request_id);
-    const auto terms =
-        set_execution_terms(headers, service, limits, false, now, request);
-    if (!terms)
-        return tl::unexpected(terms.error());
+    const auto applied = set_idempotency_and_deadline(headers, service, limits,
+                                                      false, now, request);
+    if (!applied)
+        return tl::unexpected(applied.error());
     if (!headers.ticket.empty()) {
         const auto ticket = ticket_authority::from_text(headers.ticket);
         if (!ticket)
--- a/src/libcyclamenrun/entry/entry_process.cpp
+++ b/src/libcyclamenrun/entry/entry_process.cpp
@@ -168,24 +168,25 @@
     tail_log_ = std::make_unique<platform_log_client>(
         platform, settings_.platform.log, http_limits{}, tail_call_timeout,
         steady_now, &stop_log_);
-    logged_ = std::make_unique<logging_platform_log>(
+    logging_log_ = std::make_unique<logging_platform_log>(
         *log_, core_->measurements(), steady_now);
-    logged_tail_ = std::make_unique<logging_platform_log>(
+    logging_tail_log_ = std::make_unique<logging_platform_log>(
         *tail_log_, core_->measurements(), steady_now);
     auto& store = core_->configuration();
     snapshots_ = std::make_shared<snapshot_writer>(
-        *logged_, store, settings_.name, snapshot_settings{}, random_u64,
+        *logging_log_, store, settings_.name, snapshot_settings{}, random_u64,
         steady_now());
-    tailer_ = std::make_unique<log_tailer>(
-        *logged_tail_, store, tail_settings{}, steady_now, uniform_random());
+    tailer_ =
+        std::make_unique<log_tailer>(*logging_tail_log_, store, tail_settings{},
+                                     steady_now, uniform_random());
     tailer_->write_snapshots_by(snapshots_);
     enable_peer_recovery();
     tailer_->start();
     vm_list_ = std::make_unique<vm_list_watcher>(
         platform,
         [this,
-         journal = std::make_shared<logging_vm_list>()](const vm_list& list) {
-            journal->note(list);
+         list_log = std::make_shared<logging_vm_list>()](const vm_list& list) {
+            list_log->note(list);
             core_->on_vm_list(list);
             snapshots_->on_entries(core_->routes().members().entries());
         },
@@ -221,7 +222,7 @@
 void entry_process::serve_operators()
 {
     commands_ = std::make_unique<operator_commands>(
-        *logged_, core_->configuration(), steady_now);
+        *logging_log_, core_->configuration(), steady_now);
     queries_ = std::make_unique<operator_queries>(
         core_->configuration(), core_->revisions(),
         process_identity{settings_.name, process_role::entry,
--- a/src/libcyclamenrun/http/http_session.cpp
+++ b/src/libcyclamenrun/http/http_session.cpp
@@ -172,11 +172,11 @@
     serving_ = true;
     head_only_ = request_.head.method == "HEAD";
     const auto number = ++answer_number_;
-    auto on_caller_left = hooks_->serve(
+    auto on_disconnect = hooks_->serve(
         std::exchange(request_, {}),
         std::make_shared<session_writer>(shared_from_this(), number));
     if (serving_ && answer_number_ == number)
-        on_caller_left_ = std::move(on_caller_left);
+        on_disconnect_ = std::move(on_disconnect);
 }
 
 void http_session::reject(http_problem problem)
@@ -197,8 +197,8 @@
     serving_ = false;
     closing_ = true;
     on_drained_ = nullptr;
-    if (const auto on_caller_left = std::exchange(on_caller_left_, nullptr))
-        on_caller_left();
+    if (const auto on_disconnect = std::exchange(on_disconnect_, nullptr))
+        on_disconnect();
 }
 
 bool http_session::closes_after_answer() const
@@ -241,7 +241,7 @@
 {
     serving_ = false;
     closing_ = true;
-    on_caller_left_ = nullptr;
+    on_disconnect_ = nullptr;
     on_drained_ = nullptr;
     connection_->abort();
 }
@@ -255,7 +255,7 @@
 void http_session::complete_answer()
 {
     serving_ = false;
-    on_caller_left_ = nullptr;
+    on_disconnect_ = nullptr;
     on_drained_ = nullptr;
     if (closes_after_answer()) {
         close_gracefully();
--- a/src/libcyclamenrun/http/http_session.hpp
+++ b/src/libcyclamenrun/http/http_session.hpp
@@ -98,7 +98,7 @@
     bool closing_ = false;
     bool head_only_ = false;
     std::uint64_t answer_number_ = 0; ///< outdated writers are ignored
-    session_hooks::caller_left on_caller_left_;
+    session_hooks::caller_left on_disconnect_;
     std::function<void()> on_drained_;
     time_point deadline_;
     std::optional<time_point> timer_at_; ///< of the timer in effect
--- a/src/libcyclamenrun/membership/router.cpp
+++ b/src/libcyclamenrun/membership/router.cpp
@@ -24,7 +24,7 @@
 // unique to the request. A suspect request has as many preferred upstreams,
 // selected by its fingerprint, which bounds the number of upstreams that it may
 // crash.
-constexpr std::array<std::size_t, 3> home_depths = {4, 8, 16};
+constexpr std::array<std::size_t, 3> affinity_prefix_lengths = {4, 8, 16};
 
 std::uint64_t mix(std::uint64_t left, std::uint64_t right)
 {
@@ -34,18 +34,18 @@
     return value ^ (value >> 31);
 }
 
-using home_keys = std::array<std::uint64_t, home_depths.size()>;
+using affinity_keys = std::array<std::uint64_t, affinity_prefix_lengths.size()>;
 
-home_keys keys_of(const route_request& request)
+affinity_keys keys_of(const route_request& request)
 {
-    home_keys keys{};
+    affinity_keys keys{};
     for (std::size_t i = 0; i < keys.size(); ++i) {
         if (request.suspect) {
             keys[i] = mix(request.fingerprint, i);
             continue;
         }
         const std::size_t last =
-            std::min(home_depths[i], request.prefix_blocks.size());
+            std::min(affinity_prefix_lengths[i], request.prefix_blocks.size());
         keys[i] = request.prefix_blocks[last - 1];
     }
     return keys;
@@ -159,7 +159,7 @@
 {
     sampled_.clear();
     if (request.suspect) {
-        add_homes(request, candidates);
+        add_affinity_candidates(request, candidates);
         return;
     }
     if (candidates.size() <= settings_.sample) {
@@ -168,7 +168,7 @@
         return;
     }
     if (settings_.prefix && !request.prefix_blocks.empty())
-        add_homes(request, candidates);
+        add_affinity_candidates(request, candidates);
     std::uniform_int_distribution<std::size_t> any(0, candidates.size() - 1);
     // Draws again, up to a bound, to replace unusable candidates.
     for (std::size_t i = 0;
@@ -183,21 +183,21 @@
         sampled_.push_back(i);
 }
 
-void router::add_homes(const route_request& request,
-                       std::span<const candidate> candidates)
+void router::add_affinity_candidates(const route_request& request,
+                                     std::span<const candidate> candidates)
 {
-    const home_keys keys = keys_of(request);
+    const affinity_keys keys = keys_of(request);
     std::array<std::uint64_t, keys.size()> ranks{};
     std::array<std::size_t, keys.size()> best;
     best.fill(candidates.size());
     for (std::size_t i = 0; i < candidates.size(); ++i) {
         const std::uint64_t hash = hash_of(candidates[i]);
-        for (std::size_t home = 0; home < keys.size(); ++home) {
-            const std::uint64_t rank = mix(keys[home], hash);
-            if (rank <= ranks[home] || !usable(request, candidates[i]))
+        for (std::size_t key = 0; key < keys.size(); ++key) {
+            const std::uint64_t rank = mix(keys[key], hash);
+            if (rank <= ranks[key] || !usable(request, candidates[i]))
                 continue;
-            ranks[home] = rank;
-            best[home] = i;
+            ranks[key] = rank;
+            best[key] = i;
         }
     }
     for (const std::size_t index : best)
--- a/src/libcyclamenrun/membership/router.hpp
+++ b/src/libcyclamenrun/membership/router.hpp
@@ -83,8 +83,8 @@
     void sample(const route_request& request,
                 std::span<const candidate> candidates);
     /** Uses rendezvous hashing, so that entries agree without coordination. */
-    void add_homes(const route_request& request,
-                   std::span<const candidate> candidates);
+    void add_affinity_candidates(const route_request& request,
+                                 std::span<const candidate> candidates);
     bool usable(const route_request& request, const candidate& target) const;
     double cost_ms(const route_request& request, const candidate& target) const;
     double load_cost_ms(const load_view& load) const;
--- a/src/libcyclamenrun/membership/suspicion.cpp
+++ b/src/libcyclamenrun/membership/suspicion.cpp
@@ -45,14 +45,15 @@
     missed_ = 0;
     ++replies_;
     // A single reply may have been buffered since before the failure.
-    if (suspected_ && replies_ >= replies_to_clear && points(now) < threshold)
+    if (suspected_ && replies_ >= replies_to_clear &&
+        points(now) < points_to_suspect)
         suspected_ = false;
 }
 
 void suspicion::reevaluate(time_point now)
 {
     replies_ = 0;
-    if (suspected_ || points(now) < threshold)
+    if (suspected_ || points(now) < points_to_suspect)
         return;
     suspected_ = true;
     since_ = now;
@@ -71,7 +72,7 @@
 int suspicion::missed_heartbeat_points() const
 {
     if (missed_ >= missed_heartbeats_to_suspect)
-        return threshold;
+        return points_to_suspect;
     return static_cast<int>(std::min<std::uint32_t>(missed_, 2));
 }
 
--- a/src/libcyclamenrun/membership/suspicion.hpp
+++ b/src/libcyclamenrun/membership/suspicion.hpp
@@ -30,7 +30,7 @@
     time_point since() const { return since_; }
 
     /** Points at which an upstream becomes a suspect. */
-    static constexpr int threshold = 3;
+    static constexpr int points_to_suspect = 3;
     /** Missed heartbeats in a row that alone make an upstream a suspect. */
     static constexpr std::uint32_t missed_heartbeats_to_suspect = 5;
     static constexpr std::uint32_t replies_to_clear = 2;
--- a/src/libcyclamenrun/orders/order_queue.cpp
+++ b/src/libcyclamenrun/orders/order_queue.cpp
@@ -93,16 +93,16 @@
         return !contains(desired, order);
     });
     desired_ = std::move(desired);
-    randomise_start(now);
+    randomize_start(now);
 }
 
 void order_queue::on_engine_restarted(time_point now)
 {
     done_.clear();
-    randomise_start(now);
+    randomize_start(now);
 }
 
-void order_queue::randomise_start(time_point now)
+void order_queue::randomize_start(time_point now)
 {
     failures_ = 0;
     start_at_ = now;
--- a/src/libcyclamenrun/orders/order_queue.hpp
+++ b/src/libcyclamenrun/orders/order_queue.hpp
@@ -82,7 +82,7 @@
 
 private:
     std::optional<desired_order> pending() const;
-    void randomise_start(time_point now);
+    void randomize_start(time_point now);
 
     order_queue_settings settings_;
     random_function random_;
--- a/src/libcyclamenrun/outcomes/poison_register.cpp
+++ b/src/libcyclamenrun/outcomes/poison_register.cpp
@@ -49,29 +49,30 @@
                            time_point now)
 {
     const auto known = records_.find(fingerprint);
-    if (known != records_.end() && (contains(known->second.active, loss) ||
-                                    contains(known->second.cleared, loss)))
+    if (known != records_.end() &&
+        (contains(known->second.active_losses, loss) ||
+         contains(known->second.cleared_losses, loss)))
         return;
-    add_bounded(touch(fingerprint, now).active, loss);
+    add_bounded(touch(fingerprint, now).active_losses, loss);
 }
 
 void poison_register::clear(std::uint64_t fingerprint, time_point now)
 {
     const auto known = records_.find(fingerprint);
-    if (known == records_.end() || known->second.active.empty())
+    if (known == records_.end() || known->second.active_losses.empty())
         return;
     auto& changed = touch(fingerprint, now);
-    for (const auto loss : changed.active)
-        add_bounded(changed.cleared, loss);
-    changed.active.clear();
+    for (const auto loss : changed.active_losses)
+        add_bounded(changed.cleared_losses, loss);
+    changed.active_losses.clear();
 }
 
 void poison_register::clear_loss(std::uint64_t loss, time_point now)
 {
     for (auto& [fingerprint, known] : records_) {
-        if (std::erase(known.active, loss) == 0)
+        if (std::erase(known.active_losses, loss) == 0)
             continue;
-        add_bounded(known.cleared, loss);
+        add_bounded(known.cleared_losses, loss);
         known.changed = ++version_;
         known.deadline = now + mark_lifetime_;
     }
@@ -84,11 +85,12 @@
         return;
     }
     const auto known = records_.find(mark.fingerprint());
-    if (known != records_.end() && contains(known->second.cleared, mark.loss()))
+    if (known != records_.end() &&
+        contains(known->second.cleared_losses, mark.loss()))
         return;
     auto& changed = touch(mark.fingerprint(), now);
-    std::erase(changed.active, mark.loss());
-    add_bounded(changed.cleared, mark.loss());
+    std::erase(changed.active_losses, mark.loss());
+    add_bounded(changed.cleared_losses, mark.loss());
 }
 
 poison_verdict poison_register::verdict(std::uint64_t fingerprint,
@@ -97,7 +99,7 @@
     const auto known = records_.find(fingerprint);
     if (known == records_.end() || now >= known->second.deadline)
         return poison_verdict::clean;
-    switch (known->second.active.size()) {
+    switch (known->second.active_losses.size()) {
     case 0:
         return poison_verdict::clean;
     case 1:
@@ -114,9 +116,9 @@
     for (const auto& [fingerprint, known] : records_) {
         if (known.changed <= version)
             continue;
-        for (const auto loss : known.active)
+        for (const auto loss : known.active_losses)
             marks.push_back(make_mark(fingerprint, loss, false));
-        for (const auto loss : known.cleared)
+        for (const auto loss : known.cleared_losses)
             marks.push_back(make_mark(fingerprint, loss, true));
     }
     return marks;
@@ -129,8 +131,8 @@
         make_room(now);
     auto& touched = records_[fingerprint];
     if (now >= touched.deadline) {
-        touched.active.clear();
-        touched.cleared.clear();
+        touched.active_losses.clear();
+        touched.cleared_losses.clear();
     }
     touched.changed = ++version_;
     touched.deadline = now + mark_lifetime_;
--- a/src/libcyclamenrun/outcomes/poison_register.hpp
+++ b/src/libcyclamenrun/outcomes/poison_register.hpp
@@ -55,8 +55,8 @@
 
 private:
     struct record {
-        std::vector<std::uint64_t> active;
-        std::vector<std::uint64_t> cleared;
+        std::vector<std::uint64_t> active_losses;
+        std::vector<std::uint64_t> cleared_losses;
         std::uint64_t changed = 0;
         time_point deadline;
     };
--- a/tests/configuration/test_change_submitter.cpp
+++ b/tests/configuration/test_change_submitter.cpp
@@ -292,7 +292,7 @@
     EXPECT_EQ(current.accepted, 1) << "exactly one change must be accepted";
 }
 
-TEST(change_submitter, holds_in_every_order_of_two_operators_with_one_fault)
+TEST(change_submitter, upholds_guarantees_in_every_interleaving_with_one_fault)
 {
     const time_point deadline = time_point{} + milliseconds(60'000);
     protocol_explorer explorer;
--- a/tests/configuration/test_log_tail.cpp
+++ b/tests/configuration/test_log_tail.cpp
@@ -30,7 +30,7 @@
 // entries without a configuration would refuse callers or serve them without
 // limits. They restore a peer's state, and continue from it when the log is
 // available again.
-TEST(log_tail, starts_from_a_peer_while_the_log_is_out)
+TEST(log_tail, starts_from_a_peer_while_the_log_is_unavailable)
 {
     simulated_world world;
     simulated_entry first(world);
--- a/tests/faults/test_history.cpp
+++ b/tests/faults/test_history.cpp
@@ -56,23 +56,24 @@
 }
 
 /** A history that violates one guarantee, and the name of the violation. */
-struct forged {
+struct invalid_history_case {
     const char* name;
     history observed;
 };
 
-forged forge(const char* name, history observed,
+invalid_history_case
+make_invalid(const char* name, history observed,
              const std::function<void(std::vector<event>&)>& change)
 {
     change(observed.events);
     return {name, std::move(observed)};
 }
 
-std::vector<forged> forged_histories()
+std::vector<invalid_history_case> invalid_histories()
 {
-    std::vector<forged> all;
+    std::vector<invalid_history_case> all;
     const auto add = [&](const char* name, history observed, auto change) {
-        all.push_back(forge(name, std::move(observed), change));
+        all.push_back(make_invalid(name, std::move(observed), change));
     };
     add("lost_token", valid_stream(), [](auto& e) { e.erase(e.begin() + 3); });
     add("doubled_token", valid_stream(),
@@ -109,17 +110,17 @@
     return all;
 }
 
-class forged_history : public testing::TestWithParam<forged>
+class invalid_history : public testing::TestWithParam<invalid_history_case>
 {
 };
 
-TEST_P(forged_history, is_rejected)
+TEST_P(invalid_history, is_rejected)
 {
     EXPECT_FALSE(violations_of(GetParam().observed).empty());
 }
 
-INSTANTIATE_TEST_SUITE_P(one_per_guarantee, forged_history,
-                         testing::ValuesIn(forged_histories()),
+INSTANTIATE_TEST_SUITE_P(one_per_guarantee, invalid_history,
+                         testing::ValuesIn(invalid_histories()),
                          [](const auto& param) { return param.param.name; });
 
 } // namespace
--- a/tests/http/test_http_reader.cpp
+++ b/tests/http/test_http_reader.cpp
@@ -106,7 +106,7 @@
               http_problem::malformed);
 }
 
-TEST(http_reader, holds_a_message_to_its_limits)
+TEST(http_reader, enforces_message_limits)
 {
     EXPECT_EQ(problem_of("GET / HTTP/1.1\r\nX: " + std::string(2000, 'x')),
               http_problem::header_too_long);
--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -118,7 +118,7 @@
         << "a restarted list service";
 }
 
-TEST_F(membership_test, keeps_the_last_list_when_an_empty_one_comes)
+TEST_F(membership_test, keeps_the_last_list_when_an_empty_one_arrives)
 {
     EXPECT_EQ(members.on_list({99, {}}, now), list_result::kept_for_empty);
     EXPECT_EQ(candidate_ids().size(), 6U);
@@ -157,7 +157,7 @@
 // The upstreams of a failure domain that is cut off become suspects together.
 // The entry must attribute this to the domain, not to each upstream, until the
 // domain recovers.
-TEST_F(membership_test, distinguishes_a_cut_domain_from_a_lost_upstream)
+TEST_F(membership_test, distinguishes_a_cut_off_domain_from_a_lost_upstream)
 {
     make_suspect("vm-0");
     EXPECT_FALSE(members.is_cut("domain-0"));
