--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -118,7 +118,7 @@
         << "a restarted list service";
 }
 
-TEST_F(membership_test, keeps_the_last_list_when_an_empty_one_comes)
+TEST_F(membership_test, keeps_the_last_list_when_an_empty_one_arrives)
 {
     EXPECT_EQ(members.on_list({99, {}}, now), list_result::kept_for_empty);
     EXPECT_EQ(candidate_ids().size(), 6U);
@@ -157,7 +157,7 @@
 // The upstreams of a failure domain that is cut off become suspects together.
 // The entry must attribute this to the domain, not to each upstream, until the
 // domain recovers.
-TEST_F(membership_test, distinguishes_a_cut_domain_from_a_lost_upstream)
+TEST_F(membership_test, distinguishes_a_cut_off_domain_from_a_lost_upstream)
 {
     make_suspect("vm-0");
     EXPECT_FALSE(members.is_cut("domain-0"));
@@ -197,7 +197,7 @@
     EXPECT_EQ(candidate_ids().size(), 24U);
 }
 
-/** Returns upstreams in domains of unequal size, as in the target fleet. */
+/** Returns upstreams in failure domains of unequal size. */
 std::vector<vm> fleet(int upstreams)
 {
     std::vector<vm> vms;
@@ -245,7 +245,8 @@
         min_known = std::min(min_known, known[each.id]);
         max_known = std::max(max_known, known[each.id]);
     }
-    EXPECT_GE(min_known, 20); // the average is 44
+    // Average: 24 places * 370 entries / 200 upstreams = 44.
+    EXPECT_GE(min_known, 20);
     EXPECT_LE(max_known, 75);
 }
 
