--- a/bench/bench_agent.hpp
+++ b/bench/bench_agent.hpp
@@ -35,7 +35,7 @@
     /** Ends a step and reports its tokens to admission. */
     const fake_engine::step_result& end_step(time_point now);
     void cancel(std::uint64_t id, time_point now);
-    /** Clears the engine; the caller cancels each of its requests. */
+    /** Clears the engine. Its requests must then be cancelled one by one. */
     void fail_engine();
     /** Handles a load report of the engine, which arrives with a delay. */
     void handle_engine_report(const engine_load_hint& hint, time_point now);
--- a/bench/commands.hpp
+++ b/bench/commands.hpp
@@ -11,7 +11,8 @@
 
 /** Compares policies on fake engines in virtual time. */
 void add_decisions_command(CLI::App& app);
-/** Measures processor time of a choice and an admission at target size. */
+/** Measures processor time of a choice and an admission at the size of the
+ * largest supported deployment. */
 void add_decision_cost_command(CLI::App& app);
 /** Measures memory and processor time per role, for docs/CAPACITY.md. */
 void add_capacity_command(CLI::App& app);
--- a/bench/configuration_command.cpp
+++ b/bench/configuration_command.cpp
@@ -61,7 +61,8 @@
     return name + std::to_string(number);
 }
 
-/** Configuration at target size: all teams, models and two adapters each. */
+/** Configuration at the size of the largest supported deployment: all teams,
+ * models and two adapters each. */
 std::vector<v1::ChangeRecord> target_changes()
 {
     std::vector<v1::ChangeRecord> changes;
--- a/bench/deployment.hpp
+++ b/bench/deployment.hpp
@@ -28,7 +28,7 @@
     std::uint32_t prefix_blocks; ///< common to all its prompts
 };
 
-/** A modelled site; values that its operators don't state are assumed. */
+/** A model of a deployment. */
 struct deployment {
     std::string name;
     std::string service;
--- a/bench/path_bench.hpp
+++ b/bench/path_bench.hpp
@@ -31,7 +31,7 @@
  *
  * Streams start in pairs, one of each kind, so that other load on the machine
  * affects both alike. Each pair that ends is followed by another until the
- * time is over. One thread makes all load.
+ * time is over. One thread generates all load.
  *
  * @throws std::invalid_argument if a target is not on loopback, or a setting
  *         is out of range.
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -43,8 +43,7 @@
 constexpr std::uint32_t poison_token = 20;
 constexpr std::uint32_t max_poison_attempts = 8;
 constexpr std::size_t heavy_team = 6;
-// Teams with mostly short answers, which request less than 60% of their share
-// of tokens at load 1.0.
+// Teams with mostly short answers.
 constexpr std::array<std::size_t, 2> light_teams = {3, 7};
 
 duration from_s(double seconds)
--- a/bench/trial_measures.hpp
+++ b/bench/trial_measures.hpp
@@ -28,7 +28,8 @@
     std::uint64_t refusals = 0; ///< sent to callers, including those that retry
     double stall_s = 0;         ///< over all callers
     double stall_answered_s = 0; ///< over answered callers
-    double stall_charged_s = 0;  ///< plus the deadline per unanswered caller
+    /** stall_answered_s plus the whole deadline for each unanswered caller. */
+    double stall_charged_s = 0;
     std::uint64_t preemptions = 0;
     std::uint64_t recomputed_tokens = 0;
     std::uint64_t output_tokens = 0;
--- a/src/ctl/change_command.cpp
+++ b/src/ctl/change_command.cpp
@@ -133,7 +133,7 @@
     if (response.has_conflict())
         return report_conflict(record, response.conflict());
     if (response.has_invalid()) {
-        std::cerr << "error: " << what << " breaks its rules\n";
+        std::cerr << "error: " << what << " is invalid\n";
         for (const auto& error : response.invalid().errors())
             std::cerr << "  " << error.field() << ": " << error.problem()
                       << '\n';
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -44,7 +44,7 @@
     if (outcome.accepted())
         std::cout << "accepted as revision " << outcome.revision() << '\n';
     else if (outcome.result() == v1::CHANGE_RESULT_INVALID)
-        std::cout << "not accepted: it breaks the rules of its resource\n";
+        std::cout << "not accepted: the change is invalid\n";
     else
         std::cout << "not accepted: revision " << outcome.revision()
                   << " came first\n";
--- a/src/ctl/message_printer.cpp
+++ b/src/ctl/message_printer.cpp
@@ -21,8 +21,8 @@
     case rpc_code::permission_denied:
         return {exit_code::refused,
                 "Give an operator's key by --key-file or "
-                "CYCLAMENRUN_OPERATOR_KEY; its hash must stand in the entry's "
-                "operator_keys."};
+                "CYCLAMENRUN_OPERATOR_KEY; its hash must be listed in the "
+                "entry's operator_keys."};
     case rpc_code::unavailable:
         if (error.may_have_run)
             return {
--- a/src/libcyclamenrun/base/exit_code.cpp
+++ b/src/libcyclamenrun/base/exit_code.cpp
@@ -22,8 +22,9 @@
         "A daemon's address is in use or does not belong to this VM."},
     exit_code_row{exit_code::work_cut, "work_cut",
                   "A daemon's drain timed out while work was still running."},
-    exit_code_row{exit_code::unreachable, "unreachable",
-                  "No entry answered or it is not ready; nothing was changed."},
+    exit_code_row{
+        exit_code::unreachable, "unreachable",
+        "No entry answered, or the entry is not ready; nothing was changed."},
     exit_code_row{exit_code::refused, "refused",
                   "The entry refused: wrong key, not ready, or over a limit."},
     exit_code_row{exit_code::invalid, "invalid",
--- a/src/libcyclamenrun/base/key_hash.hpp
+++ b/src/libcyclamenrun/base/key_hash.hpp
@@ -13,7 +13,7 @@
 /**
  * Salted SHA-256 hash of a key, stored in place of the key. Keys are random
  * and have 256 bits (`cyclamenrunctl key new`), so a fast hash is sufficient.
- * The salt hides whether two entries have the same key.
+ * The salt hides whether two teams or operators have the same key.
  */
 struct key_hash {
     std::string salt; ///< `salt_size` bytes
--- a/src/libcyclamenrun/base/stop_signal.hpp
+++ b/src/libcyclamenrun/base/stop_signal.hpp
@@ -5,9 +5,9 @@
 {
 
 /**
- * Waits synchronously for SIGTERM, SIGINT or SIGHUP, so that the shutdown does
- * not run in a signal handler. Must be constructed before any thread is
- * started, as threads inherit the mask of blocked signals.
+ * Waits synchronously for SIGTERM, SIGINT or SIGHUP, so that neither a
+ * shutdown nor a reload runs in a signal handler. Must be constructed before
+ * any thread is started, as threads inherit the mask of blocked signals.
  */
 class stop_signal
 {
--- a/src/libcyclamenrun/base/upstream_kind.hpp
+++ b/src/libcyclamenrun/base/upstream_kind.hpp
@@ -11,7 +11,7 @@
 /** Kind of the upstream that an agent manages. */
 enum class upstream_kind : std::uint8_t {
     model,       ///< A model engine, which generates tokens.
-    application, ///< A plain service, which answers calls.
+    application, ///< An application runner, which answers calls.
 };
 
 std::string_view name_of(upstream_kind kind);
--- a/src/libcyclamenrun/links/link_reactor.cpp
+++ b/src/libcyclamenrun/links/link_reactor.cpp
@@ -42,12 +42,12 @@
 } // namespace
 
 link_reactor::link_reactor()
-    : epoll_(checked(epoll_create1(EPOLL_CLOEXEC), "epoll_create1")),
+    : epoll_(checked(epoll_create1(EPOLL_CLOEXEC), "epoll")),
       wake_up_(checked(eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC), "eventfd")),
       now_(steady_now()), read_buffer_(read_buffer_bytes)
 {
     epoll_event event = event_of(wake_up_id, EPOLLIN);
-    checked(epoll_ctl(epoll_, EPOLL_CTL_ADD, wake_up_, &event), "epoll_ctl");
+    checked(epoll_ctl(epoll_, EPOLL_CTL_ADD, wake_up_, &event), "epoll");
 }
 
 link_reactor::~link_reactor()
@@ -99,7 +99,7 @@
 {
     const watch_id id = next_watch_++;
     epoll_event event = event_of(id, events_for(true, write_interest));
-    checked(epoll_ctl(epoll_, EPOLL_CTL_ADD, socket, &event), "epoll_ctl");
+    checked(epoll_ctl(epoll_, EPOLL_CTL_ADD, socket, &event), "epoll");
     watches_[id] = {socket, std::move(watcher), event.events};
     return id;
 }
@@ -115,8 +115,7 @@
         return;
     entry.events = events;
     epoll_event event = event_of(id, events);
-    checked(epoll_ctl(epoll_, EPOLL_CTL_MOD, entry.socket, &event),
-            "epoll_ctl");
+    checked(epoll_ctl(epoll_, EPOLL_CTL_MOD, entry.socket, &event), "epoll");
 }
 
 void link_reactor::unwatch(watch_id id)
--- a/src/libcyclamenrun/observability/line_output.hpp
+++ b/src/libcyclamenrun/observability/line_output.hpp
@@ -50,7 +50,8 @@
     std::string queue_;
     std::condition_variable changed_;
     bool stopping_ = false;
-    std::thread writer_; ///< writes queued lines; started on first need
+    /** Writes queued lines; started when a line can't be written at once. */
+    std::thread writer_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/observability/log_event.cpp
+++ b/src/libcyclamenrun/observability/log_event.cpp
@@ -20,7 +20,8 @@
 
 /**
  * The destination of log lines. start_logging() sets the process name and the
- * writer before other threads start; the lock protects the counts.
+ * writer before other threads start. The lock protects the budget and the
+ * counts, and serializes calls of the writer.
  */
 class log_target
 {
--- a/src/libcyclamenrun/observability/log_event.hpp
+++ b/src/libcyclamenrun/observability/log_event.hpp
@@ -14,9 +14,9 @@
 
 /**
  * Logs one event as one JSON line on standard output. Thread-safe and
- * non-blocking. Callers never pass prompt text as a field; keys are of type
- * `secret`, which log_field does not accept. Texts are truncated to
- * `max_log_text_bytes` bytes.
+ * non-blocking. Prompt text must not be passed as a field; keys can't be, since
+ * they are of type `secret`, which log_field does not accept. Texts are
+ * truncated to `max_log_text_bytes` bytes.
  */
 void log_event(log_severity severity, log_event_name event,
                std::initializer_list<log_field> fields = {});
--- a/src/libcyclamenrun/observability/log_field.cpp
+++ b/src/libcyclamenrun/observability/log_field.cpp
@@ -64,8 +64,8 @@
     key_row{log_key::weighed, "weighed"},
 };
 
-/** The id without its secret, in the form that callers receive: enough to find
- * the generation in the logs. */
+/** Returns the id without its secret. The rest is enough to find the generation
+ * in the logs. */
 std::string without_secret(const generation_id& generation)
 {
     const auto whole = to_string(generation);
--- a/src/libcyclamenrun/observability/logging.hpp
+++ b/src/libcyclamenrun/observability/logging.hpp
@@ -17,12 +17,8 @@
     log_severity least = log_severity::info;
     double lines_per_s = default_log_lines_per_s;
 
-    /**
-     * More than twice the measured peak. A gateway in the largest supported
-     * installation answers 10 requests a second; in 38 days with faults one
-     * gateway logged at most 85 lines in a second, and the busiest gateway
-     * 27 lines a second on average.
-     */
+    /** More than twice the peak of a gateway in the largest supported
+     * installation. */
     static constexpr double default_log_lines_per_s = 200;
 };
 
--- a/src/libcyclamenrun/observability/metrics.cpp
+++ b/src/libcyclamenrun/observability/metrics.cpp
@@ -37,7 +37,8 @@
 
 } // namespace
 
-/** One metric with its lock, a complete and a current window. */
+/** The samples of one metric: totals since the start, and the previous and the
+ * current window. Thread-safe. */
 class metrics::shard
 {
 public:
--- a/src/libcyclamenrun/observability/metrics.hpp
+++ b/src/libcyclamenrun/observability/metrics.hpp
@@ -18,15 +18,16 @@
     double mean = 0;         ///< since the process started
     double maximum = 0;      ///< since the process started
     std::uint64_t recent_count = 0;
-    /** Over the last one to two windows; empty for too few samples. */
+    /** Over the last complete window, or over the current window if the last
+     * one has too few samples; empty if both have too few. */
     std::optional<double> recent_p50;
     std::optional<double> recent_p99;
 };
 
 /**
- * Records the measurements of a process. Each metric is a shard with its own
- * lock, so that threads that record different metrics do not contend. Memory
- * use is fixed: quantiles are estimated with the P-square algorithm.
+ * Records the measurements of a process. Each metric has its own lock, so that
+ * threads that record different metrics do not contend. Memory use is fixed:
+ * quantiles are estimated with the P-square algorithm.
  */
 class metrics
 {
@@ -41,7 +42,7 @@
 
     metric_summary summary(metric id, time_point now) const;
 
-    /** Quantiles cover between one and two windows. */
+    /** Length of a window; quantiles are computed over one window. */
     static constexpr milliseconds window{60000};
 
 private:
--- a/src/libcyclamenrun/operators/resource_file.cpp
+++ b/src/libcyclamenrun/operators/resource_file.cpp
@@ -38,7 +38,7 @@
     return std::nullopt;
 }
 
-/** Copies an entry's values into a resource; returns the errors found. */
+/** Copies a table's values into a resource; returns the errors found. */
 settings_errors convert(const service_entry& entry, v1::Resource& resource,
                         const settings_error& where)
 {
--- a/src/libcyclamenrun/operators/rpc_codec.hpp
+++ b/src/libcyclamenrun/operators/rpc_codec.hpp
@@ -18,7 +18,7 @@
 std::optional<rpc_encoding> parse_rpc_encoding(std::string_view content_type);
 std::string_view content_type_of(rpc_encoding encoding);
 
-/** Returns false if the body is not a message of that type. */
+/** Returns false if the body can't be decoded as the type of `message`. */
 bool decode_rpc_body(rpc_encoding encoding, const std::string& body,
                      google::protobuf::Message& message);
 
--- a/src/libcyclamenrun/outside/engine_client.hpp
+++ b/src/libcyclamenrun/outside/engine_client.hpp
@@ -80,7 +80,8 @@
 
 /** An order to change what the engine has loaded, or its role. */
 struct engine_order {
-    /** Fencing number; an engine may refuse lower ones. */
+    /** Fencing number; an engine may refuse an order whose number is lower than
+     * one it has accepted. */
     std::uint64_t fence = 0;
     engine_action action = engine_action::load_model;
     std::string value; ///< name of the model, adapter, version or role
@@ -111,7 +112,8 @@
     runs(time_point deadline);
     tl::expected<engine_load, engine_error> load(time_point deadline);
 
-    /** Epoch of the last answer, which changes on a restart; 0: no answer. */
+    /** Id of the engine's run, which changes on a restart, from the last answer
+     * that has one; 0: no such answer yet. */
     std::uint64_t epoch() const { return epoch_; }
 
 private:
--- a/src/libcyclamenrun/outside/http_exchange.cpp
+++ b/src/libcyclamenrun/outside/http_exchange.cpp
@@ -199,7 +199,8 @@
 /**
  * Whether the whole body has arrived. The session reports the end of a body
  * and a lost connection in the same way, so a truncated answer would look
- * complete. This requires the announced length, or the last chunk's end.
+ * complete. So the body counts as complete only if the announced length or the
+ * end of the last chunk has arrived.
  */
 bool http_exchange::complete() const
 {
--- a/src/libcyclamenrun/outside/logging_platform_log.hpp
+++ b/src/libcyclamenrun/outside/logging_platform_log.hpp
@@ -13,7 +13,8 @@
 
 /**
  * Forwards calls to the platform's log. Logs the start and the end of each
- * outage once, however many calls fail in between.
+ * outage once, however many calls fail in between. Records the duration of
+ * appends.
  */
 class logging_platform_log : public platform_log
 {
--- a/src/libcyclamenrun/outside/request_deadline_socket.hpp
+++ b/src/libcyclamenrun/outside/request_deadline_socket.hpp
@@ -14,8 +14,8 @@
  * A server connection whose client must send each whole request by a deadline.
  *
  * Guards against clients that send single bytes slowly. A timeout for each
- * read never expires for them, so each holds a thread for as long as it likes,
- * and a few such clients block all others. Here the time runs from the first
+ * read never expires for them, so each can hold a thread indefinitely, and a
+ * few such clients block all others. Here the time runs from the first
  * read of a request until the server sends data. A read that reaches the
  * deadline throws Poco::TimeoutException.
  */
--- a/src/libcyclamenrun/outside/weight_store_client.hpp
+++ b/src/libcyclamenrun/outside/weight_store_client.hpp
@@ -26,8 +26,8 @@
 
 /**
  * HTTP client of the rate-limited weight store. Retries after the Retry-After
- * time plus a random jitter. The jitter spreads the retries of the VMs of a
- * failure domain that restarts as a whole.
+ * time plus an exponential delay with random jitter. The jitter spreads the
+ * retries of the VMs of a failure domain that restarts as a whole.
  */
 class weight_store_client
 {
--- a/src/libcyclamenrun/settings/agent_settings.cpp
+++ b/src/libcyclamenrun/settings/agent_settings.cpp
@@ -40,7 +40,7 @@
         {"upstream.address", &upstream.address, required, 0, 0, "",
          "Address that the upstream listens on."},
         {"upstream.kind", &upstream.kind, optional, 0, 0, "",
-         "Whether it is a model engine or an application runner."},
+         "Whether the upstream is a model engine or an application runner."},
         {"upstream.honours_fence", &upstream.honours_fence, optional, 0, 0, "",
          "Whether the engine refuses orders with an old fencing number; if "
          "not, a new agent waits until the old agent's lease has expired."},
@@ -88,7 +88,7 @@
          "Time for which the id of a request that was refused as not run is "
          "kept; must be longer than a link can delay a dispatch."},
         {"tombstones.most", &tombstones.most, optional, 1000, 10e6, "ids",
-         "Maximum number of such ids kept at the same time."},
+         "Maximum number of tombstones kept at the same time."},
     };
 }
 
--- a/src/libcyclamenrun/settings/settings_table_reader.hpp
+++ b/src/libcyclamenrun/settings/settings_table_reader.hpp
@@ -16,11 +16,11 @@
 class settings_table_reader
 {
 public:
-    /** Messages name `file`, and prefix each key with `name`. */
+    /** Errors contain `file` and the key, preceded by `name`. */
     settings_table_reader(const settings_table& table, const std::string& file,
                           std::string name = {});
 
-    /** `line` is the table's line, which errors about missing keys name. */
+    /** `line` is the line of the table, which is reported for missing keys. */
     settings_errors read(const toml::table& document, std::uint32_t line = 0);
 
 private:
--- a/src/libcyclamenrun/settings/settings_writer.hpp
+++ b/src/libcyclamenrun/settings/settings_writer.hpp
@@ -10,7 +10,7 @@
 
 /**
  * Returns a settings file with every key, its description and its current
- * value. Keys that the user must fill in are commented out.
+ * value. Keys without a default are commented out.
  */
 std::string write_settings(const settings_table& table);
 
--- a/tests/product/test_entry_program.cpp
+++ b/tests/product/test_entry_program.cpp
@@ -85,8 +85,8 @@
 
 /**
  * Guards against an idle entry that serves no requests: callers that keep their
- * connections open and stop reading each block a thread in a write without
- * end, until no thread is free.
+ * connections open and stop reading each block a thread in a write
+ * indefinitely, until no thread is free.
  */
 TEST_F(entry_program, callers_that_stop_reading_do_not_occupy_threads)
 {
@@ -102,8 +102,8 @@
 
 /**
  * Guards against an idle entry that serves no requests: callers that send their
- * requests byte by byte each occupy a thread without end, since each byte
- * arrives before the timeout of a read.
+ * requests byte by byte each occupy a thread indefinitely, since each
+ * byte arrives before the timeout of a read.
  */
 TEST_F(entry_program, callers_that_send_byte_by_byte_do_not_occupy_threads)
 {
