--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -48,11 +48,11 @@
 }
 
 /** Creates an object of a size; the result owns it during measurement. */
-using maker = std::function<std::shared_ptr<void>(std::size_t size)>;
+using object_factory = std::function<std::shared_ptr<void>(std::size_t size)>;
 
 capacity_slope memory_slope(const char* role, const char* what,
                             const std::vector<std::size_t>& sizes,
-                            const maker& make)
+                            const object_factory& make)
 {
     capacity_slope slope{role, what, "bytes", {}, {}};
     for (const auto size : sizes) {
--- a/bench/configuration_command.cpp
+++ b/bench/configuration_command.cpp
@@ -305,10 +305,10 @@
 };
 
 /** Three entries in virtual time that read at the idle interval. */
-class virtual_days
+class log_traffic_simulation
 {
 public:
-    virtual_days()
+    log_traffic_simulation()
     {
         append_target(log_);
         for (int i = 0; i < 3; ++i)
@@ -358,7 +358,7 @@
 {
     constexpr int days = 7;
     constexpr double hours = days * 24.0;
-    virtual_days simulated;
+    log_traffic_simulation simulated;
     const double appends = simulated.appends();
     const double reads = simulated.reads();
     simulated.run(days, daily_changes);
--- a/bench/decision_cost_command.cpp
+++ b/bench/decision_cost_command.cpp
@@ -124,7 +124,7 @@
     settings.max_queued_prompt_tokens = 1'000'000'000;
     settings.max_wait = 24h;
     settings.max_teams = 2'048;
-    admission gate(settings);
+    admission queue(settings);
     std::deque<work_id> running;
     work_id next = 0;
     std::vector<waiting_work> work_items;
@@ -132,18 +132,18 @@
         work_items.push_back(work_of(next, size.teams, begin));
     next = 0;
     for (; next < 2 * size.teams; ++next)
-        std::ignore = gate.enqueue(work_items[next], begin);
+        std::ignore = queue.enqueue(work_items[next], begin);
     const duration from = processor_time();
     for (std::size_t i = 0; i < rounds; ++i) {
         const time_point now = begin + i * 1ms;
-        std::ignore = gate.enqueue(std::move(work_items[next++]), now);
-        for (const work_id id : gate.admit(now)) {
+        std::ignore = queue.enqueue(std::move(work_items[next++]), now);
+        for (const work_id id : queue.admit(now)) {
             running.push_back(id);
-            gate.tokens_made(id, 1 + id % 300, now);
+            queue.tokens_made(id, 1 + id % 300, now);
         }
         if (running.empty())
             continue;
-        gate.finished(running.front(), true, now);
+        queue.finished(running.front(), true, now);
         running.pop_front();
     }
     return microseconds_each(processor_time() - from, rounds);
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -26,9 +26,9 @@
 // Upstreams tried for each request of a caller.
 constexpr std::size_t max_upstreams_tried = 3;
 // Intervals and delays of load reports.
-constexpr duration agent_report_every = 250ms;
+constexpr duration agent_report_interval = 250ms;
 constexpr duration agent_report_lag = 5ms;
-constexpr duration engine_report_every = 500ms;
+constexpr duration engine_report_interval = 500ms;
 constexpr duration engine_report_lag = 500ms;
 constexpr duration late_report_lag = 2s;
 constexpr duration cache_event_lag = 500ms;
@@ -58,11 +58,11 @@
 }
 
 struct caller {
-    enum class phase : std::uint8_t { away, sent, done };
+    enum class phase : std::uint8_t { not_dispatched, dispatched, done };
 
-    phase current_phase = phase::away;
+    phase current_phase = phase::not_dispatched;
     std::size_t entry = 0;
-    std::size_t runner = SIZE_MAX; ///< in phase sent only
+    std::size_t runner = SIZE_MAX; ///< in phase dispatched only
     std::uint32_t retries_made = 0;
     std::uint32_t losses = 0; ///< engine losses while it ran
     std::uint32_t delivered = 0;
@@ -119,7 +119,7 @@
 
     void step(std::size_t runner);
     void end_step(std::size_t runner);
-    void token(std::size_t id);
+    void handle_token(std::size_t id);
     void answered(std::size_t id);
     void count_preemptions(std::size_t runner);
     void report_cache_events(std::size_t runner);
@@ -220,7 +220,7 @@
     for (std::size_t i = 0; i < agents_.size(); ++i) {
         const bool uses_cyclamenrun = settings_.chosen.uses_cyclamenrun();
         const duration every =
-            uses_cyclamenrun ? agent_report_every : engine_report_every;
+            uses_cyclamenrun ? agent_report_interval : engine_report_interval;
         for (time_point when = epoch + every * (i + 1) / agents_.size();
              when < end_; when += every)
             at(when, [this, i, uses_cyclamenrun] {
@@ -234,7 +234,7 @@
                 });
             });
         for (time_point when = epoch; uses_cyclamenrun && when < end_;
-             when += engine_report_every)
+             when += engine_report_interval)
             at(when, [this, i] {
                 const engine_load_hint hint = agents_[i]->engine_load();
                 after(reports_late_ ? late_report_lag : engine_report_lag,
@@ -377,7 +377,7 @@
     std::size_t runner = 0;
     while (agents_[runner]->name != name)
         ++runner;
-    client.current_phase = caller::phase::sent;
+    client.current_phase = caller::phase::dispatched;
     client.runner = runner;
     entry.routes().dispatched(name, incoming, now_);
     after(from_s(settings_.site.one_way_ms / 1000),
@@ -387,7 +387,8 @@
 void simulation::deliver(std::size_t id, std::size_t runner)
 {
     caller& client = callers_[id];
-    if (client.current_phase != caller::phase::sent || client.runner != runner)
+    if (client.current_phase != caller::phase::dispatched ||
+        client.runner != runner)
         return;
     bench_agent& agent = *agents_[runner];
     if (!agent.alive ||
@@ -411,7 +412,7 @@
     bench_entry& entry = *entries_[client.entry];
     entry.routes().settled(agents_[client.runner]->name, now_);
     client.excluded.push_back(agents_[client.runner]->name);
-    client.current_phase = caller::phase::away;
+    client.current_phase = caller::phase::not_dispatched;
     client.runner = SIZE_MAX;
     const std::string& team = settings_.site.teams[requests_[id].team].name;
     if (client.excluded.size() < max_upstreams_tried &&
@@ -425,7 +426,7 @@
 void simulation::refuse(std::size_t id, const refusal& why)
 {
     caller& client = callers_[id];
-    client.current_phase = caller::phase::away;
+    client.current_phase = caller::phase::not_dispatched;
     client.excluded.clear();
     if (is_measured(client)) {
         ++measures_.refusals;
@@ -443,7 +444,7 @@
     ++client.retries_made;
     after(wait, [this, id] {
         caller& returning = callers_[id];
-        if (returning.current_phase != caller::phase::away)
+        if (returning.current_phase != caller::phase::not_dispatched)
             return;
         returning.last_request = now_;
         returning.entry = pick_entry();
@@ -456,7 +457,7 @@
     caller& client = callers_[id];
     if (client.current_phase == caller::phase::done)
         return;
-    if (client.current_phase == caller::phase::sent) {
+    if (client.current_phase == caller::phase::dispatched) {
         agents_[client.runner]->cancel(id, now_);
         entries_[client.entry]->routes().settled(agents_[client.runner]->name,
                                                  now_);
@@ -516,7 +517,7 @@
     if (in_window(now_))
         measures_.output_tokens += result.tokens.size();
     for (const auto id : result.tokens)
-        token(id);
+        handle_token(id);
     for (const auto id : result.finished)
         answered(id);
     report_cache_events(runner);
@@ -529,7 +530,7 @@
     step(runner);
 }
 
-void simulation::token(std::size_t id)
+void simulation::handle_token(std::size_t id)
 {
     caller& client = callers_[id];
     const time_point seen =
@@ -601,7 +602,7 @@
     agent.stepping = false;
     agent.fail_engine();
     for (std::size_t id = 0; id < callers_.size(); ++id)
-        if (callers_[id].current_phase == caller::phase::sent &&
+        if (callers_[id].current_phase == caller::phase::dispatched &&
             callers_[id].runner == runner)
             handle_engine_loss(id);
     after(vm_list_lag, [this, runner] { listed_[runner] = false; });
@@ -638,14 +639,14 @@
     // cyclamenrun marks requests that ran on a lost engine and refuses them
     // after two losses.
     client.suspect = settings_.chosen.uses_cyclamenrun();
-    client.current_phase = caller::phase::away;
+    client.current_phase = caller::phase::not_dispatched;
     client.delivered = 0;
     if (settings_.chosen.uses_cyclamenrun() && client.losses >= 2) {
         end(id);
         return;
     }
     after(1s, [this, id] {
-        if (callers_[id].current_phase == caller::phase::away)
+        if (callers_[id].current_phase == caller::phase::not_dispatched)
             route(id);
     });
 }
--- a/src/libcyclamenrun/base/sharded.hpp
+++ b/src/libcyclamenrun/base/sharded.hpp
@@ -20,9 +20,10 @@
 class sharded
 {
 public:
-    using maker = std::function<std::unique_ptr<State>(std::size_t shard)>;
+    using state_factory =
+        std::function<std::unique_ptr<State>(std::size_t shard)>;
 
-    sharded(std::size_t count, const maker& make)
+    sharded(std::size_t count, const state_factory& make)
     {
         for (std::size_t i = 0; i < count; ++i)
             shards_.push_back(std::make_unique<shard>(make(i)));
@@ -49,7 +50,10 @@
 
 private:
     struct shard {
-        explicit shard(std::unique_ptr<State> made) : state(std::move(made)) {}
+        explicit shard(std::unique_ptr<State> initial_state)
+            : state(std::move(initial_state))
+        {
+        }
         std::mutex mutex;
         std::unique_ptr<State> state;
     };
--- a/src/libcyclamenrun/daemon/state_dump_sections.cpp
+++ b/src/libcyclamenrun/daemon/state_dump_sections.cpp
@@ -53,14 +53,14 @@
     });
 }
 
-void add_metrics_section(state_dump& dump, const metrics& measured,
+void add_metrics_section(state_dump& dump, const metrics& recorded_metrics,
                          clock_function now)
 {
     dump.add_section(
-        "metrics", [&measured, now = std::move(now)](Object& object) {
+        "metrics", [&recorded_metrics, now = std::move(now)](Object& object) {
             const auto at = now();
             for (const auto& row : metric_table()) {
-                const auto summary = measured.summary(row.what, at);
+                const auto summary = recorded_metrics.summary(row.what, at);
                 if (summary.count != 0)
                     object.set(std::string(row.name), to_json(row, summary));
             }
--- a/src/libcyclamenrun/daemon/state_dump_sections.hpp
+++ b/src/libcyclamenrun/daemon/state_dump_sections.hpp
@@ -17,7 +17,7 @@
                          std::string_view role, clock_function now);
 
 /** Adds section `metrics`: each metric that has samples, with its unit. */
-void add_metrics_section(state_dump& dump, const metrics& measured,
+void add_metrics_section(state_dump& dump, const metrics& recorded_metrics,
                          clock_function now);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/observability/metrics.cpp
+++ b/src/libcyclamenrun/observability/metrics.cpp
@@ -39,7 +39,7 @@
 
 /** The samples of one metric: totals since the start, and the previous and the
  * current window. Thread-safe. */
-class metrics::shard
+class metrics::metric_samples
 {
 public:
     void record(double value, time_point now)
@@ -98,14 +98,14 @@
 metrics::metrics()
 {
     for (std::size_t count = 0; count < metric_table().size(); ++count)
-        shards_.push_back(std::make_unique<shard>());
+        samples_.push_back(std::make_unique<metric_samples>());
 }
 
 metrics::~metrics() = default;
 
 void metrics::record(metric id, double value, time_point now)
 {
-    shards_[static_cast<std::size_t>(id)]->record(value, now);
+    samples_[static_cast<std::size_t>(id)]->record(value, now);
 }
 
 void metrics::record(metric id, duration value, time_point now)
@@ -116,7 +116,7 @@
 
 metric_summary metrics::summary(metric id, time_point now) const
 {
-    return shards_[static_cast<std::size_t>(id)]->summary(now);
+    return samples_[static_cast<std::size_t>(id)]->summary(now);
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/observability/metrics.hpp
+++ b/src/libcyclamenrun/observability/metrics.hpp
@@ -46,8 +46,8 @@
     static constexpr milliseconds window{60000};
 
 private:
-    class shard;
-    std::vector<std::unique_ptr<shard>> shards_;
+    class metric_samples;
+    std::vector<std::unique_ptr<metric_samples>> samples_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/operators/request_story.cpp
+++ b/src/libcyclamenrun/operators/request_story.cpp
@@ -163,12 +163,14 @@
     const auto peers = upstreams();
     auto lines = steps_;
     for (const auto& state_event : state_events_) {
-        const bool meanwhile =
+        const bool is_during_request =
             state_event.time >= begin && state_event.time <= steps_.back().time;
-        const bool of_peer = !is_about_one_upstream(
-                                 find_state_event(state_event.event)->about) ||
-                             peers.contains(state_event.field("upstream"));
-        if (meanwhile && of_peer && own_processes.contains(state_event.process))
+        const bool is_relevant =
+            !is_about_one_upstream(
+                find_state_event(state_event.event)->about) ||
+            peers.contains(state_event.field("upstream"));
+        if (is_during_request && is_relevant &&
+            own_processes.contains(state_event.process))
             lines.push_back(state_event);
     }
     std::stable_sort(lines.begin(), lines.end(), by_time);
--- a/src/libcyclamenrun/outside/cancellation.hpp
+++ b/src/libcyclamenrun/outside/cancellation.hpp
@@ -33,7 +33,7 @@
     void detach(std::uint64_t attachment);
 
 private:
-    mutable std::mutex lock_;
+    mutable std::mutex mutex_;
     bool cancelled_ = false;
     std::uint64_t last_attachment_ = 0;
     std::map<std::uint64_t, std::function<void()>> hooks_;
--- a/src/libcyclamenrun/outside/engine_client.cpp
+++ b/src/libcyclamenrun/outside/engine_client.cpp
@@ -158,8 +158,8 @@
     if (head->status != ok_status)
         return status_error(head->status);
     engine_stream stream(request.request_id, events);
-    if (const auto pumped = read_stream(exchange, stream); !pumped)
-        return tl::unexpected(pumped.error());
+    if (const auto read_result = read_stream(exchange, stream); !read_result)
+        return tl::unexpected(read_result.error());
     if (stream.error())
         return tl::unexpected(*stream.error());
     auto result = stream.result();
--- a/src/libcyclamenrun/outside/logging_platform_log.cpp
+++ b/src/libcyclamenrun/outside/logging_platform_log.cpp
@@ -19,9 +19,10 @@
 
 } // namespace
 
-logging_platform_log::logging_platform_log(platform_log& log, metrics& measured,
+logging_platform_log::logging_platform_log(platform_log& log,
+                                           metrics& recorded_metrics,
                                            clock_function clock)
-    : log_(log), metrics_(measured), clock_(std::move(clock))
+    : log_(log), metrics_(recorded_metrics), clock_(std::move(clock))
 {
 }
 
--- a/src/libcyclamenrun/outside/logging_platform_log.hpp
+++ b/src/libcyclamenrun/outside/logging_platform_log.hpp
@@ -19,7 +19,7 @@
 class logging_platform_log : public platform_log
 {
 public:
-    logging_platform_log(platform_log& log, metrics& measured,
+    logging_platform_log(platform_log& log, metrics& recorded_metrics,
                          clock_function clock);
 
     tl::expected<std::uint64_t, log_error>
--- a/src/libcyclamenrun/outside/request_deadline_listener.cpp
+++ b/src/libcyclamenrun/outside/request_deadline_listener.cpp
@@ -17,7 +17,10 @@
 class listener_impl : public Poco::Net::ServerSocketImpl
 {
 public:
-    explicit listener_impl(milliseconds limit) : limit_(limit) {}
+    explicit listener_impl(milliseconds request_timeout)
+        : request_timeout_(request_timeout)
+    {
+    }
 
     Poco::Net::SocketImpl*
     acceptConnection(Poco::Net::SocketAddress& client) override
@@ -32,18 +35,18 @@
         if (accepted < 0)
             throw Poco::Net::NetException("accept", errno);
         client = Poco::Net::SocketAddress(address, length);
-        return new request_deadline_socket(accepted, limit_);
+        return new request_deadline_socket(accepted, request_timeout_);
     }
 
 private:
-    milliseconds limit_;
+    milliseconds request_timeout_;
 };
 
 class listener : public Poco::Net::ServerSocket
 {
 public:
-    explicit listener(milliseconds limit)
-        : ServerSocket(new listener_impl(limit), true)
+    explicit listener(milliseconds request_timeout)
+        : ServerSocket(new listener_impl(request_timeout), true)
     {
     }
 };
@@ -51,9 +54,9 @@
 } // namespace
 
 Poco::Net::ServerSocket listen_with_deadline(const ip_endpoint& address,
-                                             milliseconds limit)
+                                             milliseconds request_timeout)
 {
-    listener socket(limit);
+    listener socket(request_timeout);
     socket.bind(Poco::Net::SocketAddress(to_string(address)), true);
     socket.listen();
     return socket;
--- a/src/libcyclamenrun/outside/request_deadline_listener.hpp
+++ b/src/libcyclamenrun/outside/request_deadline_listener.hpp
@@ -14,7 +14,7 @@
  * request_deadline_socket. Throws Poco::Exception on failure.
  */
 Poco::Net::ServerSocket listen_with_deadline(const ip_endpoint& address,
-                                             milliseconds limit);
+                                             milliseconds request_timeout);
 
 } // namespace cyclamenrun
 
--- a/src/libcyclamenrun/outside/request_deadline_socket.cpp
+++ b/src/libcyclamenrun/outside/request_deadline_socket.cpp
@@ -7,8 +7,8 @@
 {
 
 request_deadline_socket::request_deadline_socket(poco_socket_t accepted,
-                                                 milliseconds limit)
-    : Poco::Net::StreamSocketImpl(accepted), limit_(limit)
+                                                 milliseconds request_timeout)
+    : Poco::Net::StreamSocketImpl(accepted), request_timeout_(request_timeout)
 {
 }
 
@@ -29,7 +29,7 @@
 {
     const auto now = steady_now();
     if (!deadline_)
-        deadline_ = now + limit_;
+        deadline_ = now + request_timeout_;
     const auto left = time_left(*deadline_, now);
     const Poco::Timespan wait(left.count() * Poco::Timespan::MILLISECONDS);
     if (left.count() == 0 || !poll(wait, SELECT_READ))
--- a/src/libcyclamenrun/outside/request_deadline_socket.hpp
+++ b/src/libcyclamenrun/outside/request_deadline_socket.hpp
@@ -22,7 +22,8 @@
 class request_deadline_socket : public Poco::Net::StreamSocketImpl
 {
 public:
-    request_deadline_socket(poco_socket_t accepted, milliseconds limit);
+    request_deadline_socket(poco_socket_t accepted,
+                            milliseconds request_timeout);
 
     int sendBytes(const void* buffer, int length, int flags = 0) override;
     int receiveBytes(void* buffer, int length, int flags = 0) override;
@@ -36,7 +37,7 @@
 private:
     void record_use();
 
-    milliseconds limit_;
+    milliseconds request_timeout_;
     std::optional<time_point> deadline_; ///< of the request being read
     /**
      * Orders each use before the destructor, which another thread may run.
--- a/src/libcyclamenrun/settings/settings_table_reader.cpp
+++ b/src/libcyclamenrun/settings/settings_table_reader.cpp
@@ -162,8 +162,8 @@
 
 settings_table_reader::settings_table_reader(const settings_table& table,
                                              const std::string& file,
-                                             std::string name)
-    : table_(table), file_(file), name_(std::move(name))
+                                             std::string key_prefix)
+    : table_(table), file_(file), key_prefix_(std::move(key_prefix))
 {
 }
 
@@ -244,8 +244,8 @@
 void settings_table_reader::report(settings_problem what, std::uint32_t line,
                                    std::string_view key, std::string allowed)
 {
-    errors_.push_back(
-        {what, file_, line, name_ + std::string(key), std::move(allowed)});
+    errors_.push_back({what, file_, line, key_prefix_ + std::string(key),
+                       std::move(allowed)});
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/settings/settings_table_reader.hpp
+++ b/src/libcyclamenrun/settings/settings_table_reader.hpp
@@ -16,9 +16,9 @@
 class settings_table_reader
 {
 public:
-    /** Errors contain `file` and the key, preceded by `name`. */
+    /** Errors contain `file` and the key, preceded by `key_prefix`. */
     settings_table_reader(const settings_table& table, const std::string& file,
-                          std::string name = {});
+                          std::string key_prefix = {});
 
     /** `line` is the line of the table, which is reported for missing keys. */
     settings_errors read(const toml::table& document, std::uint32_t line = 0);
@@ -35,7 +35,7 @@
 
     const settings_table& table_;
     const std::string& file_;
-    std::string name_;
+    std::string key_prefix_;
     std::set<std::string_view> seen_;
     settings_errors errors_;
 };
--- a/tests/outside/test_engine_client.cpp
+++ b/tests/outside/test_engine_client.cpp
@@ -146,7 +146,7 @@
     EXPECT_TRUE(got.text.empty());
 }
 
-TEST_F(engine_client_test, a_refusal_before_the_start_has_not_run)
+TEST_F(engine_client_test, a_request_refused_before_the_start_has_not_run)
 {
     engine.set_fault(R"({"refuse_status":503})");
     const auto got = run(request("r1", "{}"));
--- a/tests/outside/test_http_exchange.cpp
+++ b/tests/outside/test_http_exchange.cpp
@@ -81,7 +81,7 @@
     }
 }
 
-TEST(http_exchange, only_a_refused_connection_has_certainly_not_run)
+TEST(http_exchange, a_request_on_a_refused_connection_has_not_run)
 {
     std::string address;
     {
--- a/tests/product/test_entry_program.cpp
+++ b/tests/product/test_entry_program.cpp
@@ -43,7 +43,7 @@
 };
 
 /** Sends requests without reading answers until the entry reads no more. */
-Poco::Net::StreamSocket stall(const ip_endpoint& entry)
+Poco::Net::StreamSocket send_without_reading(const ip_endpoint& entry)
 {
     Poco::Net::StreamSocket socket;
     socket.connect({entry.host, entry.port});
@@ -96,7 +96,7 @@
     std::vector<Poco::Net::StreamSocket> stalled;
     stalled.reserve(4);
     for (int count = 0; count < 4; ++count)
-        stalled.push_back(stall(*address));
+        stalled.push_back(send_without_reading(*address));
     EXPECT_EQ(health(*address), 200);
 }
 
--- a/tests/product/test_watching.cpp
+++ b/tests/product/test_watching.cpp
@@ -20,17 +20,17 @@
 using testing::Return;
 
 /** Captures the lines that a test logs. */
-class watching : public testing::Test
+class instrumentation_test : public testing::Test
 {
 protected:
-    watching()
+    instrumentation_test()
     {
         start_logging({"test"}, [this](log_severity, std::string_view line) {
             lines.emplace_back(line);
             return true;
         });
     }
-    ~watching() override { start_logging({}, nullptr); }
+    ~instrumentation_test() override { start_logging({}, nullptr); }
 
     std::vector<std::string> lines;
     time_point now{};
@@ -62,7 +62,7 @@
  * The outage must be logged as one line at its start and one at its end, not as
  * one line per attempt. A rate limit does not count as an outage.
  */
-TEST_F(watching, an_outage_of_the_log_is_two_lines)
+TEST_F(instrumentation_test, an_outage_of_the_log_is_logged_in_two_lines)
 {
     NiceMock<mock_log> inner;
     logging_platform_log log(inner, measured, [this] { return now; });
@@ -87,7 +87,7 @@
     EXPECT_EQ(measured.summary(metric::log_append_duration, now).count, 1U);
 }
 
-TEST_F(watching, changes_of_the_list_of_vms_are_logged)
+TEST_F(instrumentation_test, changes_of_the_list_of_vms_are_logged)
 {
     logging_vm_list journal;
     vm first{"vm-1", "127.0.0.1:1", "r", "d", "s", vm_state::live};
@@ -103,7 +103,8 @@
                                    HasSubstr("upstream_removed")));
 }
 
-TEST_F(watching, gaps_between_tokens_and_the_longest_wait_are_measured)
+TEST_F(instrumentation_test,
+       gaps_between_tokens_and_the_longest_wait_are_measured)
 {
     NiceMock<mock_writer> inner;
     ON_CALL(inner, tokens(_)).WillByDefault(Return(true));
