--- a/bench/configuration_command.cpp
+++ b/bench/configuration_command.cpp
@@ -61,7 +61,8 @@
     return name + std::to_string(number);
 }
 
-/** Configuration at target size: all teams, models and two adapters each. */
+/** Configuration at the size of the largest supported deployment: all teams,
+ * models and two adapters each. */
 std::vector<v1::ChangeRecord> target_changes()
 {
     std::vector<v1::ChangeRecord> changes;
@@ -304,10 +305,10 @@
 };
 
 /** Three entries in virtual time that read at the idle interval. */
-class virtual_days
+class log_traffic_simulation
 {
 public:
-    virtual_days()
+    log_traffic_simulation()
     {
         append_target(log_);
         for (int i = 0; i < 3; ++i)
@@ -357,7 +358,7 @@
 {
     constexpr int days = 7;
     constexpr double hours = days * 24.0;
-    virtual_days simulated;
+    log_traffic_simulation simulated;
     const double appends = simulated.appends();
     const double reads = simulated.reads();
     simulated.run(days, daily_changes);
--- a/src/libcyclamenrun/outside/logging_platform_log.hpp
+++ b/src/libcyclamenrun/outside/logging_platform_log.hpp
@@ -13,12 +13,13 @@
 
 /**
  * Forwards calls to the platform's log. Logs the start and the end of each
- * outage once, however many calls fail in between.
+ * outage once, however many calls fail in between. Records the duration of
+ * appends.
  */
 class logging_platform_log : public platform_log
 {
 public:
-    logging_platform_log(platform_log& log, metrics& measured,
+    logging_platform_log(platform_log& log, metrics& recorded_metrics,
                          clock_function clock);
 
     tl::expected<std::uint64_t, log_error>
--- a/src/libcyclamenrun/outside/request_deadline_socket.hpp
+++ b/src/libcyclamenrun/outside/request_deadline_socket.hpp
@@ -14,15 +14,16 @@
  * A server connection whose client must send each whole request by a deadline.
  *
  * Guards against clients that send single bytes slowly. A timeout for each
- * read never expires for them, so each holds a thread for as long as it likes,
- * and a few such clients block all others. Here the time runs from the first
+ * read never expires for them, so each can hold a thread indefinitely, and a
+ * few such clients block all others. Here the time runs from the first
  * read of a request until the server sends data. A read that reaches the
  * deadline throws Poco::TimeoutException.
  */
 class request_deadline_socket : public Poco::Net::StreamSocketImpl
 {
 public:
-    request_deadline_socket(poco_socket_t accepted, milliseconds limit);
+    request_deadline_socket(poco_socket_t accepted,
+                            milliseconds request_timeout);
 
     int sendBytes(const void* buffer, int length, int flags = 0) override;
     int receiveBytes(void* buffer, int length, int flags = 0) override;
@@ -36,7 +37,7 @@
 private:
     void record_use();
 
-    milliseconds limit_;
+    milliseconds request_timeout_;
     std::optional<time_point> deadline_; ///< of the request being read
     /**
      * Orders each use before the destructor, which another thread may run.
--- a/tests/product/test_entry_program.cpp
+++ b/tests/product/test_entry_program.cpp
@@ -43,7 +43,7 @@
 };
 
 /** Sends requests without reading answers until the entry reads no more. */
-Poco::Net::StreamSocket stall(const ip_endpoint& entry)
+Poco::Net::StreamSocket send_without_reading(const ip_endpoint& entry)
 {
     Poco::Net::StreamSocket socket;
     socket.connect({entry.host, entry.port});
@@ -85,8 +85,8 @@
 
 /**
  * Guards against an idle entry that serves no requests: callers that keep their
- * connections open and stop reading each block a thread in a write without
- * end, until no thread is free.
+ * connections open and stop reading each block a thread in a write
+ * indefinitely, until no thread is free.
  */
 TEST_F(entry_program, callers_that_stop_reading_do_not_occupy_threads)
 {
@@ -96,14 +96,14 @@
     std::vector<Poco::Net::StreamSocket> stalled;
     stalled.reserve(4);
     for (int count = 0; count < 4; ++count)
-        stalled.push_back(stall(*address));
+        stalled.push_back(send_without_reading(*address));
     EXPECT_EQ(health(*address), 200);
 }
 
 /**
  * Guards against an idle entry that serves no requests: callers that send their
- * requests byte by byte each occupy a thread without end, since each byte
- * arrives before the timeout of a read.
+ * requests byte by byte each occupy a thread indefinitely, since each
+ * byte arrives before the timeout of a read.
  */
 TEST_F(entry_program, callers_that_send_byte_by_byte_do_not_occupy_threads)
 {
