--- a/tests/processes/deployment.cpp
+++ b/tests/processes/deployment.cpp
@@ -159,11 +159,16 @@
             "\nkind = \"application\"\n"
             "[[team]]\nname = \"team-a\"\nkey_hash = " +
             quoted(to_string(make_key_hash(secret(team_key_)))) + "\n");
+    // An entry refuses changes until it has read the platform's log once.
+    const auto& first = *entries_.front();
+    if (!wait_until([&] { return is_ready(first); }))
+        throw std::runtime_error(first.name + " has read no configuration: " +
+                                 first.process->output());
     if (const int status = operate({"apply", "--wait", resources}))
         throw std::runtime_error("apply ended with " + std::to_string(status));
     for (const auto& entry : entries_) {
         const bool ready = wait_until([&] {
-            if (ask(entry->address, "GET", "/readyz").head.status != 200)
+            if (!is_ready(*entry))
                 return false;
             return std::all_of(
                 upstreams_.begin(), upstreams_.end(), [&](const auto& added) {
@@ -176,6 +181,11 @@
     }
 }
 
+bool deployment::is_ready(const entry_processes& entry)
+{
+    return ask(entry.address, "GET", "/readyz").head.status == 200;
+}
+
 int deployment::operate(const std::vector<std::string>& command) const
 {
     auto options = command;
--- a/tests/processes/deployment.hpp
+++ b/tests/processes/deployment.hpp
@@ -66,6 +66,9 @@
                  const std::string& service,
                  const std::string& state = "live") const;
 
+    /** Whether the entry has read a configuration and is not draining. */
+    static bool is_ready(const entry_processes& entry);
+
     /** The status with which `cyclamenrunctl` ends. */
     int operate(const std::vector<std::string>& command) const;
     /** The state of an upstream as this entry sees it. */
