--- a/tests/processes/deployment.cpp
+++ b/tests/processes/deployment.cpp
@@ -15,8 +15,8 @@
 
 constexpr auto link_key = "0123456789abcdef0123456789abcdef";
 constexpr auto json_type = "application/json";
-constexpr milliseconds poll_pause(10);
-constexpr milliseconds patience(30000);
+constexpr milliseconds poll_interval(10);
+constexpr milliseconds wait_timeout(30000);
 
 std::string quoted(const std::string& text)
 {
@@ -40,11 +40,11 @@
 
 bool wait_until(const std::function<bool()>& condition)
 {
-    const auto deadline = steady_now() + patience;
+    const auto deadline = steady_now() + wait_timeout;
     while (!condition()) {
         if (steady_now() >= deadline)
             return false;
-        std::this_thread::sleep_for(poll_pause);
+        std::this_thread::sleep_for(poll_interval);
     }
     return true;
 }
@@ -342,7 +342,7 @@
             json_type,
             body,
             {{"Authorization", "Bearer " + team_key_}},
-            steady_now() + patience};
+            steady_now() + wait_timeout};
 }
 
 } // namespace cyclamenrun::testing_support
--- a/tests/processes/deployment.hpp
+++ b/tests/processes/deployment.hpp
@@ -18,14 +18,14 @@
 constexpr auto model_service = "redactor";
 constexpr auto application_service = "registro";
 
-/** An upstream, its agent, and the links on either side of the agent. */
+/** An upstream, its agent, and the links on both sides of the agent. */
 struct upstream_processes {
     std::string name;
     std::string service;
     std::unique_ptr<stand_in_process> back_end;
-    std::unique_ptr<tcp_relay> back_end_link; ///< from the agent
+    std::unique_ptr<tcp_relay> back_end_link; ///< agent to back end
     std::unique_ptr<child_process> agent;
-    std::unique_ptr<tcp_relay> agent_link; ///< from the entries
+    std::unique_ptr<tcp_relay> agent_link; ///< entries to agent
 };
 
 struct entry_processes {
@@ -35,12 +35,12 @@
     std::string address;
 };
 
-/** Repeats `condition` with short pauses; false after a generous limit. */
+/** Polls `condition` until it is true; returns false after 30 s. */
 bool wait_until(const std::function<bool()>& condition);
 
 /**
- * The system as its processes on loopback: a platform, upstreams with their
- * agents, and entries, under a configuration with one team.
+ * A complete system of processes on loopback: a platform stand-in, upstreams
+ * with their agents, and entries, with a configuration of one team.
  */
 class deployment
 {
@@ -53,15 +53,18 @@
                                    std::vector<std::string> options = {});
     entry_processes& add_entry(const std::string& name);
 
-    /** A new process in the place of the old one, which must have ended. */
+    /** Starts a new process in place of the old one, which must have ended. */
     void restart_agent(upstream_processes& upstream);
     void restart_back_end(upstream_processes& upstream,
                           std::vector<std::string> options = {});
 
-    /** Publishes the configuration and waits until it serves everywhere. */
+    /**
+     * Applies the configuration as soon as the first entry is ready, then waits
+     * until every entry is ready and sees every upstream as live.
+     */
     void wait_until_ready();
 
-    /** Puts a VM on the platform's list: live or leaving. */
+    /** Adds or updates a VM on the platform's list: live or leaving. */
     void list_vm(const std::string& id, const std::string& address,
                  const std::string& service,
                  const std::string& state = "live") const;
@@ -69,22 +72,22 @@
     /** Whether the entry has read a configuration and is not draining. */
     static bool is_ready(const entry_processes& entry);
 
-    /** The status with which `cyclamenrunctl` ends. */
+    /** Runs `cyclamenrunctl` with `command`. Returns its exit status. */
     int operate(const std::vector<std::string>& command) const;
-    /** The state of an upstream as this entry sees it. */
+    /** Returns the state of an upstream as this entry sees it. */
     std::string state_at(const entry_processes& entry,
                          const std::string& upstream) const;
 
-    /** A generation whose answer has so many tokens. */
+    /** Starts a generation with an answer of `output_tokens` tokens. */
     caller_stream generate(const entry_processes& entry,
                            const std::string& prompt,
                            std::uint64_t output_tokens) const;
-    /** A whole answer to a request that ends each engine that runs it. */
+    /** Sends a request that crashes each engine that runs it. */
     std::optional<http_answer> crash(const entry_processes& entry) const;
-    /** The rest of a generation, through any entry. */
+    /** Resumes a generation after `last_event_id`, through any entry. */
     caller_stream resume(const entry_processes& entry,
                          const std::string& last_event_id) const;
-    /** Empty if the entry did not answer. */
+    /** Sends a call; empty if the entry does not answer. */
     std::optional<http_answer> call(const entry_processes& entry,
                                     const std::string& ticket,
                                     milliseconds limit = test_limit) const;
@@ -94,9 +97,9 @@
     upstream_processes& upstream(std::size_t at) { return *upstreams_.at(at); }
     entry_processes& entry(std::size_t at) { return *entries_.at(at); }
 
-    /** The upstream whose history has such an event first. */
+    /** Waits until an upstream has such an event. Returns the upstream. */
     upstream_processes& wait_for_event(const std::string& kind);
-    /** How many such events all upstreams have. */
+    /** Counts the events of this kind over all upstreams. */
     std::size_t count_events(const std::string& kind) const;
 
 private:
--- a/tests/processes/test_calls.cpp
+++ b/tests/processes/test_calls.cpp
@@ -15,7 +15,7 @@
 using testing_support::wait_until;
 using testing_support::way;
 
-/** What befalls a tag that a runner has begun to write. */
+/** Faults during a call that a runner has begun to run. */
 enum class fault : std::uint8_t {
     kill_runner,
     lose_answer,
@@ -33,7 +33,7 @@
     "freeze_agent",   "cut_agent_link",  "stall_to_agent",
     "stall_to_entry", "cut_runner_link", "kill_entry"};
 
-/** The work is lost for good, or only the way to its answer for a while. */
+/** True if the fault loses the answer; else its path heals. */
 bool is_final(fault what)
 {
     return what == fault::kill_runner || what == fault::lose_answer ||
@@ -58,7 +58,7 @@
         case fault::kill_runner:
             return upstream.back_end->process().signal(SIGKILL);
         case fault::lose_answer:
-            return; // set before the call
+            return; // the test sets it before the call
         case fault::kill_agent:
             return upstream.agent->signal(SIGKILL);
         case fault::freeze_agent:
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Heals what heals, once the entry has seen it. */
+    /** Ends a transient fault once the entry has closed its link. */
     void undo(upstream_processes& upstream)
     {
         if (is_final(GetParam()) || GetParam() == fault::kill_entry)
@@ -89,7 +89,7 @@
         upstream.agent_link->heal();
     }
 
-    /** Of both runners, the one that died included. */
+    /** Counts the runs on both runners; a killed runner counts as one run. */
     std::size_t runs() const
     {
         std::size_t count = died ? 1 : 0;
@@ -105,11 +105,11 @@
     const upstream_processes* died = nullptr;
 };
 
-// An inspector writes a tag under a ticket. Something fails while the runner
-// writes it, or its answer is lost, and the inspector sends the tag again at
-// once through the other entry. The tag is written once, both answers agree,
-// and nobody is told that it was not written.
-TEST_P(call_faults, a_tag_is_written_once_however_often_it_is_sent)
+// Guards against a call that runs twice when its caller retries it. A fault
+// occurs while the runner runs a call with a ticket, or its answer is lost, and
+// the caller at once sends the call again through the other entry. The call
+// runs once, both answers agree, and neither says that it was not run.
+TEST_P(call_faults, a_call_with_a_ticket_runs_once_when_it_is_resent)
 {
     const auto ticket = system.ticket(system.entry(0));
     ASSERT_FALSE(ticket.empty());
@@ -145,9 +145,9 @@
     EXPECT_EQ(runs(), 1);
 }
 
-// The same without a ticket: the call is sent once, by the caller and by the
-// system, and what the caller is told is true.
-TEST_P(call_faults, without_a_ticket_the_system_sends_a_call_once)
+// The same faults without a ticket: the system must not retry the call, and the
+// caller gets either the answer or outcome_unknown.
+TEST_P(call_faults, a_call_without_a_ticket_is_sent_once)
 {
     if (GetParam() == fault::lose_answer)
         for (const std::size_t at : {0, 1})
@@ -193,7 +193,8 @@
     deployment system;
 };
 
-// A caller sends its tag through two entries at the same moment.
+// Guards against two runs of a call that its caller sends through two entries
+// at the same moment.
 TEST_F(call_races, a_ticket_used_twice_at_once_runs_once)
 {
     for (std::size_t round = 1; round <= 10; ++round) {
@@ -210,10 +211,10 @@
     }
 }
 
-// A dispatch is held up on its link until after its caller was told how the
-// call ended, and arrives and runs then. Nobody could know at that moment, so
-// the caller must not have been told that the call was not run.
-TEST_F(call_races, a_call_that_may_still_arrive_is_not_told_as_not_run)
+// Guards against a false "not run" refusal. A dispatch is delayed on its link
+// past the call's deadline, and arrives and runs after the caller received the
+// refusal. At that time the outcome is unknown, so the refusal must say so.
+TEST_F(call_races, a_call_that_may_still_arrive_is_not_reported_as_not_run)
 {
     auto& upstream = system.upstream(0);
     upstream.agent_link->stall(way::to_target);
@@ -222,7 +223,7 @@
     const auto told = read_refusal(answer->body);
     ASSERT_TRUE(told) << answer->body;
     upstream.agent_link->heal();
-    // The link is in order: once this call ran, the late one has arrived.
+    // The link keeps the order: once this call ran, the late one has arrived.
     const auto next = system.call(system.entry(0), "");
     ASSERT_TRUE(next);
     EXPECT_EQ(next->head.status, 200) << next->body;
@@ -231,9 +232,9 @@
     EXPECT_LE(late_runs, 1);
 }
 
-// An agent dies and comes back; tickets of its earlier life come with calls
-// that nobody can tell from ones that ran in it.
-TEST_F(call_races, a_ticket_of_an_earlier_life_is_an_unknown_outcome)
+// Guards against running a call twice across an agent's restart. The new agent
+// cannot tell whether a call with a ticket of the earlier incarnation has run.
+TEST_F(call_races, a_ticket_of_an_earlier_incarnation_has_an_unknown_outcome)
 {
     const auto ticket = system.ticket(system.entry(0));
     auto& upstream = system.upstream(0);
--- a/tests/processes/test_configuration_spread.cpp
+++ b/tests/processes/test_configuration_spread.cpp
@@ -12,12 +12,12 @@
 
 using testing_support::deployment;
 
-/** Of the co-operative's, with a few entries. */
+/** Numbers of upstreams at the users' size, with a few entries. */
 constexpr int models = 10;
 constexpr int runners = 3;
 constexpr int entries = 3;
 
-/** A resource file whose service differs from that of other rounds. */
+/** Writes a resource file whose deadline differs in each round. */
 std::string resource_file(const std::string& path, int round)
 {
     std::ofstream(path) << "[[service]]\nname = \"medida\"\n"
@@ -27,10 +27,10 @@
     return path;
 }
 
-// An operator tightens a limit and waits until it holds everywhere. Agents
-// hear of it from entries only, whose heartbeats hang at the agents for as
+// Guards against changes that take long to reach all processes. Agents receive
+// changes only from entries, whose heartbeat calls stay open at an agent for as
 // long as nothing happens there.
-TEST(configuration_spread, is_in_force_at_todays_size_within_seconds)
+TEST(configuration_spread, change_is_in_force_on_16_processes_within_seconds)
 {
     constexpr int rounds = 12;
     deployment system;
@@ -46,7 +46,7 @@
     std::vector<milliseconds> times;
     for (int round = 0; round < rounds; ++round) {
         const auto start = steady_now();
-        // The operator's key is in the environment by now.
+        // wait_until_ready() has set the operator's key in the environment.
         testing_support::child_process apply(
             "cyclamenrunctl", {"--entry", system.entry(0).operators, "apply",
                                "--wait", resource_file(file.path(), round)});
@@ -56,7 +56,7 @@
     }
     std::sort(times.begin(), times.end());
     std::cout << "apply --wait at 3 entries and 13 agents: median "
-              << times[rounds / 2].count() << " ms, most "
+              << times[rounds / 2].count() << " ms, maximum "
               << times.back().count() << " ms\n";
     EXPECT_LE(times.back(), milliseconds(11'000));
 }
--- a/tests/processes/test_generation_faults.cpp
+++ b/tests/processes/test_generation_faults.cpp
@@ -20,10 +20,10 @@
 constexpr auto prompt = "removal dossier, rail shed 4";
 constexpr std::uint64_t length = 300;
 constexpr std::size_t seen_tokens = 40;
-/** Two looks at a busy engine, and time to spare. */
+/** Two polls of a busy engine, and a margin. */
 constexpr milliseconds engine_loss_limit(5000);
 
-/** What befalls the upstream that has the generation. */
+/** Faults of the upstream that runs the generation. */
 enum class fault : std::uint8_t {
     kill_engine,
     freeze_engine,
@@ -78,7 +78,7 @@
     upstream.back_end_link->heal();
 }
 
-/** Each token once, in order, and all of one generation. */
+/** Each token occurs once, in order, and all belong to one generation. */
 void expect_in_order(const caller_stream& stream, std::uint64_t first = 0)
 {
     const auto& positions = stream.positions();
@@ -104,11 +104,11 @@
 class generation_faults : public ::testing::TestWithParam<fault>
 {
 protected:
-    /** Two upstreams; `speed` is the time for a token in ms. */
-    void start(const char* speed)
+    /** Starts two upstreams with a token time of `step_ms`. */
+    void start(const char* step_ms)
     {
-        system.add_model("redactor-1", {"--step-ms", speed});
-        system.add_model("redactor-2", {"--step-ms", speed});
+        system.add_model("redactor-1", {"--step-ms", step_ms});
+        system.add_model("redactor-2", {"--step-ms", step_ms});
         system.add_entry("entry-1");
         system.wait_until_ready();
     }
@@ -116,10 +116,10 @@
     deployment system;
 };
 
-// An inspector asks, and the upstream that has the request fails before its
-// first token. Nothing of the answer has been seen, so the other upstream
-// can make it, and the inspector never learns of the fault.
-TEST_P(generation_faults, before_the_first_token_shows_to_no_caller)
+// The upstream that runs a request fails before its first token. The caller has
+// received nothing, so the entry must retry the request on the other upstream
+// and the caller must get a complete answer without an error.
+TEST_P(generation_faults, before_the_first_token_are_hidden_from_the_caller)
 {
     start("5");
     for (const std::size_t at : {0, 1})
@@ -140,10 +140,11 @@
     undo(GetParam(), struck);
 }
 
-// A technician reads a guide, and its upstream fails for good. Another one
-// must not go on with it: the end of that text could not be of the same
-// generation. What was read stays true, and the refusal says that it failed.
-TEST_P(generation_faults, for_good_mid_stream_ends_it_truthfully)
+// The upstream of a stream fails permanently after some tokens. Another
+// upstream must not continue the stream, since it would generate a different
+// text. The tokens received stay valid, and the refusal says that the
+// generation failed.
+TEST_P(generation_faults, permanent_mid_stream_end_the_stream_with_failed)
 {
     start("20");
     auto stream = system.generate(system.entry(0), prompt, length);
@@ -157,7 +158,7 @@
         EXPECT_LT(steady_now(), limit);
     }
     if (GetParam() == fault::stall_to_engine) {
-        // The tokens come the other way, which is open.
+        // Tokens travel in the other direction, which is not stalled.
         expect_whole(stream);
     } else {
         EXPECT_EQ(stream.end(), stream_end_kind::refused);
@@ -183,7 +184,7 @@
 class passing_faults : public generation_faults
 {
 protected:
-    /** The entry has noticed that its link to an agent is gone. */
+    /** True once the entry has closed its link to an agent. */
     bool link_closed()
     {
         return system.entry(0).process->output().find("link_closed") !=
@@ -191,10 +192,10 @@
     }
 };
 
-// A link between failure domains is cut or stalls in the middle of a dossier
-// until the entry gives the connection up, or the agent is frozen as long.
-// Then it heals, and the dossier goes on with the very next token.
-TEST_P(passing_faults, mid_stream_cut_nothing)
+// A link between failure domains is cut or stalls in mid-stream, or the agent
+// is frozen, until the entry closes the connection. After the fault the stream
+// must resume with the next token.
+TEST_P(passing_faults, mid_stream_lose_no_token)
 {
     start("20");
     auto stream = system.generate(system.entry(0), prompt, length);
@@ -208,9 +209,9 @@
     EXPECT_EQ(system.count_events("start"), 1);
 }
 
-// All is made, but the end of the answer is lost on the way: the caller still
-// gets it, from the same run.
-TEST_P(passing_faults, with_the_end_on_the_way_cut_nothing)
+// The generation is complete, but the link fails before the caller has received
+// the end. The caller must still get it, from the same run.
+TEST_P(passing_faults, after_the_last_token_lose_no_token)
 {
     start("5");
     auto stream = system.generate(system.entry(0), prompt, length);
--- a/tests/processes/test_orders.cpp
+++ b/tests/processes/test_orders.cpp
@@ -13,9 +13,9 @@
 using testing_support::wait_until;
 
 /**
- * An operator assigns a model to a service and sees it accepted, so each
- * engine of the service is to be told, once, by its own agent. An engine that
- * restarts has lost what it had loaded and is told again.
+ * Guards against an accepted assignment that does not reach an engine, or
+ * reaches it twice. Each engine of the service receives one order from its own
+ * agent. A restarted engine has lost its loaded model and receives it again.
  */
 TEST(orders, reach_each_engine_and_again_when_it_restarts)
 {
@@ -37,7 +37,7 @@
     upstream.back_end->process().signal(SIGKILL);
     upstream.back_end->process().wait();
     system.restart_back_end(upstream);
-    // The new engine has a history of its own, beside the other's.
+    // The restarted engine begins with an empty history: one order for each.
     EXPECT_TRUE(wait_until([&] { return system.count_events("order") == 2; }));
 }
 
--- a/tests/processes/test_path.cpp
+++ b/tests/processes/test_path.cpp
@@ -11,7 +11,7 @@
 using testing_support::deployment;
 using testing_support::stream_end_kind;
 
-TEST(path, a_dossier_and_a_call_are_answered_whole)
+TEST(path, a_generation_and_a_call_are_answered_completely)
 {
     deployment system;
     system.add_model("redactor-1", {"--step-ms", "2"});
--- a/tests/processes/test_poison.cpp
+++ b/tests/processes/test_poison.cpp
@@ -11,12 +11,12 @@
 using testing_support::stream_end_kind;
 
 /**
- * One request crashes each engine that runs it. Its caller has seen nothing of
- * it, so the entry runs it once more, alone, on another engine, and loses that
- * too. It is refused then, also by the other entry, to which the caller turns
- * next: the third engine lives on and serves others.
+ * Guards against a poison request that crashes one engine after another. The
+ * caller has received no token, so the entry retries the request once, alone,
+ * on another engine, which crashes as well. From then on both entries refuse
+ * the request, and the third engine stays available for other requests.
  */
-TEST(poison, costs_two_engines_whichever_entries_it_comes_through)
+TEST(poison, request_crashes_two_engines_at_most_through_any_entries)
 {
     deployment system;
     for (const auto* name : {"redactor-1", "redactor-2", "redactor-3"})
@@ -34,11 +34,11 @@
 
     std::size_t live = 0;
     for (std::size_t i = 0; i < 3; ++i) {
-        const http_request look{
+        const http_request probe{
             "GET", "/v1/runs", "", "", {}, steady_now() + milliseconds(2'000)};
         http_exchange exchange(system.upstream(i).back_end->address(), {},
                                steady_now);
-        live += exchange.run(look) ? 1 : 0;
+        live += exchange.run(probe) ? 1 : 0;
     }
     EXPECT_EQ(live, 1U);
     auto healthy = system.generate(system.entry(1), "healthy", 4);
--- a/tests/processes/test_stops.cpp
+++ b/tests/processes/test_stops.cpp
@@ -39,7 +39,7 @@
         return stream;
     }
 
-    /** `before` and the rest of its generation are the whole answer. */
+    /** `before` and `rest` together are the complete answer. */
     static void expect_continued(const caller_stream& before,
                                  const caller_stream& rest)
     {
@@ -63,9 +63,9 @@
     deployment system;
 };
 
-// An entry is replaced while it serves a guide and a lookup: both end whole,
-// it takes nothing new meanwhile, and it ends by itself.
-TEST_F(stops, a_stop_of_an_entry_cuts_nothing)
+// An entry is stopped while it serves a stream and a call. Both must complete
+// before the entry exits by itself.
+TEST_F(stops, stopping_an_entry_cuts_no_request)
 {
     start();
     auto stream = begin();
@@ -83,9 +83,10 @@
         << system.entry(0).process->output();
 }
 
-// An agent is replaced while its engine makes a guide. The guide ends whole,
-// new requests go to the other upstream, and the agent ends by itself.
-TEST_F(stops, a_stop_of_an_agent_cuts_nothing)
+// An agent is stopped while its engine runs a generation. The stream must
+// complete, new requests go to the other upstream, and the agent exits by
+// itself.
+TEST_F(stops, stopping_an_agent_cuts_no_stream)
 {
     start();
     auto stream = begin();
@@ -103,7 +104,7 @@
     EXPECT_EQ(stopped.agent->wait(), 0) << stopped.agent->output();
 }
 
-TEST_F(stops, a_stop_of_an_agent_lets_a_call_end)
+TEST_F(stops, stopping_an_agent_lets_a_call_complete)
 {
     start();
     const auto ticket = system.ticket(system.entry(0));
@@ -117,8 +118,8 @@
     EXPECT_EQ(system.count_events("run"), 1);
 }
 
-// An operator drains an upstream: within 3 s no entry gives it anything new,
-// and what it runs ends whole.
+// An operator drains an upstream. Within 3 s all entries must stop sending it
+// new requests, and its running generation must complete.
 TEST_F(stops, a_drained_upstream_gets_no_new_work)
 {
     start();
@@ -139,8 +140,9 @@
     expect_whole(stream);
 }
 
-// A VM of an upstream is marked as leaving on the platform's list.
-TEST_F(stops, an_upstream_that_leaves_by_the_list_gets_no_new_work)
+// The platform's list marks the VM of an upstream as leaving. Within 3 s it
+// must get no new requests, and its running generation must complete.
+TEST_F(stops, an_upstream_listed_as_leaving_gets_no_new_work)
 {
     start();
     auto stream = begin();
@@ -160,9 +162,9 @@
     expect_whole(stream);
 }
 
-// An entry dies under a guide. Its caller goes on through the other entry
-// with the next token of the same generation; nothing is made twice.
-TEST_F(stops, a_guide_goes_on_through_another_entry)
+// An entry is killed during a stream. Its caller must be able to resume through
+// the other entry at the next token, without a second run of the generation.
+TEST_F(stops, a_stream_resumes_through_another_entry)
 {
     start();
     auto stream = begin();
@@ -175,8 +177,8 @@
     EXPECT_EQ(system.count_events("start"), 1);
 }
 
-// An entry freezes; the caller gives it up, resumes elsewhere, and the old
-// entry wakes up in the middle of that.
+// An entry freezes, and the caller disconnects and resumes through another one.
+// The frozen entry continues meanwhile and must not disturb the resumed stream.
 TEST_F(stops, a_frozen_entry_that_wakes_up_disturbs_nothing)
 {
     start();
@@ -191,9 +193,9 @@
     EXPECT_EQ(system.count_events("start"), 1);
 }
 
-// A caller's own line breaks after the last token, when all is acknowledged
-// by neither side: what it lacks is still there.
-TEST_F(stops, the_end_of_a_guide_can_be_fetched_after_it_was_made)
+// The caller's connection breaks before it has received the end, and the
+// generation then completes. The rest must stay available for a resume.
+TEST_F(stops, a_stream_resumes_after_its_generation_has_completed)
 {
     start("2");
     auto stream = begin();
@@ -204,7 +206,7 @@
     expect_continued(stream, rest);
 }
 
-TEST_F(stops, a_position_that_is_forged_or_of_another_life_is_refused)
+TEST_F(stops, a_forged_or_out_of_range_position_is_refused)
 {
     start();
     auto stream = begin();
@@ -221,8 +223,8 @@
     expect_whole(stream);
 }
 
-// A caller that has gone for good must not keep an engine busy for long.
-TEST_F(stops, what_nobody_fetches_is_cancelled_after_the_grace)
+// A caller that disconnects and does not resume must not keep an engine busy.
+TEST_F(stops, an_abandoned_generation_is_cancelled_after_the_grace)
 {
     start("100");
     auto stream = begin();
@@ -231,9 +233,9 @@
     EXPECT_TRUE(upstream.back_end->history("end").empty());
 }
 
-// The platform dies and stays away. What runs ends, new requests are served,
-// and an operator is told that nothing can be changed now.
-TEST_F(stops, without_the_platform_all_that_is_there_goes_on)
+// The platform is killed and does not return. Running and new requests must be
+// served. The exit status of an operator's change is only printed.
+TEST_F(stops, requests_are_served_without_the_platform)
 {
     start();
     auto stream = begin();
@@ -250,9 +252,9 @@
     expect_whole(last);
 }
 
-// A frozen platform holds every reader of its log and list for ever; callers
-// must not notice, and a stop must not wait for it.
-TEST_F(stops, a_frozen_platform_holds_up_no_caller_and_no_stop)
+// A frozen platform never answers the reads of its log and list. Requests must
+// be served nevertheless, and a stopping entry must not wait for the platform.
+TEST_F(stops, a_frozen_platform_delays_no_request_and_no_stop)
 {
     start();
     system.platform().process().signal(SIGSTOP);
@@ -265,8 +267,8 @@
     EXPECT_LT(steady_now(), limit);
 }
 
-// An entry that has just come up and never read a configuration serves
-// nothing, and says so in a way that sends its callers elsewhere.
+// A new entry that has not read a configuration must refuse requests as not
+// run, so that callers can safely retry them on another entry.
 TEST_F(stops, an_entry_without_a_configuration_refuses)
 {
     start();
--- a/tests/standins/engine/engine_api.cpp
+++ b/tests/standins/engine/engine_api.cpp
@@ -11,10 +11,10 @@
 {
 
 constexpr std::uint64_t default_max_tokens = 65536;
-/** How soon a caller that has gone is noticed between tokens. */
+/** Interval of checks for a disconnected caller between tokens. */
 constexpr std::chrono::milliseconds caller_check(20);
 
-/** The prompt, or the contents of all messages. */
+/** Returns the prompt, or the joined contents of all messages. */
 std::optional<std::string> prompt_of(const Poco::JSON::Object& body)
 {
     if (auto prompt = json_string(body, "prompt"))
@@ -260,7 +260,7 @@
     answer(response, 200, to_string(body));
 }
 
-/** A member that is absent leaves its fault as it is; 0 ends it. */
+/** Updates the faults that the body has; 0 clears one. */
 void engine_api::set_fault(server_request& request, server_response& response)
 {
     const auto body = parse_json_object(body_of(request));
--- a/tests/standins/engine/engine_api.hpp
+++ b/tests/standins/engine/engine_api.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun::stand_in
 {
 
-/** The engine's HTTP side. */
+/** The HTTP API of the stand-in engine. */
 class engine_api
 {
 public:
--- a/tests/standins/engine/engine_core.cpp
+++ b/tests/standins/engine/engine_core.cpp
@@ -131,7 +131,7 @@
             options_.step_ms * slow_factor_);
         next += std::chrono::duration_cast<clock::duration>(span);
         next = std::max({next, clock::now(), stalled_until_});
-        // Only a stop cuts a step short.
+        // Only stop() ends the wait for a step early.
         changed_.wait_until(guard, next, [this] { return stopping_; });
         if (!stopping_ && clock::now() >= stalled_until_)
             step();
@@ -168,7 +168,7 @@
     }
 }
 
-/** Before a step, each active run must have room for one more token. */
+/** Preempts runs until each active one has memory for another token. */
 void engine_core::make_room()
 {
     for (;;) {
@@ -181,7 +181,7 @@
     }
 }
 
-/** True once the run may decode. */
+/** Computes prompt tokens within the budget; true when prefill is done. */
 bool engine_core::prefill(engine_run& run, std::uint64_t& budget)
 {
     const auto share = std::min(budget, run.prefill_left);
@@ -259,7 +259,7 @@
     return used;
 }
 
-/** Log-normal, so that most are short and a few are very long. */
+/** Draws a log-normal length: most are short, a few very long. */
 std::uint64_t engine_core::draw_length(const run_order& order) const
 {
     constexpr double spread = 1.2;
--- a/tests/standins/engine/engine_core.hpp
+++ b/tests/standins/engine/engine_core.hpp
@@ -40,10 +40,11 @@
 };
 
 /**
- * A continuous batch: each step makes one token for every request in it. A
- * request enters by priority, then arrival, as soon as what it has so far
- * fits; when memory runs out in decode the last in that order is preempted
- * and later computes all that it had again.
+ * An engine with continuous batching: each step generates one token for every
+ * request in the batch. Requests are admitted by priority, then arrival, as
+ * soon as their prompt and output so far fit in memory. When memory runs out
+ * in decode, the last active request in that order is preempted; it recomputes
+ * its prompt and output when it is admitted again.
  */
 class engine_core
 {
@@ -52,7 +53,7 @@
     ~engine_core();
 
     std::shared_ptr<engine_run> start(run_order order);
-    /** False if there is no such run. */
+    /** Returns false if there is no such run. */
     bool cancel(const std::string& request_id, const std::string& cause);
     void stop();
 
@@ -63,7 +64,7 @@
 
     void stall(std::chrono::milliseconds span);
     void slow_down(double factor);
-    /** The process dies when any run makes this token. */
+    /** Kills the process when any run reaches this token; 0: off. */
     void die_at_token(std::uint64_t count);
 
 private:
--- a/tests/standins/engine/engine_run.hpp
+++ b/tests/standins/engine/engine_run.hpp
@@ -21,15 +21,15 @@
     std::optional<std::uint64_t> crash_at_token;
 };
 
-/** What the handler of a run is told next. */
+/** The next token of a run, or its end. */
 struct run_step {
     std::optional<std::string> token;
     std::string finish_reason; ///< not empty at the end
 };
 
 /**
- * One request in the engine. What stands above the lock belongs to the
- * engine's batch; the handler takes tokens from below it.
+ * One request in the engine. The engine's lock guards the public members; the
+ * run's own lock guards the tokens passed to the HTTP handler.
  */
 class engine_run
 {
@@ -41,7 +41,7 @@
     std::uint64_t target_tokens = 0;
     std::uint64_t made = 0;
     std::uint64_t prefill_left = 0;
-    std::uint64_t sequence = 0; ///< order of arrival
+    std::uint64_t sequence = 0; ///< arrival order
     bool active = false;        ///< in the batch, holds memory
 
     std::uint64_t memory_tokens() const { return prompt_tokens + made; }
@@ -60,7 +60,7 @@
         changed_.notify_one();
     }
 
-    /** Empty if nothing has come within `wait`. */
+    /** Returns the next step; empty if none arrives within `wait`. */
     std::optional<run_step> next(std::chrono::milliseconds wait)
     {
         std::unique_lock guard(lock_);
--- a/tests/standins/engine/main.cpp
+++ b/tests/standins/engine/main.cpp
@@ -6,26 +6,28 @@
     engine_options options;
     std::string listen = "127.0.0.1:0";
     CLI::App app("Stand-in for a model engine");
-    app.add_option("--listen", listen, "IP:PORT, port 0 for any");
-    app.add_option("--step-ms", options.step_ms, "time between tokens");
+    app.add_option("--listen", listen,
+                   "IP:PORT to listen on; port 0 picks a free one");
+    app.add_option("--step-ms", options.step_ms, "time between tokens in ms");
     app.add_option("--memory-tokens", options.memory_tokens,
-                   "room for prompts and outputs in decode");
+                   "memory for prompts and outputs in decode");
     app.add_option("--prefill-tokens-per-step", options.prefill_tokens_per_step,
-                   "speed of prompts");
-    app.add_option("--max-batch", options.max_batch, "requests at once");
+                   "prompt tokens computed per step");
+    app.add_option("--max-batch", options.max_batch,
+                   "maximum number of requests in the batch");
     app.add_option("--median-output-tokens", options.median_output_tokens,
-                   "of the hidden lengths");
-    app.add_option("--seed", options.seed, "of the hidden lengths");
+                   "median of the random output lengths");
+    app.add_option("--seed", options.seed, "seed of the random output lengths");
     app.add_option("--load-lag-ms", options.load_lag_ms,
-                   "age of what /v1/load tells");
+                   "age of the sample that /v1/load returns");
     app.add_option("--cache-blocks", options.cache_blocks,
-                   "blocks of prompts that are held");
+                   "maximum number of cached prompt blocks");
     app.add_option("--cache-lag-ms", options.cache_lag_ms,
-                   "age of what /v1/cache_events tells");
+                   "minimum age of the events that /v1/cache_events returns");
     app.add_option("--cache-gap", options.cache_gap,
-                   "each so-many-th cache event is lost; 0: none");
+                   "every Nth cache event is lost; 0: none");
     app.add_flag("--ignore-fence", options.ignore_fence,
-                 "obey orders with an old fencing number");
+                 "accept orders with an old fencing number");
     CLI11_PARSE(app, argc, argv);
     server http;
     history events;
--- a/tests/standins/engine/prefix_cache.hpp
+++ b/tests/standins/engine/prefix_cache.hpp
@@ -15,14 +15,14 @@
 
 struct cache_event {
     std::uint64_t offset = 0;
-    bool stored = false; ///< else removed
+    bool stored = false; ///< false: removed
     std::uint64_t block = 0;
     std::chrono::steady_clock::time_point time;
 };
 
 /**
- * Which blocks of prompts are held, the least recently used going first. Its
- * events are told late, and some never.
+ * The set of cached prompt blocks, with least-recently-used eviction. Its
+ * events are reported after a lag, and every `gap`th one is lost.
  */
 class prefix_cache
 {
@@ -30,10 +30,10 @@
     prefix_cache(std::uint64_t max_blocks, std::chrono::milliseconds lag,
                  std::uint64_t gap);
 
-    /** How many tokens of the prompt are held already; holds all after. */
+    /** Returns the number of cached prefix tokens; caches the whole prompt. */
     std::uint64_t take(const std::string& prompt);
 
-    /** Events from `from` on that are old enough to be told. */
+    /** Returns the events from offset `from` that are older than the lag. */
     std::vector<cache_event> events(std::uint64_t from) const;
 
 private:
@@ -50,7 +50,7 @@
     std::deque<cache_event> events_;
 };
 
-/** Roughly four characters make a token. */
+/** Estimates the token count at four bytes per token. */
 inline std::uint64_t count_tokens(const std::string& text)
 {
     constexpr std::uint64_t token_bytes = 4;
--- a/tests/standins/history.hpp
+++ b/tests/standins/history.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun::stand_in
 {
 
-/** What a stand-in did, as JSON lines, for tests to check. */
+/** Events of a stand-in, recorded as JSON lines for tests to check. */
 class history
 {
 public:
--- a/tests/standins/platform/listed_vms.hpp
+++ b/tests/standins/platform/listed_vms.hpp
@@ -13,7 +13,7 @@
 namespace cyclamenrun::stand_in
 {
 
-/** The list of VMs; readers see each change only after the lag. */
+/** The platform's list of VMs. Readers see each change after a lag. */
 class listed_vms
 {
 public:
@@ -21,7 +21,7 @@
 
     void put(vm entry);
     void remove(const std::string& id);
-    /** Waits up to `wait` for a revision above `after`. */
+    /** Waits up to `wait` for a revision above `after`; returns the list. */
     vm_list read(std::uint64_t after, std::chrono::milliseconds wait);
     void stop();
 
@@ -38,7 +38,7 @@
     const std::chrono::milliseconds lag_;
     std::mutex lock_;
     std::condition_variable changed_;
-    std::deque<version> versions_; ///< the first is what readers see
+    std::deque<version> versions_; ///< readers see the first
     bool stopping_ = false;
 };
 
--- a/tests/standins/platform/main.cpp
+++ b/tests/standins/platform/main.cpp
@@ -6,19 +6,20 @@
     platform_options options;
     std::string listen = "127.0.0.1:0";
     CLI::App app("Stand-in for the platform: logs, list of VMs, weights");
-    app.add_option("--listen", listen, "IP:PORT, port 0 for any");
+    app.add_option("--listen", listen,
+                   "IP:PORT to listen on; port 0 picks a free one");
     app.add_option("--appends-per-second", options.appends_per_second,
-                   "of all logs together");
+                   "append rate limit over all logs");
     app.add_option("--retain-records", options.retain_records,
-                   "kept of each log");
+                   "number of records kept per log");
     app.add_option("--max-record-bytes", options.max_record_bytes,
-                   "larger ones are refused");
+                   "larger records are refused with 413");
     app.add_option("--list-lag-ms", options.list_lag_ms,
-                   "age at which a change of a VM shows");
+                   "delay until a change of the VM list is visible");
     app.add_option("--weights-per-second", options.weights_per_second,
-                   "of all weights together");
+                   "download rate limit over all weights");
     app.add_option("--weight-bytes", options.weight_bytes,
-                   "size of each weight");
+                   "size of each weight in bytes");
     CLI11_PARSE(app, argc, argv);
     server http;
     platform_api api(options);
--- a/tests/standins/platform/platform_api.cpp
+++ b/tests/standins/platform/platform_api.cpp
@@ -155,7 +155,7 @@
     const auto max = std::clamp<std::uint64_t>(query_number(request, "max"), 1,
                                                max_page_records);
     const auto page = log_named(name).read(from, max, wait_of(request));
-    // An outage that began during the wait ends the wait without records.
+    // An outage that began during the wait fails the read.
     if (faults().log_out)
         return answer(response, 503, R"({"error":"out"})");
     if (from < page.first_retained)
@@ -207,7 +207,7 @@
            "application/octet-stream");
 }
 
-/** A member that is absent leaves its fault as it is. */
+/** Updates the faults that the body has; others stay as they are. */
 void platform_api::set_fault(server_request& request, server_response& response)
 {
     const auto body = parse_json_object(body_of(request));
--- a/tests/standins/platform/platform_api.hpp
+++ b/tests/standins/platform/platform_api.hpp
@@ -26,17 +26,17 @@
     std::uint64_t weight_bytes = 1024;
 };
 
-/** The numbers count down with each append that they meet. */
+/** Injected faults. Each affected append decrements the append counts. */
 struct platform_faults {
     bool log_out = false;
     bool list_out = false;
     bool weights_out = false;
-    std::uint64_t slow_ms = 0; ///< added to each call to the log
+    std::uint64_t slow_ms = 0; ///< delay added to each log request
     std::uint64_t lose_append_answers = 0;
     std::uint64_t duplicate_appends = 0;
 };
 
-/** The platform's HTTP side: logs, list of VMs, weights. */
+/** The HTTP API of the stand-in platform: logs, list of VMs, weights. */
 class platform_api
 {
 public:
--- a/tests/standins/platform/rate_limit.hpp
+++ b/tests/standins/platform/rate_limit.hpp
@@ -8,7 +8,7 @@
 namespace cyclamenrun::stand_in
 {
 
-/** A bucket that holds one second's worth. */
+/** A token bucket with a capacity of one second's rate. */
 class rate_limit
 {
 public:
--- a/tests/standins/platform/stored_log.hpp
+++ b/tests/standins/platform/stored_log.hpp
@@ -24,17 +24,17 @@
     std::vector<stored_record> records;
 };
 
-/** One append-only log that keeps its newest records. */
+/** An append-only log that retains only its newest records. */
 class stored_log
 {
 public:
     explicit stored_log(std::uint64_t retain) : retain_(retain) {}
 
     std::uint64_t append(std::string data);
-    /** Waits up to `wait` for a record at `from`. */
+    /** Returns the records from `from` on; waits up to `wait` for the first. */
     stored_page read(std::uint64_t from, std::uint64_t max,
                      std::chrono::milliseconds wait);
-    /** Drops all but the newest `count`, as time would. */
+    /** Drops all but the newest `count` records, as retention does. */
     void retain(std::uint64_t count);
     void stop();
 
--- a/tests/standins/runner/main.cpp
+++ b/tests/standins/runner/main.cpp
@@ -6,8 +6,9 @@
     std::string listen = "127.0.0.1:0";
     std::uint64_t delay_ms = 5;
     CLI::App app("Stand-in for an application runner");
-    app.add_option("--listen", listen, "IP:PORT, port 0 for any");
-    app.add_option("--delay-ms", delay_ms, "time that a call takes");
+    app.add_option("--listen", listen,
+                   "IP:PORT to listen on; port 0 picks a free one");
+    app.add_option("--delay-ms", delay_ms, "duration of a call in ms");
     CLI11_PARSE(app, argc, argv);
     server http;
     runner_api api{std::chrono::milliseconds(delay_ms)};
--- a/tests/standins/runner/runner_api.cpp
+++ b/tests/standins/runner/runner_api.cpp
@@ -5,7 +5,7 @@
 namespace
 {
 
-/** From the body, or else from the header. */
+/** Returns the request id of the body, or else of the header. */
 std::string request_id_of(const server_request& request,
                           const std::string& body)
 {
--- a/tests/standins/runner/runner_api.hpp
+++ b/tests/standins/runner/runner_api.hpp
@@ -13,16 +13,17 @@
 namespace cyclamenrun::stand_in
 {
 
-/** What goes wrong with the next calls. */
+/** Faults to inject into the next calls. */
 struct runner_faults {
-    std::uint64_t lose_answers = 0; ///< so many are closed unanswered
-    std::uint64_t late_ms = 0;      ///< on top of the delay
-    std::uint64_t error_status = 0; ///< 0: none
+    std::uint64_t lose_answers = 0; ///< calls to close unanswered
+    std::uint64_t late_ms = 0;      ///< added to the usual delay
+    std::uint64_t error_status = 0; ///< 0: off
 };
 
 /**
- * Takes effect at once, then waits and answers: its history has a `run` for
- * each effect and an `answered` for each answer sent.
+ * The HTTP API of a stand-in application runner. A call takes effect at once;
+ * its answer follows after the delay. The history has a `run` event for each
+ * effect and an `answered` event for each answer sent.
  */
 class runner_api
 {
--- a/tests/standins/stand_in_server.hpp
+++ b/tests/standins/stand_in_server.hpp
@@ -33,7 +33,7 @@
 using handle_function =
     std::function<void(server_request& request, server_response& response)>;
 
-/** Gives a request to a function; whatever it throws ends the connection. */
+/** Passes a request to a function; an exception closes the connection. */
 class function_handler : public Poco::Net::HTTPRequestHandler
 {
 public:
@@ -73,11 +73,17 @@
     handle_function handle_;
 };
 
-/** Serves until SIGTERM; `stop` then wakes whoever waits in a handler. */
+/**
+ * Serves HTTP until SIGTERM or SIGINT, then calls `stop`, which must end all
+ * waits in handlers.
+ */
 class server
 {
 public:
-    /** Before the first thread, so that none takes the signal. */
+    /**
+     * Blocks the stop signals. Must run before the first thread starts: every
+     * thread inherits the mask, so only sigwait() receives them.
+     */
     server()
     {
         sigemptyset(&signals_);
@@ -143,7 +149,7 @@
     return number;
 }
 
-/** A parameter of the query, or 0. */
+/** A number from the query string; 0 if it is absent. */
 inline std::uint64_t query_number(const server_request& request,
                                   const std::string& name)
 {
@@ -160,7 +166,7 @@
     return Poco::URI(request.getURI()).getPath();
 }
 
-/** True once the caller has closed its side. */
+/** Returns true once the caller has closed its side. */
 inline bool caller_gone(server_request& request)
 {
     auto& socket =
@@ -169,7 +175,7 @@
            socket.available() == 0;
 }
 
-/** Ends the connection without an answer. */
+/** Closes the connection without an answer. */
 inline void close_unanswered(server_request& request)
 {
     static_cast<Poco::Net::HTTPServerRequestImpl&>(request).socket().shutdown();
--- a/tests/standins/token_text.hpp
+++ b/tests/standins/token_text.hpp
@@ -11,9 +11,9 @@
 {
 
 /**
- * The token that the stand-in engine makes at `index`, from 0. It depends on
- * the prompt alone, so that a test can tell a whole answer of its own from a
- * cut one, from another's and from a mixture.
+ * Returns the token that the stand-in engine generates at `index`, from 0. It
+ * depends only on the prompt and the index, so a test can tell its complete
+ * answer from a truncated one, another prompt's, or a mixture of both.
  */
 inline std::string token_text(std::string_view prompt, std::uint64_t index)
 {
@@ -21,7 +21,7 @@
     return " w" + std::to_string(hash64(prompt, index) % words);
 }
 
-/** The first `count` tokens. */
+/** Returns the first `count` tokens of the answer. */
 inline std::string answer_text(std::string_view prompt, std::uint64_t count)
 {
     std::string text;
--- a/tests/support/caller_stream.hpp
+++ b/tests/support/caller_stream.hpp
@@ -16,7 +16,7 @@
 namespace cyclamenrun::testing_support
 {
 
-/** How a stream stands, as its caller sees it. */
+/** State of a stream as its caller sees it. */
 enum class stream_end_kind : std::uint8_t { open, whole, refused, lost };
 
 struct told_refusal {
@@ -24,7 +24,7 @@
     std::string reason;
 };
 
-/** What an error body of an entry says; empty if it is none. */
+/** Parses an entry's error body; empty if `body` is not an error. */
 inline std::optional<told_refusal> read_refusal(const std::string& body)
 {
     const auto document = parse_json_object(body);
@@ -36,7 +36,7 @@
                         json_string(*error, "reason").value_or("")};
 }
 
-/** A caller that reads a generation's events at its own pace. */
+/** A caller that reads a generation's events when the test asks for them. */
 class caller_stream
 {
 public:
@@ -54,7 +54,7 @@
             take_body();
     }
 
-    /** Reads until there are so many tokens, or the end. */
+    /** Reads until `count` tokens have arrived or the stream ends. */
     void read_tokens(std::size_t count)
     {
         while (positions_.size() < count && end_ == stream_end_kind::open)
@@ -67,7 +67,7 @@
             read_more();
     }
 
-    /** Closes the connection without reading on. */
+    /** Closes the connection without reading the rest. */
     void hang_up()
     {
         exchange_.reset();
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -20,8 +20,8 @@
 {
 
 /**
- * One of our programs, run by a test. It is killed and reaped with this
- * object, and dies with the test should that be killed.
+ * One of the project's programs, run by a test. The destructor kills and reaps
+ * the process; the kernel kills it if the test itself is killed.
  */
 class child_process
 {
@@ -63,7 +63,7 @@
             ::kill(pid_, number);
     }
 
-    /** Waits for the end; the exit code, or minus the signal. */
+    /** Waits for the exit. Returns the exit code, or minus the signal. */
     int wait()
     {
         int status = 0;
@@ -72,7 +72,7 @@
         return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
     }
 
-    /** The next whole line of output; empty at its end or after `limit`. */
+    /** Next complete output line; empty at the end or after `limit`. */
     std::optional<std::string> read_line(std::chrono::milliseconds limit)
     {
         const auto deadline = std::chrono::steady_clock::now() + limit;
@@ -88,23 +88,23 @@
         }
     }
 
-    /** All that the program has written to its standard output: its log. */
+    /** The program's standard output so far, which is its log. */
     std::string output() const { return read_all(output_); }
 
-    /** Address of the listener of that name, from the log. */
+    /** Waits for the listener's log event. Returns its address. */
     std::string wait_for_listener(const std::string& name)
     {
         return wait_for_address(R"("event":"listener_opened","name":")" + name +
                                 "\"");
     }
 
-    /** Where the program serves those whom it is for, from the log. */
+    /** Waits for the program's ready event. Returns its serving address. */
     std::string wait_until_ready()
     {
         return wait_for_address(R"("event":"process_ready")");
     }
 
-    /** What follows `word` and a space at the start of a line. */
+    /** Waits for a line that starts with `word`. Returns the rest of it. */
     std::string wait_for_line(const std::string& word)
     {
         constexpr std::chrono::milliseconds limit(20000);
@@ -115,7 +115,7 @@
         throw std::runtime_error("no line \"" + word + "\": " + errors());
     }
 
-    /** All that the program has written to its standard error. */
+    /** The program's standard error so far. */
     std::string errors() const { return read_all(errors_); }
 
 private:
@@ -174,7 +174,7 @@
         ::_exit(127);
     }
 
-    /** False at the end of the program's output, or after the deadline. */
+    /** Returns false at the end of the output or after the deadline. */
     bool read_more(std::chrono::steady_clock::time_point deadline)
     {
         for (;;) {
@@ -198,7 +198,7 @@
     pid_t pid_ = -1;
     std::FILE* output_ = nullptr;
     std::FILE* errors_ = nullptr;
-    std::string pending_; ///< output that was read and is no whole line
+    std::string pending_; ///< incomplete last line of the output read
     ::off_t read_bytes_ = 0;
 };
 
--- a/tests/support/scripted_server.hpp
+++ b/tests/support/scripted_server.hpp
@@ -15,7 +15,7 @@
 namespace cyclamenrun::testing_support
 {
 
-/** Gives each connection, one after the other, to a script. */
+/** A TCP server that runs a script on each connection, one at a time. */
 class scripted_server
 {
 public:
@@ -28,7 +28,7 @@
     {
     }
 
-    /** Answers each request with what set_reply() was given last. */
+    /** Answers each request with the latest reply from set_reply(). */
     scripted_server()
         : scripted_server([this](Poco::Net::StreamSocket& connection) {
               reply(current_reply())(connection);
@@ -38,7 +38,7 @@
 
     ~scripted_server()
     {
-        // Wakes the accept.
+        // A connection ends the blocking accept.
         stopping_ = true;
         Poco::Net::StreamSocket(socket_.address()).close();
         thread_.join();
@@ -56,8 +56,8 @@
     }
 
     /**
-     * Sends `answer` and no more. Reads on until the peer closes, since a
-     * close before the whole request was read could lose the answer.
+     * Sends only `answer`, then reads until the peer closes. Closing with
+     * unread request bytes resets the connection and can lose the answer.
      */
     static script reply(const std::string& answer)
     {
@@ -89,7 +89,7 @@
         connection.sendBytes(bytes.data(), static_cast<int>(bytes.size()));
     }
 
-    /** Returns once the peer has closed. */
+    /** Discards input until the peer closes the connection. */
     static void wait_for_close(Poco::Net::StreamSocket& connection)
     {
         std::array<char, 4096> piece{};
@@ -113,7 +113,7 @@
                 if (!stopping_)
                     play_(connection);
             } catch (const Poco::Exception&) {
-                continue; // the caller closed first
+                continue; // the client closed the connection
             }
         }
     }
--- a/tests/support/stand_in_process.hpp
+++ b/tests/support/stand_in_process.hpp
@@ -16,7 +16,7 @@
 
 constexpr milliseconds test_limit(20000);
 
-/** One exchange with a process under test, which must answer. */
+/** Sends one request to a process under test; throws without an answer. */
 inline http_answer ask(const std::string& address, const std::string& method,
                        const std::string& path, const std::string& body = {})
 {
@@ -32,7 +32,7 @@
     return std::move(*answer);
 }
 
-/** A stand-in as a process of its own. */
+/** A stand-in for an external component, run as its own process. */
 class stand_in_process
 {
 public:
@@ -50,7 +50,7 @@
         ask(address_, "POST", "/stand-in/fault", json);
     }
 
-    /** Its events of this kind, in order. */
+    /** The recorded events of this kind, in order. */
     std::vector<Poco::JSON::Object::Ptr> history(const std::string& kind) const
     {
         std::istringstream text(ask(address_, "GET", "/stand-in/history").body);
@@ -63,7 +63,7 @@
         return events;
     }
 
-    /** Waits until there are so many events of a kind. */
+    /** Waits for `count` events of this kind; throws after the limit. */
     std::vector<Poco::JSON::Object::Ptr>
     wait_for_history(const std::string& kind, std::size_t count) const
     {
--- a/tests/support/tcp_relay.hpp
+++ b/tests/support/tcp_relay.hpp
@@ -18,7 +18,7 @@
 
 enum class way : std::size_t { to_target, to_caller };
 
-/** A link that a test can cut, stall one way, and heal. */
+/** A TCP link that a test can cut, stall in one direction, and restore. */
 class tcp_relay
 {
 public:
@@ -36,7 +36,7 @@
             const std::lock_guard guard(lock_);
             stopping_ = true;
         }
-        // Wakes the accept.
+        // A connection ends the blocking accept.
         Poco::Net::StreamSocket(socket_.address()).close();
         acceptor_.join();
         for (auto& thread : pumps_)
@@ -47,17 +47,17 @@
     tcp_relay& operator=(const tcp_relay&) = delete;
 
     std::string address() const { return socket_.address().toString(); }
-    /** Pieces that callers have sent: one a call, or more. */
+    /** Number of reads from callers; one call takes one or more. */
     std::size_t carried() const { return carried_; }
 
-    /** For new connections, after the target has come back elsewhere. */
+    /** Sets the target of new connections, for a restarted process. */
     void lead_to(const std::string& target)
     {
         const std::lock_guard guard(lock_);
         target_ = target;
     }
 
-    /** Ends all connections, and each new one at once, until healed. */
+    /** Closes all connections and rejects new ones until heal(). */
     void cut()
     {
         const std::lock_guard guard(lock_);
@@ -67,7 +67,7 @@
         changed_.notify_all();
     }
 
-    /** Holds what goes this way back until healed; nothing is lost. */
+    /** Holds data in this direction back until heal(); none is lost. */
     void stall(way direction)
     {
         const std::lock_guard guard(lock_);
@@ -100,7 +100,7 @@
             try {
                 socket.shutdown();
             } catch (const Poco::Exception&) {
-                return; // the peer was first
+                return; // the peer has closed the connection
             }
         }
     };
@@ -124,7 +124,7 @@
                 (Poco::Net::SocketAddress(target_)));
             connections_.push_back({caller, target});
         } catch (const Poco::Exception&) {
-            return; // nobody there: the caller's connection ends
+            return; // the target does not listen: the caller is disconnected
         }
         auto& opened = connections_.back();
         pumps_.emplace_back([this, &opened] {
