--- a/tests/processes/deployment.cpp
+++ b/tests/processes/deployment.cpp
@@ -106,7 +106,7 @@
         "cyclamenrun-agent", std::vector<std::string>{"--settings", settings});
     const auto address = upstream.agent->wait_until_ready();
     if (upstream.agent_link)
-        upstream.agent_link->lead_to(address);
+        upstream.agent_link->set_target(address);
     else
         upstream.agent_link = std::make_unique<tcp_relay>(address);
 }
@@ -122,7 +122,7 @@
     const bool model = upstream.service == model_service;
     upstream.back_end = std::make_unique<stand_in_process>(
         model ? "engine" : "runner", std::move(options));
-    upstream.back_end_link->lead_to(upstream.back_end->address());
+    upstream.back_end_link->set_target(upstream.back_end->address());
 }
 
 entry_processes& deployment::add_entry(const std::string& name)
@@ -164,7 +164,7 @@
     if (!wait_until([&] { return is_ready(first); }))
         throw std::runtime_error(first.name + " has read no configuration: " +
                                  first.process->output());
-    if (const int status = operate({"apply", "--wait", resources}))
+    if (const int status = run_ctl({"apply", "--wait", resources}))
         throw std::runtime_error("apply ended with " + std::to_string(status));
     for (const auto& entry : entries_) {
         const bool ready = wait_until([&] {
@@ -186,7 +186,7 @@
     return ask(entry.address, "GET", "/readyz").head.status == 200;
 }
 
-int deployment::operate(const std::vector<std::string>& command) const
+int deployment::run_ctl(const std::vector<std::string>& command) const
 {
     auto options = command;
     options.insert(options.begin(), {"--entry", entries_.front()->operators});
--- a/tests/processes/deployment.hpp
+++ b/tests/processes/deployment.hpp
@@ -73,7 +73,7 @@
     static bool is_ready(const entry_processes& entry);
 
     /** Runs `cyclamenrunctl` with `command`. Returns its exit status. */
-    int operate(const std::vector<std::string>& command) const;
+    int run_ctl(const std::vector<std::string>& command) const;
     /** Returns the state of an upstream as this entry sees it. */
     std::string state_at(const entry_processes& entry,
                          const std::string& upstream) const;
--- a/tests/processes/test_calls.cpp
+++ b/tests/processes/test_calls.cpp
@@ -34,7 +34,7 @@
     "stall_to_entry", "cut_runner_link", "kill_entry"};
 
 /** True if the fault loses the answer; else its path heals. */
-bool is_final(fault what)
+bool loses_answer(fault what)
 {
     return what == fault::kill_runner || what == fault::lose_answer ||
            what == fault::kill_agent || what == fault::cut_runner_link;
@@ -79,7 +79,7 @@
     /** Ends a transient fault once the entry has closed its link. */
     void undo(upstream_processes& upstream)
     {
-        if (is_final(GetParam()) || GetParam() == fault::kill_entry)
+        if (loses_answer(GetParam()) || GetParam() == fault::kill_entry)
             return;
         EXPECT_TRUE(wait_until([this] {
             return system.entry(0).process->output().find("link_closed") !=
@@ -92,17 +92,17 @@
     /** Counts the runs on both runners; a killed runner counts as one run. */
     std::size_t runs() const
     {
-        std::size_t count = died ? 1 : 0;
+        std::size_t count = killed_upstream ? 1 : 0;
         for (const std::size_t at : {0, 1}) {
             const auto& upstream = system.upstream(at);
-            if (&upstream != died)
+            if (&upstream != killed_upstream)
                 count += upstream.back_end->history("run").size();
         }
         return count;
     }
 
     mutable deployment system;
-    const upstream_processes* died = nullptr;
+    const upstream_processes* killed_upstream = nullptr;
 };
 
 // Guards against a call that runs twice when its caller retries it. A fault
@@ -119,22 +119,22 @@
     auto first = std::async(std::launch::async, [&] {
         return system.call(system.entry(0), ticket);
     });
-    auto& struck = system.wait_for_event("run");
+    auto& faulted = system.wait_for_event("run");
     if (GetParam() == fault::kill_runner)
-        died = &struck;
-    inject(struck);
+        killed_upstream = &faulted;
+    inject(faulted);
     auto second = std::async(std::launch::async, [&] {
         return system.call(system.entry(1), ticket);
     });
-    undo(struck);
+    undo(faulted);
     const auto again = second.get();
     const auto original = first.get();
 
     ASSERT_TRUE(again);
-    if (is_final(GetParam())) {
-        const auto told = read_refusal(again->body);
-        ASSERT_TRUE(told) << again->body;
-        EXPECT_EQ(told->kind, "outcome_unknown");
+    if (loses_answer(GetParam())) {
+        const auto reported = read_refusal(again->body);
+        ASSERT_TRUE(reported) << again->body;
+        EXPECT_EQ(reported->kind, "outcome_unknown");
     } else {
         EXPECT_EQ(again->head.status, 200) << again->body;
     }
@@ -154,14 +154,14 @@
             system.upstream(at).back_end->set_fault(R"({"lose_answers":1})");
     auto first = std::async(std::launch::async,
                             [&] { return system.call(system.entry(0), ""); });
-    auto& struck = system.wait_for_event("run");
+    auto& faulted = system.wait_for_event("run");
     if (GetParam() == fault::kill_runner)
-        died = &struck;
-    inject(struck);
-    undo(struck);
+        killed_upstream = &faulted;
+    inject(faulted);
+    undo(faulted);
     const auto answer = first.get();
     ASSERT_EQ(answer.has_value(), GetParam() != fault::kill_entry);
-    if (answer && is_final(GetParam())) {
+    if (answer && loses_answer(GetParam())) {
         EXPECT_EQ(read_refusal(answer->body)->kind, "outcome_unknown");
     } else if (answer) {
         EXPECT_EQ(answer->head.status, 200) << answer->body;
@@ -220,15 +220,15 @@
     upstream.agent_link->stall(way::to_target);
     const auto answer = system.call(system.entry(0), "", milliseconds(1000));
     ASSERT_TRUE(answer);
-    const auto told = read_refusal(answer->body);
-    ASSERT_TRUE(told) << answer->body;
+    const auto reported = read_refusal(answer->body);
+    ASSERT_TRUE(reported) << answer->body;
     upstream.agent_link->heal();
     // The link keeps the order: once this call ran, the late one has arrived.
     const auto next = system.call(system.entry(0), "");
     ASSERT_TRUE(next);
     EXPECT_EQ(next->head.status, 200) << next->body;
     const std::size_t late_runs = system.count_events("run") - 1;
-    EXPECT_EQ(told->kind, "outcome_unknown");
+    EXPECT_EQ(reported->kind, "outcome_unknown");
     EXPECT_LE(late_runs, 1);
 }
 
@@ -241,7 +241,7 @@
     upstream.agent->signal(SIGKILL);
     upstream.agent->wait();
     system.restart_agent(upstream);
-    const auto told = [&] {
+    const auto resend = [&] {
         return read_refusal(system.call(system.entry(0), ticket)->body);
     };
     ASSERT_TRUE(wait_until([&] {
@@ -249,7 +249,7 @@
         return next && next->head.status == 200;
     }));
     const auto runs = system.count_events("run");
-    const auto refusal = told();
+    const auto refusal = resend();
     ASSERT_TRUE(refusal);
     EXPECT_EQ(refusal->kind, "outcome_unknown");
     EXPECT_EQ(system.count_events("run"), runs);
--- a/tests/processes/test_deployment.cpp
+++ b/tests/processes/test_deployment.cpp
@@ -32,7 +32,7 @@
 
     auto stream = system.generate(entry, "first section", 4);
     stream.read_all();
-    EXPECT_EQ(stream.end(), stream_end_kind::whole);
+    EXPECT_EQ(stream.end(), stream_end_kind::complete);
 }
 
 } // namespace
--- a/tests/processes/test_generation_faults.cpp
+++ b/tests/processes/test_generation_faults.cpp
@@ -91,9 +91,9 @@
                   .substr(stand_in::answer_text(prompt, first).size()));
 }
 
-void expect_whole(const caller_stream& stream)
+void expect_complete(const caller_stream& stream)
 {
-    EXPECT_EQ(stream.end(), stream_end_kind::whole)
+    EXPECT_EQ(stream.end(), stream_end_kind::complete)
         << stream.status() << ' ' << stream.refusal().kind << ' '
         << stream.refusal().reason;
     EXPECT_EQ(stream.positions().size(), length);
@@ -130,14 +130,14 @@
             system.generate(system.entry(0), prompt, length));
         stream->read_all();
     });
-    auto& struck = system.wait_for_event("start");
-    auto& other = system.upstream(&struck == &system.upstream(0) ? 1 : 0);
+    auto& faulted = system.wait_for_event("start");
+    auto& other = system.upstream(&faulted == &system.upstream(0) ? 1 : 0);
     other.back_end->set_fault(R"({"stall_ms":0})");
-    inject(GetParam(), struck);
+    inject(GetParam(), faulted);
     caller.join();
-    expect_whole(*stream);
+    expect_complete(*stream);
     EXPECT_EQ(other.back_end->history("end").size(), 1);
-    undo(GetParam(), struck);
+    undo(GetParam(), faulted);
 }
 
 // The upstream of a stream fails permanently after some tokens. Another
@@ -149,9 +149,9 @@
     start("20");
     auto stream = system.generate(system.entry(0), prompt, length);
     stream.read_tokens(seen_tokens);
-    auto& struck = system.wait_for_event("first_token");
-    auto& other = system.upstream(&struck == &system.upstream(0) ? 1 : 0);
-    inject(GetParam(), struck);
+    auto& faulted = system.wait_for_event("first_token");
+    auto& other = system.upstream(&faulted == &system.upstream(0) ? 1 : 0);
+    inject(GetParam(), faulted);
     const auto limit = steady_now() + engine_loss_limit;
     stream.read_all();
     if (GetParam() == fault::freeze_engine) {
@@ -159,7 +159,7 @@
     }
     if (GetParam() == fault::stall_to_engine) {
         // Tokens travel in the other direction, which is not stalled.
-        expect_whole(stream);
+        expect_complete(stream);
     } else {
         EXPECT_EQ(stream.end(), stream_end_kind::refused);
         EXPECT_EQ(stream.refusal().kind, "failed");
@@ -167,7 +167,7 @@
         expect_in_order(stream);
     }
     EXPECT_TRUE(other.back_end->history("start").empty());
-    undo(GetParam(), struck);
+    undo(GetParam(), faulted);
 }
 
 INSTANTIATE_TEST_SUITE_P(
@@ -181,7 +181,7 @@
         return fault_names.at(static_cast<std::size_t>(tested.param));
     });
 
-class passing_faults : public generation_faults
+class transient_faults : public generation_faults
 {
 protected:
     /** True once the entry has closed its link to an agent. */
@@ -195,40 +195,40 @@
 // A link between failure domains is cut or stalls in mid-stream, or the agent
 // is frozen, until the entry closes the connection. After the fault the stream
 // must resume with the next token.
-TEST_P(passing_faults, mid_stream_lose_no_token)
+TEST_P(transient_faults, mid_stream_lose_no_token)
 {
     start("20");
     auto stream = system.generate(system.entry(0), prompt, length);
     stream.read_tokens(seen_tokens);
-    auto& struck = system.wait_for_event("first_token");
-    inject(GetParam(), struck);
+    auto& faulted = system.wait_for_event("first_token");
+    inject(GetParam(), faulted);
     EXPECT_TRUE(wait_until([this] { return link_closed(); }));
-    undo(GetParam(), struck);
+    undo(GetParam(), faulted);
     stream.read_all();
-    expect_whole(stream);
+    expect_complete(stream);
     EXPECT_EQ(system.count_events("start"), 1);
 }
 
 // The generation is complete, but the link fails before the caller has received
 // the end. The caller must still get it, from the same run.
-TEST_P(passing_faults, after_the_last_token_lose_no_token)
+TEST_P(transient_faults, after_the_last_token_lose_no_token)
 {
     start("5");
     auto stream = system.generate(system.entry(0), prompt, length);
     stream.read_tokens(seen_tokens);
-    auto& struck = system.wait_for_event("first_token");
-    inject(GetParam(), struck);
+    auto& faulted = system.wait_for_event("first_token");
+    inject(GetParam(), faulted);
     if (GetParam() != fault::freeze_agent)
-        struck.back_end->wait_for_history("end", 1);
+        faulted.back_end->wait_for_history("end", 1);
     EXPECT_TRUE(wait_until([this] { return link_closed(); }));
-    undo(GetParam(), struck);
+    undo(GetParam(), faulted);
     stream.read_all();
-    expect_whole(stream);
+    expect_complete(stream);
     EXPECT_EQ(system.count_events("start"), 1);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    each, passing_faults,
+    each, transient_faults,
     ::testing::Values(fault::freeze_agent, fault::cut_agent_link,
                       fault::stall_to_agent, fault::stall_to_entry),
     [](const auto& tested) {
--- a/tests/processes/test_orders.cpp
+++ b/tests/processes/test_orders.cpp
@@ -30,7 +30,7 @@
     std::ofstream(file.path())
         << "[[assignment]]\nname = \"drafts\"\nservice = \"redactor\"\n"
            "model = \"dossier-8b\"\n";
-    ASSERT_EQ(system.operate({"apply", "--wait", file.path()}), 0);
+    ASSERT_EQ(system.run_ctl({"apply", "--wait", file.path()}), 0);
     EXPECT_TRUE(wait_until([&] { return system.count_events("order") == 2; }));
 
     auto& upstream = system.upstream(0);
--- a/tests/processes/test_path.cpp
+++ b/tests/processes/test_path.cpp
@@ -21,7 +21,7 @@
 
     auto dossier = system.generate(entry, "section one", 300);
     dossier.read_all();
-    EXPECT_EQ(dossier.end(), stream_end_kind::whole);
+    EXPECT_EQ(dossier.end(), stream_end_kind::complete);
     EXPECT_EQ(dossier.text(), stand_in::answer_text("section one", 300));
 
     const auto ticket = system.ticket(entry);
--- a/tests/processes/test_poison.cpp
+++ b/tests/processes/test_poison.cpp
@@ -43,7 +43,7 @@
     EXPECT_EQ(live, 1U);
     auto healthy = system.generate(system.entry(1), "healthy", 4);
     healthy.read_all();
-    EXPECT_EQ(healthy.end(), stream_end_kind::whole);
+    EXPECT_EQ(healthy.end(), stream_end_kind::complete);
 }
 
 } // namespace
--- a/tests/processes/test_stops.cpp
+++ b/tests/processes/test_stops.cpp
@@ -43,7 +43,7 @@
     static void expect_continued(const caller_stream& before,
                                  const caller_stream& rest)
     {
-        ASSERT_EQ(rest.end(), stream_end_kind::whole)
+        ASSERT_EQ(rest.end(), stream_end_kind::complete)
             << rest.status() << ' ' << rest.refusal().reason;
         EXPECT_EQ(before.text() + rest.text(),
                   stand_in::answer_text(prompt, length));
@@ -52,10 +52,10 @@
                   before.positions().front().generation);
     }
 
-    void expect_whole(caller_stream& stream)
+    void expect_complete(caller_stream& stream)
     {
         stream.read_all();
-        EXPECT_EQ(stream.end(), stream_end_kind::whole)
+        EXPECT_EQ(stream.end(), stream_end_kind::complete)
             << stream.refusal().reason;
         EXPECT_EQ(stream.text(), stand_in::answer_text(prompt, length));
     }
@@ -77,7 +77,7 @@
         return system.entry(0).process->output().find("drain_started") !=
                std::string::npos;
     }));
-    expect_whole(stream);
+    expect_complete(stream);
     EXPECT_EQ(lookup.get()->head.status, 200);
     EXPECT_EQ(system.entry(0).process->wait(), 0)
         << system.entry(0).process->output();
@@ -97,10 +97,10 @@
     }));
     for (int count = 0; count < 5; ++count) {
         auto next = system.generate(system.entry(1), prompt, length);
-        expect_whole(next);
+        expect_complete(next);
     }
     EXPECT_EQ(stopped.back_end->history("start").size(), 1);
-    expect_whole(stream);
+    expect_complete(stream);
     EXPECT_EQ(stopped.agent->wait(), 0) << stopped.agent->output();
 }
 
@@ -125,7 +125,7 @@
     start();
     auto stream = begin();
     auto& drained = system.wait_for_event("first_token");
-    ASSERT_EQ(system.operate({"drain", drained.name}), 0);
+    ASSERT_EQ(system.run_ctl({"drain", drained.name}), 0);
     const auto limit = steady_now() + milliseconds(3000);
     EXPECT_TRUE(wait_until([&] {
         return system.state_at(system.entry(0), drained.name) != "live" &&
@@ -134,10 +134,10 @@
     EXPECT_LT(steady_now(), limit);
     for (const std::size_t entry : {0, 1, 0, 1}) {
         auto next = system.generate(system.entry(entry), prompt, length);
-        expect_whole(next);
+        expect_complete(next);
     }
     EXPECT_EQ(drained.back_end->history("start").size(), 1);
-    expect_whole(stream);
+    expect_complete(stream);
 }
 
 // The platform's list marks the VM of an upstream as leaving. Within 3 s it
@@ -156,10 +156,10 @@
     EXPECT_LT(steady_now(), limit);
     for (int count = 0; count < 4; ++count) {
         auto next = system.generate(system.entry(0), prompt, length);
-        expect_whole(next);
+        expect_complete(next);
     }
     EXPECT_EQ(leaving.back_end->history("start").size(), 1);
-    expect_whole(stream);
+    expect_complete(stream);
 }
 
 // An entry is killed during a stream. Its caller must be able to resume through
@@ -184,7 +184,7 @@
     start();
     auto stream = begin();
     system.entry(0).process->signal(SIGSTOP);
-    stream.hang_up();
+    stream.disconnect();
     auto rest = system.resume(system.entry(1), stream.last_event_id());
     rest.read_tokens(seen_tokens);
     system.entry(0).process->signal(SIGCONT);
@@ -199,7 +199,7 @@
 {
     start("2");
     auto stream = begin();
-    stream.hang_up();
+    stream.disconnect();
     system.wait_for_event("end");
     auto rest = system.resume(system.entry(1), stream.last_event_id());
     rest.read_all();
@@ -220,7 +220,7 @@
     auto early = system.resume(system.entry(1), to_string(ahead));
     EXPECT_EQ(early.end(), stream_end_kind::refused);
     EXPECT_EQ(early.refusal().reason, "resume_out_of_range");
-    expect_whole(stream);
+    expect_complete(stream);
 }
 
 // A caller that disconnects and does not resume must not keep an engine busy.
@@ -228,7 +228,7 @@
 {
     start("100");
     auto stream = begin();
-    stream.hang_up();
+    stream.disconnect();
     auto& upstream = system.wait_for_event("cancel");
     EXPECT_TRUE(upstream.back_end->history("end").empty());
 }
@@ -240,16 +240,16 @@
     start();
     auto stream = begin();
     system.platform().process().signal(SIGKILL);
-    expect_whole(stream);
+    expect_complete(stream);
     auto next = system.generate(system.entry(1), prompt, length);
-    expect_whole(next);
+    expect_complete(next);
     EXPECT_EQ(system.call(system.entry(0), system.ticket(system.entry(1)))
                   ->head.status,
               200);
     std::cerr << "status "
-              << system.operate({"--timeout", "3", "delete", "team", "team-a"});
+              << system.run_ctl({"--timeout", "3", "delete", "team", "team-a"});
     auto last = system.generate(system.entry(0), prompt, length);
-    expect_whole(last);
+    expect_complete(last);
 }
 
 // A frozen platform never answers the reads of its log and list. Requests must
@@ -260,7 +260,7 @@
     system.platform().process().signal(SIGSTOP);
     auto stream = begin();
     system.entry(0).process->signal(SIGTERM);
-    expect_whole(stream);
+    expect_complete(stream);
     const auto limit = steady_now() + milliseconds(3000);
     EXPECT_EQ(system.entry(0).process->wait(), 0)
         << system.entry(0).process->output();
--- a/tests/standins/engine/engine_api.cpp
+++ b/tests/standins/engine/engine_api.cpp
@@ -31,21 +31,23 @@
     return prompt;
 }
 
-run_order order_of(const Poco::JSON::Object& body, std::string prompt)
+run_parameters parse_run_parameters(const Poco::JSON::Object& body,
+                                    std::string prompt)
 {
-    run_order order;
-    order.request_id = json_string(body, "request_id").value_or("");
-    order.prompt = std::move(prompt);
-    order.max_tokens =
+    run_parameters parameters;
+    parameters.request_id = json_string(body, "request_id").value_or("");
+    parameters.prompt = std::move(prompt);
+    parameters.max_tokens =
         json_u64(body, "max_tokens").value_or(default_max_tokens);
     const auto priority = body.get("priority");
     if (priority.isInteger())
-        order.priority = priority.convert<std::int64_t>();
-    if (const auto wanted = json_object(body, "stand_in")) {
-        order.output_tokens = json_u64(*wanted, "output_tokens");
-        order.crash_at_token = json_u64(*wanted, "crash_at_token");
+        parameters.priority = priority.convert<std::int64_t>();
+    if (const auto stand_in_options = json_object(body, "stand_in")) {
+        parameters.output_tokens = json_u64(*stand_in_options, "output_tokens");
+        parameters.crash_at_token =
+            json_u64(*stand_in_options, "crash_at_token");
     }
-    return order;
+    return parameters;
 }
 
 Poco::JSON::Object::Ptr choice_of(const std::string& text,
@@ -120,11 +122,12 @@
     if (!prompt)
         return answer(response, 400, R"({"error":"no prompt"})");
     const bool chat = path_of(request) == "/v1/chat/completions";
-    const auto run = core_.start(order_of(*body, std::move(*prompt)));
+    const auto run =
+        core_.start(parse_run_parameters(*body, std::move(*prompt)));
     if (body->optValue("stream", false))
         stream(request, response, *run, chat);
     else
-        whole(request, response, *run, chat);
+        answer_unstreamed(request, response, *run, chat);
 }
 
 void engine_api::stream(server_request& request, server_response& response,
@@ -132,14 +135,14 @@
 {
     response.setChunkedTransferEncoding(true);
     response.setContentType("text/event-stream");
-    const auto& id = run.order.request_id;
+    const auto& id = run.parameters.request_id;
     const std::string shown_id = foreign_id_ ? "another" : id;
     std::ostream& out = response.send();
     out.flush();
     const auto end_at = end_at_token_.load();
     for (std::uint64_t sent = 0;;) {
         const auto step = run.next(caller_check);
-        if (!out || caller_gone(request)) {
+        if (!out || caller_disconnected(request)) {
             core_.cancel(id, "caller gone");
             return;
         }
@@ -167,14 +170,15 @@
     out.flush();
 }
 
-void engine_api::whole(server_request& request, server_response& response,
-                       engine_run& run, bool chat)
+void engine_api::answer_unstreamed(server_request& request,
+                                   server_response& response, engine_run& run,
+                                   bool chat)
 {
     std::string text;
     for (;;) {
         auto step = run.next(caller_check);
-        if (caller_gone(request)) {
-            core_.cancel(run.order.request_id, "caller gone");
+        if (caller_disconnected(request)) {
+            core_.cancel(run.parameters.request_id, "caller gone");
             return;
         }
         if (!step)
@@ -185,7 +189,7 @@
         if (step->finish_reason == "cancelled")
             return close_unanswered(request);
         return answer(response, 200,
-                      to_string(chunk_of(run.order.request_id, text,
+                      to_string(chunk_of(run.parameters.request_id, text,
                                          step->finish_reason, chat, false)));
     }
 }
--- a/tests/standins/engine/engine_api.hpp
+++ b/tests/standins/engine/engine_api.hpp
@@ -24,8 +24,8 @@
     void complete(server_request& request, server_response& response);
     void stream(server_request& request, server_response& response,
                 engine_run& run, bool chat);
-    void whole(server_request& request, server_response& response,
-               engine_run& run, bool chat);
+    void answer_unstreamed(server_request& request, server_response& response,
+                           engine_run& run, bool chat);
     void cancel(server_request& request, server_response& response);
     void order(server_request& request, server_response& response);
     void runs(server_response& response);
--- a/tests/standins/engine/engine_core.cpp
+++ b/tests/standins/engine/engine_core.cpp
@@ -26,11 +26,11 @@
     thread_.join();
 }
 
-std::shared_ptr<engine_run> engine_core::start(run_order order)
+std::shared_ptr<engine_run> engine_core::start(run_parameters parameters)
 {
-    auto run = std::make_shared<engine_run>(std::move(order));
-    run->prompt_tokens = count_tokens(run->order.prompt);
-    run->target_tokens = draw_length(run->order);
+    auto run = std::make_shared<engine_run>(std::move(parameters));
+    run->prompt_tokens = count_tokens(run->parameters.prompt);
+    run->target_tokens = draw_length(run->parameters);
     const std::lock_guard guard(lock_);
     run->sequence = next_sequence_++;
     record("start", *run);
@@ -40,7 +40,7 @@
     }
     const auto place = std::find_if(
         runs_.begin(), runs_.end(), [&run](const run_pointer& other) {
-            return other->order.priority < run->order.priority;
+            return other->parameters.priority < run->parameters.priority;
         });
     runs_.insert(place, run);
     sample_load();
@@ -54,7 +54,7 @@
     const std::lock_guard guard(lock_);
     const auto found =
         std::find_if(runs_.begin(), runs_.end(), [&](const run_pointer& run) {
-            return run->order.request_id == request_id;
+            return run->parameters.request_id == request_id;
         });
     if (found == runs_.end())
         return false;
@@ -82,7 +82,7 @@
     const std::lock_guard guard(lock_);
     std::vector<std::string> ids;
     for (const auto& run : runs_)
-        ids.push_back(run->order.request_id);
+        ids.push_back(run->parameters.request_id);
     return ids;
 }
 
@@ -162,9 +162,9 @@
             return;
         run->active = true;
         ++active;
-        const auto held =
-            std::min(cache_.take(run->order.prompt), run->prompt_tokens);
-        run->prefill_left = run->memory_tokens() - held;
+        const auto cached_tokens = std::min(
+            cache_.insert_prompt(run->parameters.prompt), run->prompt_tokens);
+        run->prefill_left = run->memory_tokens() - cached_tokens;
     }
 }
 
@@ -192,14 +192,14 @@
 
 void engine_core::decode(engine_run& run)
 {
-    const auto crash_at = run.order.crash_at_token;
-    if ((crash_at && *crash_at == run.made) ||
-        (die_at_token_ != 0 && die_at_token_ == run.made))
+    const auto crash_at = run.parameters.crash_at_token;
+    if ((crash_at && *crash_at == run.generated_tokens) ||
+        (die_at_token_ != 0 && die_at_token_ == run.generated_tokens))
         ::kill(::getpid(), SIGKILL);
-    if (run.made == 0)
+    if (run.generated_tokens == 0)
         record("first_token", run);
-    run.push(token_text(run.order.prompt, run.made));
-    ++run.made;
+    run.push(token_text(run.parameters.prompt, run.generated_tokens));
+    ++run.generated_tokens;
 }
 
 void engine_core::preempt(engine_run& run)
@@ -212,9 +212,10 @@
 {
     std::erase_if(runs_, [this](const run_pointer& run) {
         const bool no_room = run->memory_tokens() >= options_.memory_tokens;
-        if (run->made < run->target_tokens && !no_room)
+        if (run->generated_tokens < run->target_tokens && !no_room)
             return false;
-        const bool cut = no_room || run->made == run->order.max_tokens;
+        const bool cut =
+            no_room || run->generated_tokens == run->parameters.max_tokens;
         record("end", *run);
         run->finish(cut ? "length" : "stop");
         return true;
@@ -260,16 +261,16 @@
 }
 
 /** Draws a log-normal length: most are short, a few very long. */
-std::uint64_t engine_core::draw_length(const run_order& order) const
+std::uint64_t engine_core::draw_length(const run_parameters& parameters) const
 {
     constexpr double spread = 1.2;
-    if (order.output_tokens)
-        return std::min(*order.output_tokens, order.max_tokens);
-    std::mt19937_64 random(hash64(order.prompt, options_.seed));
+    if (parameters.output_tokens)
+        return std::min(*parameters.output_tokens, parameters.max_tokens);
+    std::mt19937_64 random(hash64(parameters.prompt, options_.seed));
     std::lognormal_distribution<double> length(
         std::log(static_cast<double>(options_.median_output_tokens)), spread);
     const auto drawn = static_cast<std::uint64_t>(length(random)) + 1;
-    return std::min(drawn, order.max_tokens);
+    return std::min(drawn, parameters.max_tokens);
 }
 
 void engine_core::record(const char* event, const engine_run& run,
@@ -277,9 +278,9 @@
 {
     Poco::JSON::Object line;
     line.set("event", event);
-    line.set("request_id", run.order.request_id);
+    line.set("request_id", run.parameters.request_id);
     line.set("prompt_tokens", run.prompt_tokens);
-    line.set("tokens", run.made);
+    line.set("tokens", run.generated_tokens);
     if (!cause.empty())
         line.set("cause", cause);
     events_.add(line);
--- a/tests/standins/engine/engine_core.hpp
+++ b/tests/standins/engine/engine_core.hpp
@@ -52,7 +52,7 @@
     engine_core(engine_options options, history& events);
     ~engine_core();
 
-    std::shared_ptr<engine_run> start(run_order order);
+    std::shared_ptr<engine_run> start(run_parameters parameters);
     /** Returns false if there is no such run. */
     bool cancel(const std::string& request_id, const std::string& cause);
     void stop();
@@ -83,7 +83,7 @@
     run_pointer last_active() const;
     run_pointer first_waiting() const;
     std::uint64_t memory_used() const;
-    std::uint64_t draw_length(const run_order& order) const;
+    std::uint64_t draw_length(const run_parameters& parameters) const;
     void record(const char* event, const engine_run& run,
                 const std::string& cause = {});
 
--- a/tests/standins/engine/engine_run.hpp
+++ b/tests/standins/engine/engine_run.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun::stand_in
 {
 
-struct run_order {
+struct run_parameters {
     std::string request_id;
     std::string prompt;
     std::uint64_t max_tokens = 0;
@@ -34,17 +34,23 @@
 class engine_run
 {
 public:
-    explicit engine_run(run_order wanted) : order(std::move(wanted)) {}
+    explicit engine_run(run_parameters requested)
+        : parameters(std::move(requested))
+    {
+    }
 
-    const run_order order;
+    const run_parameters parameters;
     std::uint64_t prompt_tokens = 0;
     std::uint64_t target_tokens = 0;
-    std::uint64_t made = 0;
+    std::uint64_t generated_tokens = 0;
     std::uint64_t prefill_left = 0;
     std::uint64_t sequence = 0; ///< arrival order
     bool active = false;        ///< in the batch, holds memory
 
-    std::uint64_t memory_tokens() const { return prompt_tokens + made; }
+    std::uint64_t memory_tokens() const
+    {
+        return prompt_tokens + generated_tokens;
+    }
 
     void push(std::string token)
     {
--- a/tests/standins/engine/prefix_cache.hpp
+++ b/tests/standins/engine/prefix_cache.hpp
@@ -30,22 +30,23 @@
     prefix_cache(std::uint64_t max_blocks, std::chrono::milliseconds lag,
                  std::uint64_t gap);
 
-    /** Returns the number of cached prefix tokens; caches the whole prompt. */
-    std::uint64_t take(const std::string& prompt);
+    /** Returns the number of cached prefix tokens; caches the full prompt. */
+    std::uint64_t insert_prompt(const std::string& prompt);
 
     /** Returns the events from offset `from` that are older than the lag. */
     std::vector<cache_event> events(std::uint64_t from) const;
 
 private:
     void touch(std::uint64_t block);
-    void tell(bool stored, std::uint64_t block);
+    void record_event(bool stored, std::uint64_t block);
 
     const std::uint64_t max_blocks_;
     const std::chrono::milliseconds lag_;
     const std::uint64_t gap_;
     mutable std::mutex lock_;
     std::list<std::uint64_t> recent_;
-    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator> held_;
+    std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
+        cached_;
     std::uint64_t next_offset_ = 0;
     std::deque<cache_event> events_;
 };
--- a/tests/standins/platform/platform_api.cpp
+++ b/tests/standins/platform/platform_api.cpp
@@ -25,19 +25,19 @@
     return out.str();
 }
 
-std::chrono::milliseconds wait_of(const server_request& request)
+std::chrono::milliseconds query_wait(const server_request& request)
 {
     return std::chrono::milliseconds(
         std::min(query_number(request, "wait_ms"), max_wait_ms));
 }
 
-void refuse_rate(server_response& response)
+void answer_rate_limited(server_response& response)
 {
     response.set("Retry-After", "1");
     answer(response, 429, R"({"error":"rate"})");
 }
 
-std::string page_text(const stored_page& page)
+std::string page_json(const stored_page& page)
 {
     Poco::JSON::Array::Ptr records = new Poco::JSON::Array;
     for (const auto& record : page.records) {
@@ -53,7 +53,7 @@
     return to_string(body);
 }
 
-std::string list_text(const vm_list& list)
+std::string list_json(const vm_list& list)
 {
     Poco::JSON::Array::Ptr vms = new Poco::JSON::Array;
     for (const auto& entry : list.vms) {
@@ -133,9 +133,9 @@
     auto data = body_of(request);
     if (data.size() > options_.max_record_bytes)
         return answer(response, 413, R"({"error":"too large"})");
-    if (!append_limit_.take())
-        return refuse_rate(response);
-    const auto fault = take_append_faults();
+    if (!append_limit_.try_acquire())
+        return answer_rate_limited(response);
+    const auto fault = consume_append_faults();
     auto& log = log_named(name);
     if (fault.duplicate_appends != 0)
         record("append", name, log.append(data));
@@ -154,7 +154,7 @@
     const auto from = query_number(request, "from");
     const auto max = std::clamp<std::uint64_t>(query_number(request, "max"), 1,
                                                max_page_records);
-    const auto page = log_named(name).read(from, max, wait_of(request));
+    const auto page = log_named(name).read(from, max, query_wait(request));
     // An outage that began during the wait fails the read.
     if (faults().log_out)
         return answer(response, 503, R"({"error":"out"})");
@@ -162,16 +162,16 @@
         return answer(
             response, 410,
             "{\"first_retained\":" + std::to_string(page.first_retained) + "}");
-    answer(response, 200, page_text(page));
+    answer(response, 200, page_json(page));
 }
 
 void platform_api::list(server_request& request, server_response& response)
 {
     const auto list =
-        vms_.read(query_number(request, "after"), wait_of(request));
+        vms_.read(query_number(request, "after"), query_wait(request));
     if (faults().list_out)
         return answer(response, 503, R"({"error":"out"})");
-    answer(response, 200, list_text(list));
+    answer(response, 200, list_json(list));
 }
 
 void platform_api::change_vm(server_request& request, server_response& response,
@@ -198,9 +198,9 @@
 {
     if (faults().weights_out)
         return answer(response, 503, R"({"error":"out"})");
-    if (!weight_limit_.take()) {
+    if (!weight_limit_.try_acquire()) {
         record("weights_limited", name, 0);
-        return refuse_rate(response);
+        return answer_rate_limited(response);
     }
     record("weights", name, 0);
     answer(response, 200, std::string(options_.weight_bytes, 'w'),
@@ -244,15 +244,15 @@
     return faults_;
 }
 
-platform_faults platform_api::take_append_faults()
+platform_faults platform_api::consume_append_faults()
 {
     const std::lock_guard guard(lock_);
-    const auto taken = faults_;
+    const auto consumed = faults_;
     if (faults_.lose_append_answers != 0)
         --faults_.lose_append_answers;
     if (faults_.duplicate_appends != 0)
         --faults_.duplicate_appends;
-    return taken;
+    return consumed;
 }
 
 void platform_api::pause(std::chrono::milliseconds span)
--- a/tests/standins/platform/platform_api.hpp
+++ b/tests/standins/platform/platform_api.hpp
@@ -60,7 +60,7 @@
     void set_fault(server_request& request, server_response& response);
     stored_log& log_named(const std::string& name);
     platform_faults faults() const;
-    platform_faults take_append_faults();
+    platform_faults consume_append_faults();
     void pause(std::chrono::milliseconds span);
     void record(const char* event, const std::string& name,
                 std::uint64_t offset);
--- a/tests/standins/platform/rate_limit.hpp
+++ b/tests/standins/platform/rate_limit.hpp
@@ -17,7 +17,7 @@
     {
     }
 
-    bool take()
+    bool try_acquire()
     {
         const std::lock_guard guard(lock_);
         const auto now = std::chrono::steady_clock::now();
--- a/tests/standins/runner/runner_api.cpp
+++ b/tests/standins/runner/runner_api.cpp
@@ -42,7 +42,7 @@
 {
     const auto id = request_id_of(request, body_of(request));
     const auto run = count_run();
-    const auto faults = take_faults();
+    const auto faults = consume_faults();
     record("run", id, run);
     wait(delay_ + std::chrono::milliseconds(faults.late_ms));
     if (faults.lose_answers != 0) {
@@ -80,13 +80,13 @@
     return ++runs_;
 }
 
-runner_faults runner_api::take_faults()
+runner_faults runner_api::consume_faults()
 {
     const std::lock_guard guard(lock_);
-    const auto taken = faults_;
+    const auto consumed = faults_;
     if (faults_.lose_answers != 0)
         --faults_.lose_answers;
-    return taken;
+    return consumed;
 }
 
 void runner_api::wait(std::chrono::milliseconds span)
--- a/tests/standins/runner/runner_api.hpp
+++ b/tests/standins/runner/runner_api.hpp
@@ -37,7 +37,7 @@
     void call(server_request& request, server_response& response);
     void set_fault(server_request& request, server_response& response);
     std::uint64_t count_run();
-    runner_faults take_faults();
+    runner_faults consume_faults();
     void wait(std::chrono::milliseconds span);
     void record(const char* event, const std::string& request_id,
                 std::uint64_t run);
--- a/tests/standins/stand_in_server.hpp
+++ b/tests/standins/stand_in_server.hpp
@@ -167,7 +167,7 @@
 }
 
 /** Returns true once the caller has closed its side. */
-inline bool caller_gone(server_request& request)
+inline bool caller_disconnected(server_request& request)
 {
     auto& socket =
         static_cast<Poco::Net::HTTPServerRequestImpl&>(request).socket();
--- a/tests/support/caller_stream.hpp
+++ b/tests/support/caller_stream.hpp
@@ -17,23 +17,23 @@
 {
 
 /** State of a stream as its caller sees it. */
-enum class stream_end_kind : std::uint8_t { open, whole, refused, lost };
+enum class stream_end_kind : std::uint8_t { open, complete, refused, lost };
 
-struct told_refusal {
+struct reported_refusal {
     std::string kind;
     std::string reason;
 };
 
 /** Parses an entry's error body; empty if `body` is not an error. */
-inline std::optional<told_refusal> read_refusal(const std::string& body)
+inline std::optional<reported_refusal> read_refusal(const std::string& body)
 {
     const auto document = parse_json_object(body);
     const auto error =
         document ? json_object(*document, "error") : Poco::JSON::Object::Ptr{};
     if (!error)
         return {};
-    return told_refusal{json_string(*error, "kind").value_or(""),
-                        json_string(*error, "reason").value_or("")};
+    return reported_refusal{json_string(*error, "kind").value_or(""),
+                            json_string(*error, "reason").value_or("")};
 }
 
 /** A caller that reads a generation's events when the test asks for them. */
@@ -51,7 +51,7 @@
         }
         status_ = head->status;
         if (head->content_type != "text/event-stream")
-            take_body();
+            read_body();
     }
 
     /** Reads until `count` tokens have arrived or the stream ends. */
@@ -68,7 +68,7 @@
     }
 
     /** Closes the connection without reading the rest. */
-    void hang_up()
+    void disconnect()
     {
         exchange_.reset();
         end_ = stream_end_kind::lost;
@@ -80,7 +80,7 @@
     const std::string& finish_reason() const { return finish_reason_; }
     const std::string& last_event_id() const { return last_event_id_; }
     const std::vector<stream_position>& positions() const { return positions_; }
-    const told_refusal& refusal() const { return refusal_; }
+    const reported_refusal& refusal() const { return refusal_; }
 
 private:
     void read_more()
@@ -91,33 +91,33 @@
             return;
         }
         const auto fed = parser_.feed(*bytes, [this](sse_event&& event) {
-            take(event);
+            handle_event(event);
             return end_ == stream_end_kind::open;
         });
         if (!fed)
             end_ = stream_end_kind::lost;
     }
 
-    void take_body()
+    void read_body()
     {
         std::string body;
         for (auto bytes = exchange_->read(); bytes && !bytes->empty();
              bytes = exchange_->read())
             body.append(*bytes);
-        const auto told = read_refusal(body);
-        end_ = told ? stream_end_kind::refused : stream_end_kind::lost;
-        refusal_ = told.value_or(told_refusal{});
+        const auto reported = read_refusal(body);
+        end_ = reported ? stream_end_kind::refused : stream_end_kind::lost;
+        refusal_ = reported.value_or(reported_refusal{});
     }
 
-    void take(const sse_event& event)
+    void handle_event(const sse_event& event)
     {
         if (event.type == "error") {
             end_ = stream_end_kind::refused;
-            refusal_ = read_refusal(event.data).value_or(told_refusal{});
+            refusal_ = read_refusal(event.data).value_or(reported_refusal{});
             return;
         }
         if (event.data == "[DONE]") {
-            end_ = stream_end_kind::whole;
+            end_ = stream_end_kind::complete;
             return;
         }
         const auto chunk = parse_json_object(event.data);
@@ -139,7 +139,7 @@
     std::string finish_reason_;
     std::string last_event_id_;
     std::vector<stream_position> positions_;
-    told_refusal refusal_;
+    reported_refusal refusal_;
 };
 
 } // namespace cyclamenrun::testing_support
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -39,7 +39,7 @@
         errors_ = std::tmpfile();
         pid_ = ::fork();
         if (pid_ == 0)
-            become(arguments);
+            exec_program(arguments);
     }
 
     ~child_process()
@@ -147,7 +147,7 @@
                 return text.substr(from + before.size(),
                                    text.find('"', from + before.size()) - from -
                                        before.size());
-            std::this_thread::sleep_for(look_interval);
+            std::this_thread::sleep_for(poll_interval);
         } while (std::chrono::steady_clock::now() < deadline && !ended());
         throw std::runtime_error("no line " + line + ": " + output() +
                                  errors());
@@ -161,7 +161,7 @@
                              info.si_pid != 0);
     }
 
-    [[noreturn]] void become(const std::vector<char*>& arguments) const
+    [[noreturn]] void exec_program(const std::vector<char*>& arguments) const
     {
         ::prctl(PR_SET_PDEATHSIG, SIGKILL);
         ::dup2(::fileno(output_), STDOUT_FILENO);
@@ -189,11 +189,11 @@
             }
             if (last || std::chrono::steady_clock::now() >= deadline)
                 return false;
-            std::this_thread::sleep_for(look_interval);
+            std::this_thread::sleep_for(poll_interval);
         }
     }
 
-    static constexpr std::chrono::milliseconds look_interval{2};
+    static constexpr std::chrono::milliseconds poll_interval{2};
 
     pid_t pid_ = -1;
     std::FILE* output_ = nullptr;
--- a/tests/support/scripted_server.hpp
+++ b/tests/support/scripted_server.hpp
@@ -21,8 +21,8 @@
 public:
     using script = std::function<void(Poco::Net::StreamSocket&)>;
 
-    explicit scripted_server(script play)
-        : play_(std::move(play)),
+    explicit scripted_server(script connection_script)
+        : script_(std::move(connection_script)),
           socket_(Poco::Net::SocketAddress("127.0.0.1:0")),
           thread_([this] { serve(); })
     {
@@ -111,14 +111,14 @@
             auto connection = socket_.acceptConnection();
             try {
                 if (!stopping_)
-                    play_(connection);
+                    script_(connection);
             } catch (const Poco::Exception&) {
                 continue; // the client closed the connection
             }
         }
     }
 
-    script play_;
+    script script_;
     mutable std::mutex lock_;
     std::string reply_;
     Poco::Net::ServerSocket socket_;
--- a/tests/support/tcp_relay.hpp
+++ b/tests/support/tcp_relay.hpp
@@ -51,7 +51,7 @@
     std::size_t carried() const { return carried_; }
 
     /** Sets the target of new connections, for a restarted process. */
-    void lead_to(const std::string& target)
+    void set_target(const std::string& target)
     {
         const std::lock_guard guard(lock_);
         target_ = target;
