--- a/tests/processes/deployment.cpp
+++ b/tests/processes/deployment.cpp
@@ -15,8 +15,8 @@
 
 constexpr auto link_key = "0123456789abcdef0123456789abcdef";
 constexpr auto json_type = "application/json";
-constexpr milliseconds poll_pause(10);
-constexpr milliseconds patience(30000);
+constexpr milliseconds poll_interval(10);
+constexpr milliseconds wait_timeout(30000);
 
 std::string quoted(const std::string& text)
 {
@@ -40,11 +40,11 @@
 
 bool wait_until(const std::function<bool()>& condition)
 {
-    const auto deadline = steady_now() + patience;
+    const auto deadline = steady_now() + wait_timeout;
     while (!condition()) {
         if (steady_now() >= deadline)
             return false;
-        std::this_thread::sleep_for(poll_pause);
+        std::this_thread::sleep_for(poll_interval);
     }
     return true;
 }
@@ -106,7 +106,7 @@
         "cyclamenrun-agent", std::vector<std::string>{"--settings", settings});
     const auto address = upstream.agent->wait_until_ready();
     if (upstream.agent_link)
-        upstream.agent_link->lead_to(address);
+        upstream.agent_link->set_target(address);
     else
         upstream.agent_link = std::make_unique<tcp_relay>(address);
 }
@@ -122,7 +122,7 @@
     const bool model = upstream.service == model_service;
     upstream.back_end = std::make_unique<stand_in_process>(
         model ? "engine" : "runner", std::move(options));
-    upstream.back_end_link->lead_to(upstream.back_end->address());
+    upstream.back_end_link->set_target(upstream.back_end->address());
 }
 
 entry_processes& deployment::add_entry(const std::string& name)
@@ -159,11 +159,16 @@
             "\nkind = \"application\"\n"
             "[[team]]\nname = \"team-a\"\nkey_hash = " +
             quoted(to_string(make_key_hash(secret(team_key_)))) + "\n");
-    if (const int status = operate({"apply", "--wait", resources}))
+    // An entry refuses changes until it has read the platform's log once.
+    const auto& first = *entries_.front();
+    if (!wait_until([&] { return is_ready(first); }))
+        throw std::runtime_error(first.name + " has read no configuration: " +
+                                 first.process->output());
+    if (const int status = run_ctl({"apply", "--wait", resources}))
         throw std::runtime_error("apply ended with " + std::to_string(status));
     for (const auto& entry : entries_) {
         const bool ready = wait_until([&] {
-            if (ask(entry->address, "GET", "/readyz").head.status != 200)
+            if (!is_ready(*entry))
                 return false;
             return std::all_of(
                 upstreams_.begin(), upstreams_.end(), [&](const auto& added) {
@@ -176,7 +181,12 @@
     }
 }
 
-int deployment::operate(const std::vector<std::string>& command) const
+bool deployment::is_ready(const entry_processes& entry)
+{
+    return ask(entry.address, "GET", "/readyz").head.status == 200;
+}
+
+int deployment::run_ctl(const std::vector<std::string>& command) const
 {
     auto options = command;
     options.insert(options.begin(), {"--entry", entries_.front()->operators});
@@ -332,7 +342,7 @@
             json_type,
             body,
             {{"Authorization", "Bearer " + team_key_}},
-            steady_now() + patience};
+            steady_now() + wait_timeout};
 }
 
 } // namespace cyclamenrun::testing_support
--- a/tests/processes/test_calls.cpp
+++ b/tests/processes/test_calls.cpp
@@ -15,7 +15,7 @@
 using testing_support::wait_until;
 using testing_support::way;
 
-/** What befalls a tag that a runner has begun to write. */
+/** Faults during a call that a runner has begun to run. */
 enum class fault : std::uint8_t {
     kill_runner,
     lose_answer,
@@ -33,8 +33,8 @@
     "freeze_agent",   "cut_agent_link",  "stall_to_agent",
     "stall_to_entry", "cut_runner_link", "kill_entry"};
 
-/** The work is lost for good, or only the way to its answer for a while. */
-bool is_final(fault what)
+/** True if the fault loses the answer; else its path heals. */
+bool loses_answer(fault what)
 {
     return what == fault::kill_runner || what == fault::lose_answer ||
            what == fault::kill_agent || what == fault::cut_runner_link;
@@ -58,7 +58,7 @@
         case fault::kill_runner:
             return upstream.back_end->process().signal(SIGKILL);
         case fault::lose_answer:
-            return; // set before the call
+            return; // the test sets it before the call
         case fault::kill_agent:
             return upstream.agent->signal(SIGKILL);
         case fault::freeze_agent:
@@ -76,10 +76,10 @@
         }
     }
 
-    /** Heals what heals, once the entry has seen it. */
+    /** Ends a transient fault once the entry has closed its link. */
     void undo(upstream_processes& upstream)
     {
-        if (is_final(GetParam()) || GetParam() == fault::kill_entry)
+        if (loses_answer(GetParam()) || GetParam() == fault::kill_entry)
             return;
         EXPECT_TRUE(wait_until([this] {
             return system.entry(0).process->output().find("link_closed") !=
@@ -89,27 +89,27 @@
         upstream.agent_link->heal();
     }
 
-    /** Of both runners, the one that died included. */
+    /** Counts the runs on both runners; a killed runner counts as one run. */
     std::size_t runs() const
     {
-        std::size_t count = died ? 1 : 0;
+        std::size_t count = killed_upstream ? 1 : 0;
         for (const std::size_t at : {0, 1}) {
             const auto& upstream = system.upstream(at);
-            if (&upstream != died)
+            if (&upstream != killed_upstream)
                 count += upstream.back_end->history("run").size();
         }
         return count;
     }
 
     mutable deployment system;
-    const upstream_processes* died = nullptr;
+    const upstream_processes* killed_upstream = nullptr;
 };
 
-// An inspector writes a tag under a ticket. Something fails while the runner
-// writes it, or its answer is lost, and the inspector sends the tag again at
-// once through the other entry. The tag is written once, both answers agree,
-// and nobody is told that it was not written.
-TEST_P(call_faults, a_tag_is_written_once_however_often_it_is_sent)
+// Guards against a call that runs twice when its caller retries it. A fault
+// occurs while the runner runs a call with a ticket, or its answer is lost, and
+// the caller at once sends the call again through the other entry. The call
+// runs once, both answers agree, and neither says that it was not run.
+TEST_P(call_faults, a_call_with_a_ticket_runs_once_when_it_is_resent)
 {
     const auto ticket = system.ticket(system.entry(0));
     ASSERT_FALSE(ticket.empty());
@@ -119,22 +119,22 @@
     auto first = std::async(std::launch::async, [&] {
         return system.call(system.entry(0), ticket);
     });
-    auto& struck = system.wait_for_event("run");
+    auto& faulted = system.wait_for_event("run");
     if (GetParam() == fault::kill_runner)
-        died = &struck;
-    inject(struck);
+        killed_upstream = &faulted;
+    inject(faulted);
     auto second = std::async(std::launch::async, [&] {
         return system.call(system.entry(1), ticket);
     });
-    undo(struck);
+    undo(faulted);
     const auto again = second.get();
     const auto original = first.get();
 
     ASSERT_TRUE(again);
-    if (is_final(GetParam())) {
-        const auto told = read_refusal(again->body);
-        ASSERT_TRUE(told) << again->body;
-        EXPECT_EQ(told->kind, "outcome_unknown");
+    if (loses_answer(GetParam())) {
+        const auto reported = read_refusal(again->body);
+        ASSERT_TRUE(reported) << again->body;
+        EXPECT_EQ(reported->kind, "outcome_unknown");
     } else {
         EXPECT_EQ(again->head.status, 200) << again->body;
     }
@@ -145,23 +145,23 @@
     EXPECT_EQ(runs(), 1);
 }
 
-// The same without a ticket: the call is sent once, by the caller and by the
-// system, and what the caller is told is true.
-TEST_P(call_faults, without_a_ticket_the_system_sends_a_call_once)
+// The same faults without a ticket: the system must not retry the call, and the
+// caller gets either the answer or outcome_unknown.
+TEST_P(call_faults, a_call_without_a_ticket_is_sent_once)
 {
     if (GetParam() == fault::lose_answer)
         for (const std::size_t at : {0, 1})
             system.upstream(at).back_end->set_fault(R"({"lose_answers":1})");
     auto first = std::async(std::launch::async,
                             [&] { return system.call(system.entry(0), ""); });
-    auto& struck = system.wait_for_event("run");
+    auto& faulted = system.wait_for_event("run");
     if (GetParam() == fault::kill_runner)
-        died = &struck;
-    inject(struck);
-    undo(struck);
+        killed_upstream = &faulted;
+    inject(faulted);
+    undo(faulted);
     const auto answer = first.get();
     ASSERT_EQ(answer.has_value(), GetParam() != fault::kill_entry);
-    if (answer && is_final(GetParam())) {
+    if (answer && loses_answer(GetParam())) {
         EXPECT_EQ(read_refusal(answer->body)->kind, "outcome_unknown");
     } else if (answer) {
         EXPECT_EQ(answer->head.status, 200) << answer->body;
@@ -193,7 +193,8 @@
     deployment system;
 };
 
-// A caller sends its tag through two entries at the same moment.
+// Guards against two runs of a call that its caller sends through two entries
+// at the same moment.
 TEST_F(call_races, a_ticket_used_twice_at_once_runs_once)
 {
     for (std::size_t round = 1; round <= 10; ++round) {
@@ -210,37 +211,37 @@
     }
 }
 
-// A dispatch is held up on its link until after its caller was told how the
-// call ended, and arrives and runs then. Nobody could know at that moment, so
-// the caller must not have been told that the call was not run.
-TEST_F(call_races, a_call_that_may_still_arrive_is_not_told_as_not_run)
+// Guards against a false "not run" refusal. A dispatch is delayed on its link
+// past the call's deadline, and arrives and runs after the caller received the
+// refusal. At that time the outcome is unknown, so the refusal must say so.
+TEST_F(call_races, a_call_that_may_still_arrive_is_not_reported_as_not_run)
 {
     auto& upstream = system.upstream(0);
     upstream.agent_link->stall(way::to_target);
     const auto answer = system.call(system.entry(0), "", milliseconds(1000));
     ASSERT_TRUE(answer);
-    const auto told = read_refusal(answer->body);
-    ASSERT_TRUE(told) << answer->body;
+    const auto reported = read_refusal(answer->body);
+    ASSERT_TRUE(reported) << answer->body;
     upstream.agent_link->heal();
-    // The link is in order: once this call ran, the late one has arrived.
+    // The link keeps the order: once this call ran, the late one has arrived.
     const auto next = system.call(system.entry(0), "");
     ASSERT_TRUE(next);
     EXPECT_EQ(next->head.status, 200) << next->body;
     const std::size_t late_runs = system.count_events("run") - 1;
-    EXPECT_EQ(told->kind, "outcome_unknown");
+    EXPECT_EQ(reported->kind, "outcome_unknown");
     EXPECT_LE(late_runs, 1);
 }
 
-// An agent dies and comes back; tickets of its earlier life come with calls
-// that nobody can tell from ones that ran in it.
-TEST_F(call_races, a_ticket_of_an_earlier_life_is_an_unknown_outcome)
+// Guards against running a call twice across an agent's restart. The new agent
+// cannot tell whether a call with a ticket of the earlier incarnation has run.
+TEST_F(call_races, a_ticket_of_an_earlier_incarnation_has_an_unknown_outcome)
 {
     const auto ticket = system.ticket(system.entry(0));
     auto& upstream = system.upstream(0);
     upstream.agent->signal(SIGKILL);
     upstream.agent->wait();
     system.restart_agent(upstream);
-    const auto told = [&] {
+    const auto resend = [&] {
         return read_refusal(system.call(system.entry(0), ticket)->body);
     };
     ASSERT_TRUE(wait_until([&] {
@@ -248,7 +249,7 @@
         return next && next->head.status == 200;
     }));
     const auto runs = system.count_events("run");
-    const auto refusal = told();
+    const auto refusal = resend();
     ASSERT_TRUE(refusal);
     EXPECT_EQ(refusal->kind, "outcome_unknown");
     EXPECT_EQ(system.count_events("run"), runs);
--- a/tests/processes/test_path.cpp
+++ b/tests/processes/test_path.cpp
@@ -11,7 +11,7 @@
 using testing_support::deployment;
 using testing_support::stream_end_kind;
 
-TEST(path, a_dossier_and_a_call_are_answered_whole)
+TEST(path, a_generation_and_a_call_are_answered_completely)
 {
     deployment system;
     system.add_model("redactor-1", {"--step-ms", "2"});
@@ -21,7 +21,7 @@
 
     auto dossier = system.generate(entry, "section one", 300);
     dossier.read_all();
-    EXPECT_EQ(dossier.end(), stream_end_kind::whole);
+    EXPECT_EQ(dossier.end(), stream_end_kind::complete);
     EXPECT_EQ(dossier.text(), stand_in::answer_text("section one", 300));
 
     const auto ticket = system.ticket(entry);
--- a/tests/standins/engine/engine_api.hpp
+++ b/tests/standins/engine/engine_api.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun::stand_in
 {
 
-/** The engine's HTTP side. */
+/** The HTTP API of the stand-in engine. */
 class engine_api
 {
 public:
@@ -24,8 +24,8 @@
     void complete(server_request& request, server_response& response);
     void stream(server_request& request, server_response& response,
                 engine_run& run, bool chat);
-    void whole(server_request& request, server_response& response,
-               engine_run& run, bool chat);
+    void answer_unstreamed(server_request& request, server_response& response,
+                           engine_run& run, bool chat);
     void cancel(server_request& request, server_response& response);
     void order(server_request& request, server_response& response);
     void runs(server_response& response);
--- a/tests/standins/engine/engine_run.hpp
+++ b/tests/standins/engine/engine_run.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun::stand_in
 {
 
-struct run_order {
+struct run_parameters {
     std::string request_id;
     std::string prompt;
     std::uint64_t max_tokens = 0;
@@ -21,30 +21,36 @@
     std::optional<std::uint64_t> crash_at_token;
 };
 
-/** What the handler of a run is told next. */
+/** The next token of a run, or its end. */
 struct run_step {
     std::optional<std::string> token;
     std::string finish_reason; ///< not empty at the end
 };
 
 /**
- * One request in the engine. What stands above the lock belongs to the
- * engine's batch; the handler takes tokens from below it.
+ * One request in the engine. The engine's lock guards the public members; the
+ * run's own lock guards the tokens passed to the HTTP handler.
  */
 class engine_run
 {
 public:
-    explicit engine_run(run_order wanted) : order(std::move(wanted)) {}
+    explicit engine_run(run_parameters requested)
+        : parameters(std::move(requested))
+    {
+    }
 
-    const run_order order;
+    const run_parameters parameters;
     std::uint64_t prompt_tokens = 0;
     std::uint64_t target_tokens = 0;
-    std::uint64_t made = 0;
+    std::uint64_t generated_tokens = 0;
     std::uint64_t prefill_left = 0;
-    std::uint64_t sequence = 0; ///< order of arrival
+    std::uint64_t sequence = 0; ///< arrival order
     bool active = false;        ///< in the batch, holds memory
 
-    std::uint64_t memory_tokens() const { return prompt_tokens + made; }
+    std::uint64_t memory_tokens() const
+    {
+        return prompt_tokens + generated_tokens;
+    }
 
     void push(std::string token)
     {
@@ -60,7 +66,7 @@
         changed_.notify_one();
     }
 
-    /** Empty if nothing has come within `wait`. */
+    /** Returns the next step; empty if none arrives within `wait`. */
     std::optional<run_step> next(std::chrono::milliseconds wait)
     {
         std::unique_lock guard(lock_);
--- a/tests/standins/platform/rate_limit.hpp
+++ b/tests/standins/platform/rate_limit.hpp
@@ -8,7 +8,7 @@
 namespace cyclamenrun::stand_in
 {
 
-/** A bucket that holds one second's worth. */
+/** A token bucket with a capacity of one second's rate. */
 class rate_limit
 {
 public:
@@ -17,7 +17,7 @@
     {
     }
 
-    bool take()
+    bool try_acquire()
     {
         const std::lock_guard guard(lock_);
         const auto now = std::chrono::steady_clock::now();
