--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -5,7 +5,7 @@
 #include "link.pb.h"
 #include "poison_register.hpp"
 #include "route_table.hpp"
-#include "team_desk.hpp"
+#include "team_registry.hpp"
 #include "tombstones.hpp"
 
 #include <ctime>
@@ -114,7 +114,7 @@
 /** An entry's state of its teams, including their configuration. */
 struct entry_teams {
     configuration_view view;
-    team_desk desk{0.1};
+    team_registry desk{0.1};
 };
 
 std::shared_ptr<entry_teams> make_teams(std::size_t count)
@@ -158,7 +158,7 @@
     settings.admission.max_queued_prompt_tokens = 1'000'000'000;
     settings.admission.max_wait = std::chrono::hours(1);
     gate_hooks hooks;
-    hooks.start = [](const run_order&) {};
+    hooks.start = [](const admitted_work&) {};
     hooks.stop = [](work_id) {};
     hooks.wake = [](reader_id) {};
     hooks.news = [] {};
@@ -212,8 +212,8 @@
 
 std::shared_ptr<void> make_tickets(std::size_t count)
 {
-    auto result =
-        std::make_shared<ticket_book>(link_key, "vm-1", 1, start, count);
+    auto result = std::make_shared<ticket_use_registry>(link_key, "vm-1", 1,
+                                                        start, count);
     const ticket_authority authority(link_key);
     for (std::size_t i = 0; i < count; ++i) {
         auto dispatch = generation(i);
--- a/bench/configuration_command.cpp
+++ b/bench/configuration_command.cpp
@@ -252,10 +252,10 @@
     return mallinfo2().uordblks;
 }
 
-std::vector<log_entry> target_records()
+std::vector<platform_log_record> target_records()
 {
     const auto changes = target_changes();
-    std::vector<log_entry> records;
+    std::vector<platform_log_record> records;
     records.reserve(changes.size());
     for (const auto& change : changes)
         records.push_back({records.size(), log_record_of(change)});
--- a/bench/path_command.cpp
+++ b/bench/path_command.cpp
@@ -150,7 +150,7 @@
                       << " frames; microseconds a frame: client "
                       << result.client_microseconds << ", server "
                       << result.server_microseconds << ", maker "
-                      << result.maker_microseconds << "; delay p50 "
+                      << result.producer_microseconds << "; delay p50 "
                       << result.delay.quantile(0.5) << " p99 "
                       << result.delay.quantile(0.99)
                       << " microseconds; heap of both ends "
--- a/bench/path_links.cpp
+++ b/bench/path_links.cpp
@@ -114,14 +114,14 @@
         const double client = loop_microseconds(client_loop_);
         const double server = loop_microseconds(server_loop_);
         const double maker = thread_microseconds();
-        make_tokens();
-        result.maker_microseconds = thread_microseconds() - maker;
+        produce_tokens();
+        result.producer_microseconds = thread_microseconds() - maker;
         result.client_microseconds = loop_microseconds(client_loop_) - client;
         result.server_microseconds = loop_microseconds(server_loop_) - server;
         result.frames = frames_;
         result.delay = delay_;
         const auto frames = static_cast<double>(frames_);
-        result.maker_microseconds /= frames;
+        result.producer_microseconds /= frames;
         result.client_microseconds /= frames;
         result.server_microseconds /= frames;
     }
@@ -150,7 +150,7 @@
     }
 
     /** Produces tokens evenly over time, in round-robin over the streams. */
-    void make_tokens()
+    void produce_tokens()
     {
         const duration step =
             std::chrono::nanoseconds(std::chrono::seconds(1)) /
--- a/bench/path_links.hpp
+++ b/bench/path_links.hpp
@@ -20,9 +20,9 @@
     std::uint64_t frames = 0;
     double client_microseconds = 0; ///< processor time of its loop per frame
     double server_microseconds = 0;
-    double maker_microseconds = 0; ///< of the thread that produces tokens
-    double bytes_per_stream = 0;   ///< heap of both ends while data flows
-    log_histogram delay;           ///< from wake to on_frame, microseconds
+    double producer_microseconds = 0; ///< of the thread that produces tokens
+    double bytes_per_stream = 0;      ///< heap of both ends while data flows
+    log_histogram delay;              ///< from wake to on_frame, microseconds
 };
 
 /** Measures a client and a server in this process, each on its own loop. */
--- a/bench/path_stream.hpp
+++ b/bench/path_stream.hpp
@@ -16,7 +16,7 @@
 {
 
 /** One streamed completion over HTTP/1.1, read on a loop's thread. */
-class path_stream final : public link_watcher,
+class path_stream final : public socket_event_handler,
                           public std::enable_shared_from_this<path_stream>
 {
 public:
--- a/fuzz/fuzz_directory_answers.cpp
+++ b/fuzz/fuzz_directory_answers.cpp
@@ -6,7 +6,7 @@
 #include "directory.pb.h"
 #include "directory_messages.hpp"
 #include "feed_history.hpp"
-#include "record_codec.hpp"
+#include "record_parser.hpp"
 
 #include <cstdlib>
 
--- a/fuzz/fuzz_monitor_datagrams.cpp
+++ b/fuzz/fuzz_monitor_datagrams.cpp
@@ -41,13 +41,13 @@
 
     void handle(const v1::MonitorNotice& notice)
     {
-        engine_view status;
+        engine_status status;
         status.running = notice.load().running();
         status.queued = notice.load().queued();
         status.memory_used = notice.load().memory_used();
         status.memory_total = notice.load().memory_total();
         now_ += milliseconds(50);
-        starts_.take_view(status, notice.load().leaving(), now_);
+        starts_.update_status(status, notice.load().leaving(), now_);
         const auto granted = starts_.give(now_);
         check(granted.empty() || !starts_.leaving());
         check(!starts_.leaving() || !starts_.has_room_for_copy(0));
@@ -55,7 +55,7 @@
 
     void check_bounds()
     {
-        check(starts_.waiting() <= most_waiting_starts);
+        check(starts_.waiting() <= max_waiting_starts);
         const auto next = starts_.next_event(now_);
         check(!next || *next > now_);
         const auto holder = turns_.holder(now_);
--- a/fuzz/fuzz_store_records.cpp
+++ b/fuzz/fuzz_store_records.cpp
@@ -3,7 +3,7 @@
  * that the readers accept must be usable to serve requests.
  */
 #include "keyed_records.hpp"
-#include "record_codec.hpp"
+#include "record_parser.hpp"
 
 #include <cstdlib>
 
--- a/src/ctl/change_command.hpp
+++ b/src/ctl/change_command.hpp
@@ -4,7 +4,7 @@
 #include "ctl_options.hpp"
 #include "exit_code.hpp"
 #include "operator.pb.h"
-#include "operator_session.hpp"
+#include "operator_client.hpp"
 
 #include <cstdint>
 #include <map>
@@ -37,7 +37,7 @@
     rpc_outcome<std::optional<v1::ResourceState>> find(v1::ResourceKind kind,
                                                        const std::string& name);
 
-    operator_session session_;
+    operator_client session_;
     bool json_;
     /** Resources of each kind, as first queried. */
     std::map<v1::ResourceKind, v1::ListResourcesResponse> listed_;
--- a/src/ctl/commands.cpp
+++ b/src/ctl/commands.cpp
@@ -80,7 +80,7 @@
 
 exit_code run_show(const ctl_options& options, v1::ResourceKind kind)
 {
-    const auto response = operator_session(options).list_resources(kind, false);
+    const auto response = operator_client(options).list_resources(kind, false);
     if (!response)
         return report_rpc_error(response.error());
     if (options.json)
@@ -93,7 +93,7 @@
 exit_code run_find_change(const ctl_options& options,
                           const std::string& change_id)
 {
-    const auto response = operator_session(options).find_change(change_id);
+    const auto response = operator_client(options).find_change(change_id);
     if (!response)
         return report_rpc_error(response.error());
     if (options.json)
@@ -112,7 +112,7 @@
 
 exit_code run_drain(const ctl_options& options, const std::string& upstream)
 {
-    const auto response = operator_session(options).drain_upstream(upstream);
+    const auto response = operator_client(options).drain_upstream(upstream);
     if (!response)
         return report_rpc_error(response.error());
     if (options.json)
@@ -125,7 +125,7 @@
 
 exit_code run_dump(const ctl_options& options, const std::string& upstream)
 {
-    const auto response = operator_session(options).dump_state(upstream);
+    const auto response = operator_client(options).dump_state(upstream);
     if (!response)
         return report_rpc_error(response.error());
     if (options.json)
@@ -137,7 +137,7 @@
 
 exit_code run_revisions(const ctl_options& options)
 {
-    const auto response = operator_session(options).list_revisions();
+    const auto response = operator_client(options).list_revisions();
     if (!response)
         return report_rpc_error(response.error());
     if (options.json)
--- a/src/ctl/explain_command.cpp
+++ b/src/ctl/explain_command.cpp
@@ -1,5 +1,5 @@
 #include "commands.hpp"
-#include "request_story.hpp"
+#include "request_timeline.hpp"
 
 #include <fstream>
 #include <iostream>
@@ -10,7 +10,7 @@
 namespace
 {
 
-void add_lines(request_story& story, std::istream& from)
+void add_lines(request_timeline& story, std::istream& from)
 {
     for (std::string line; std::getline(from, line);)
         story.take(line);
@@ -21,7 +21,7 @@
 exit_code run_explain(const std::string& request_id,
                       const std::vector<std::string>& files)
 {
-    request_story story(request_id);
+    request_timeline story(request_id);
     for (const auto& file : files) {
         std::ifstream from(file);
         if (!from) {
--- a/src/ctl/operator_session.cpp
+++ b/src/ctl/operator_client.cpp
@@ -1,4 +1,4 @@
-#include "operator_session.hpp"
+#include "operator_client.hpp"
 
 #include "change_sender.hpp"
 
@@ -7,13 +7,13 @@
 namespace cyclamenrun
 {
 
-operator_session::operator_session(const ctl_options& options)
+operator_client::operator_client(const ctl_options& options)
     : client_(options.entry, options.key), deadline_(options.deadline)
 {
 }
 
 rpc_outcome<v1::ApplyChangeResponse>
-operator_session::apply_change(const v1::ChangeRecord& change) const
+operator_client::apply_change(const v1::ChangeRecord& change) const
 {
     const change_sender sender({
         [this](const v1::ApplyChangeRequest& request, time_point deadline) {
@@ -31,7 +31,7 @@
 }
 
 rpc_outcome<v1::DrainUpstreamResponse>
-operator_session::drain_upstream(const std::string& upstream) const
+operator_client::drain_upstream(const std::string& upstream) const
 {
     v1::DrainUpstreamRequest request;
     request.set_upstream(upstream);
@@ -40,8 +40,8 @@
 }
 
 rpc_outcome<v1::ListResourcesResponse>
-operator_session::list_resources(v1::ResourceKind kind,
-                                 bool include_deleted) const
+operator_client::list_resources(v1::ResourceKind kind,
+                                bool include_deleted) const
 {
     v1::ListResourcesRequest request;
     request.set_kind(kind);
@@ -51,21 +51,21 @@
 }
 
 rpc_outcome<v1::FindChangeResponse>
-operator_session::find_change(const std::string& change_id) const
+operator_client::find_change(const std::string& change_id) const
 {
     v1::FindChangeRequest request;
     request.set_change_id(change_id);
     return query<v1::FindChangeResponse>("FindChange", request, deadline_);
 }
 
-rpc_outcome<v1::ListRevisionsResponse> operator_session::list_revisions() const
+rpc_outcome<v1::ListRevisionsResponse> operator_client::list_revisions() const
 {
     return query<v1::ListRevisionsResponse>(
         "ListRevisions", v1::ListRevisionsRequest(), deadline_);
 }
 
 rpc_outcome<v1::DumpStateResponse>
-operator_session::dump_state(const std::string& upstream) const
+operator_client::dump_state(const std::string& upstream) const
 {
     v1::DumpStateRequest request;
     request.set_upstream(upstream);
@@ -74,9 +74,9 @@
 
 template <typename Response>
 rpc_outcome<Response>
-operator_session::command(std::string_view method,
-                          const google::protobuf::Message& request,
-                          time_point deadline) const
+operator_client::command(std::string_view method,
+                         const google::protobuf::Message& request,
+                         time_point deadline) const
 {
     return client_.call<Response>("cyclamenrun.v1.CommandService", method,
                                   request, deadline);
@@ -84,9 +84,9 @@
 
 template <typename Response>
 rpc_outcome<Response>
-operator_session::query(std::string_view method,
-                        const google::protobuf::Message& request,
-                        time_point deadline) const
+operator_client::query(std::string_view method,
+                       const google::protobuf::Message& request,
+                       time_point deadline) const
 {
     return client_.call<Response>("cyclamenrun.v1.QueryService", method,
                                   request, deadline);
--- a/src/ctl/operator_session.hpp
+++ b/src/ctl/operator_client.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_OPERATOR_SESSION_HPP
-#define CYCLAMENRUN_OPERATOR_SESSION_HPP
+#ifndef CYCLAMENRUN_OPERATOR_CLIENT_HPP
+#define CYCLAMENRUN_OPERATOR_CLIENT_HPP
 
 #include "ctl_options.hpp"
 #include "operator.pb.h"
@@ -11,10 +11,10 @@
 {
 
 /** Makes the typed calls of the operators' API to one entry. */
-class operator_session
+class operator_client
 {
 public:
-    explicit operator_session(const ctl_options& options);
+    explicit operator_client(const ctl_options& options);
 
     /** Sends the change until its outcome is known; see change_sender. */
     rpc_outcome<v1::ApplyChangeResponse>
@@ -48,4 +48,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_OPERATOR_SESSION_HPP
+#endif // CYCLAMENRUN_OPERATOR_CLIENT_HPP
--- a/src/entry/main.cpp
+++ b/src/entry/main.cpp
@@ -16,7 +16,7 @@
             return log_settings_of(settings);
         });
     };
-    program.serve = [&](const stop_signal& stop) {
+    program.serve = [&](const signal_waiter& stop) {
         entry_process process(settings);
         announce_listener("operators", process.operator_address());
         return serve_until_stopped(process, stop);
--- a/src/gateway/main.cpp
+++ b/src/gateway/main.cpp
@@ -1,7 +1,7 @@
 #include "daemon_main.hpp"
 #include "gateway_process.hpp"
 #include "http_dialect.hpp"
-#include "record_codec.hpp"
+#include "record_parser.hpp"
 #include "store_feed.hpp"
 
 using namespace cyclamenrun;
@@ -21,7 +21,7 @@
             return log_settings_of(settings);
         });
     };
-    program.serve = [&](const stop_signal& stop) {
+    program.serve = [&](const signal_waiter& stop) {
         gateway_platform platform;
         platform.dialect = std::make_shared<platform::http_dialect>();
         platform.configurations = platform::make_configuration_feed;
--- a/src/libcyclamenrun/agent/agent_process.cpp
+++ b/src/libcyclamenrun/agent/agent_process.cpp
@@ -43,7 +43,7 @@
     gate.resume_grace = settings.replay.resume_grace;
     gate.drain_linger = settings.drain_linger;
     gate.tombstone_capacity = settings.tombstones.most;
-    gate.tombstone_life = settings.tombstones.lifetime;
+    gate.tombstone_lifetime = settings.tombstones.lifetime;
     return gate;
 }
 
@@ -55,7 +55,7 @@
     driver.max_running =
         static_cast<std::uint32_t>(settings.upstream.max_running);
     driver.http.connect_timeout = settings.upstream.connect_timeout;
-    driver.http.max_silence = settings.upstream.idle_timeout;
+    driver.http.response_timeout = settings.upstream.idle_timeout;
     return driver;
 }
 
@@ -86,7 +86,7 @@
                                                 steady_now))
 {
     gate_hooks hooks;
-    hooks.start = [this](const run_order& order) { driver_->start(order); };
+    hooks.start = [this](const admitted_work& order) { driver_->start(order); };
     hooks.stop = [this](work_id work) { driver_->stop(work); };
     hooks.wake = [this](reader_id reader) { server_->wake(reader); };
     hooks.news = [this] { server_->on_state_changed(); };
@@ -144,7 +144,7 @@
         orders_->on_configuration();
         apply_objective();
     });
-    driver_->on_engine_started([this] { orders_->on_engine_restarted(); });
+    driver_->on_engine_ready([this] { orders_->on_engine_restarted(); });
 }
 
 agent_process::~agent_process()
--- a/src/libcyclamenrun/agent/upstream_driver.cpp
+++ b/src/libcyclamenrun/agent/upstream_driver.cpp
@@ -20,7 +20,7 @@
 constexpr milliseconds cancel_timeout{5'000};
 constexpr milliseconds cancel_poll_interval{50};
 
-std::string engine_request_id(const run_order& order)
+std::string engine_request_id(const admitted_work& order)
 {
     return order.request_id;
 }
@@ -68,7 +68,7 @@
 class upstream_driver::run_task : public Poco::Runnable
 {
 public:
-    run_task(upstream_driver& driver, run_order order,
+    run_task(upstream_driver& driver, admitted_work order,
              std::shared_ptr<active_run> active)
         : driver_(driver), order_(std::move(order)), active_(std::move(active))
     {
@@ -83,7 +83,7 @@
 
 private:
     upstream_driver& driver_;
-    run_order order_;
+    admitted_work order_;
     std::shared_ptr<active_run> active_;
 };
 
@@ -109,7 +109,7 @@
     poll_thread_ = std::thread([this] { poll_until_stopped(); });
 }
 
-void upstream_driver::start(const run_order& order)
+void upstream_driver::start(const admitted_work& order)
 {
     const auto active = std::make_shared<active_run>();
     active->deadline = order.deadline;
@@ -176,7 +176,7 @@
         return order_result::done;
     switch (sent.error().status) {
     case http_conflict:
-        return order_result::old_number;
+        return order_result::stale_fencing_number;
     case http_too_many_requests:
     case http_unavailable:
         return order_result::store_limited;
@@ -185,12 +185,12 @@
     }
 }
 
-void upstream_driver::on_engine_started(std::function<void()> hook)
+void upstream_driver::on_engine_ready(std::function<void()> hook)
 {
     engine_ready_hook_ = std::move(hook);
 }
 
-void upstream_driver::run(const run_order& order, active_run& active)
+void upstream_driver::run(const admitted_work& order, active_run& active)
 {
     if (order.kind == link::WORK_KIND_CALL)
         run_call(order, active);
@@ -198,7 +198,8 @@
         run_generation(order, active);
 }
 
-void upstream_driver::run_generation(const run_order& order, active_run& active)
+void upstream_driver::run_generation(const admitted_work& order,
+                                     active_run& active)
 {
     engine_request request;
     request.request_id = engine_request_id(order);
@@ -222,7 +223,7 @@
         handle_generation_failure(order, result.error());
 }
 
-void upstream_driver::handle_generation_failure(const run_order& order,
+void upstream_driver::handle_generation_failure(const admitted_work& order,
                                                 const engine_error& error)
 {
     // A lost engine can make the request a suspect; a failure of only this run
@@ -235,7 +236,7 @@
     gate_->run_failed(order.work, refusal_of(error), clock_());
 }
 
-void upstream_driver::run_call(const run_order& order, active_run& active)
+void upstream_driver::run_call(const admitted_work& order, active_run& active)
 {
     runner_request request;
     request.request_id = order.request_id;
--- a/src/libcyclamenrun/agent/upstream_driver.hpp
+++ b/src/libcyclamenrun/agent/upstream_driver.hpp
@@ -48,7 +48,7 @@
 
     /** Sets the gate and starts polling. Call once, before start(). */
     void attach(gate& gate);
-    void start(const run_order& order);
+    void start(const admitted_work& order);
     void stop(work_id work);
     /** Cancels all runs and waits for all threads to end. */
     void shut_down();
@@ -56,7 +56,7 @@
     /** Sends an order to the engine and waits for the answer. */
     order_result send_order(const engine_order& order);
     /** Sets a hook that the polling thread calls when the engine is ready. */
-    void on_engine_started(std::function<void()> hook);
+    void on_engine_ready(std::function<void()> hook);
 
 private:
     struct active_run {
@@ -65,10 +65,10 @@
     };
     class run_task;
 
-    void run(const run_order& order, active_run& active);
-    void run_generation(const run_order& order, active_run& active);
-    void run_call(const run_order& order, active_run& active);
-    void handle_generation_failure(const run_order& order,
+    void run(const admitted_work& order, active_run& active);
+    void run_generation(const admitted_work& order, active_run& active);
+    void run_call(const admitted_work& order, active_run& active);
+    void handle_generation_failure(const admitted_work& order,
                                    const engine_error& error);
     void remove_run(work_id work);
 
--- a/src/libcyclamenrun/base/stop_signal.cpp
+++ b/src/libcyclamenrun/base/signal_waiter.cpp
@@ -1,4 +1,4 @@
-#include "stop_signal.hpp"
+#include "signal_waiter.hpp"
 
 #include <csignal>
 
@@ -20,7 +20,7 @@
 
 } // namespace
 
-stop_signal::stop_signal()
+signal_waiter::signal_waiter()
 {
     const auto signals = handled_signals();
     pthread_sigmask(SIG_BLOCK, &signals, nullptr);
@@ -28,7 +28,7 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-int stop_signal::wait() const
+int signal_waiter::wait() const
 {
     const auto signals = handled_signals();
     int signal = 0;
--- a/src/libcyclamenrun/base/stop_signal.hpp
+++ b/src/libcyclamenrun/base/signal_waiter.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_STOP_SIGNAL_HPP
-#define CYCLAMENRUN_STOP_SIGNAL_HPP
+#ifndef CYCLAMENRUN_SIGNAL_WAITER_HPP
+#define CYCLAMENRUN_SIGNAL_WAITER_HPP
 
 namespace cyclamenrun
 {
@@ -9,14 +9,14 @@
  * shutdown nor a reload runs in a signal handler. Must be constructed before
  * any thread is started, as threads inherit the mask of blocked signals.
  */
-class stop_signal
+class signal_waiter
 {
 public:
-    stop_signal();
+    signal_waiter();
     /** Returns the signal number. SIGHUP requests a reload of the settings. */
     int wait() const;
 };
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_STOP_SIGNAL_HPP
+#endif // CYCLAMENRUN_SIGNAL_WAITER_HPP
--- a/src/libcyclamenrun/configuration/configuration_store.cpp
+++ b/src/libcyclamenrun/configuration/configuration_store.cpp
@@ -29,7 +29,7 @@
     return state_.revision();
 }
 
-bool configuration_store::apply(const std::vector<log_entry>& records)
+bool configuration_store::apply(const std::vector<platform_log_record>& records)
 {
     std::unique_lock lock(mutex_);
     const std::uint64_t before = state_.revision();
--- a/src/libcyclamenrun/configuration/configuration_store.hpp
+++ b/src/libcyclamenrun/configuration/configuration_store.hpp
@@ -54,7 +54,7 @@
      * Applies the records in order and skips those already applied. Returns
      * false if a record is missing; the records after it are not applied.
      */
-    bool apply(const std::vector<log_entry>& records);
+    bool apply(const std::vector<platform_log_record>& records);
 
     /**
      * Marks the store as ready and publishes its view. Called when the end of
--- a/src/libcyclamenrun/configuration/log_tail_cursor.cpp
+++ b/src/libcyclamenrun/configuration/log_tail_cursor.cpp
@@ -79,7 +79,7 @@
 {
     const std::uint64_t before = store_.revision();
     if (!store_.apply(page.records))
-        ++broken_pages_;
+        ++incomplete_pages_;
     for (const auto& record : page.records) {
         if (record.offset >= before && record.offset < store_.revision())
             add_snapshot_part(record);
@@ -88,7 +88,7 @@
         store_.set_ready();
 }
 
-void log_tail_cursor::add_snapshot_part(const log_entry& record)
+void log_tail_cursor::add_snapshot_part(const platform_log_record& record)
 {
     v1::LogRecord parsed;
     if (!parsed.ParseFromString(record.data) || !parsed.has_snapshot() ||
--- a/src/libcyclamenrun/configuration/log_tail_cursor.hpp
+++ b/src/libcyclamenrun/configuration/log_tail_cursor.hpp
@@ -53,13 +53,13 @@
     /** Returns how often unread records expired. */
     std::uint64_t gaps() const { return gaps_; }
     /** Returns the number of pages in which a record was missing. */
-    std::uint64_t broken_pages() const { return broken_pages_; }
+    std::uint64_t incomplete_pages() const { return incomplete_pages_; }
 
 private:
     void update_first_retained(std::uint64_t first_retained);
     void scan_for_snapshot(const log_page& page);
     void apply_page(const log_page& page);
-    void add_snapshot_part(const log_entry& record);
+    void add_snapshot_part(const platform_log_record& record);
 
     configuration_store& store_;
     snapshot_hook snapshot_hook_;
@@ -69,7 +69,7 @@
     std::uint64_t first_retained_ = 0;
     std::uint64_t end_ = 0;
     std::uint64_t gaps_ = 0;
-    std::uint64_t broken_pages_ = 0;
+    std::uint64_t incomplete_pages_ = 0;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/configuration/log_tailer.cpp
+++ b/src/libcyclamenrun/configuration/log_tailer.cpp
@@ -115,7 +115,7 @@
     status_.first_retained = cursor_.first_retained();
     status_.end = cursor_.end();
     status_.gaps = cursor_.gaps();
-    status_.broken_pages = cursor_.broken_pages();
+    status_.incomplete_pages = cursor_.incomplete_pages();
     status_.failures_in_a_row = 0;
 }
 
--- a/src/libcyclamenrun/configuration/log_tailer.hpp
+++ b/src/libcyclamenrun/configuration/log_tailer.hpp
@@ -31,7 +31,7 @@
     std::uint64_t first_retained = 0;
     std::uint64_t end = 0;
     std::uint64_t gaps = 0;
-    std::uint64_t broken_pages = 0;
+    std::uint64_t incomplete_pages = 0;
     std::uint64_t failures = 0;
     std::uint32_t failures_in_a_row = 0;
 };
--- a/src/libcyclamenrun/daemon/daemon_main.cpp
+++ b/src/libcyclamenrun/daemon/daemon_main.cpp
@@ -17,7 +17,7 @@
 exit_code run(const daemon_program& program, const std::string& file,
               bool check_only)
 {
-    const stop_signal stop;
+    const signal_waiter stop;
     const auto log = program.read_settings(file);
     if (!log) {
         for (const auto& error : log.error())
--- a/src/libcyclamenrun/daemon/daemon_main.hpp
+++ b/src/libcyclamenrun/daemon/daemon_main.hpp
@@ -4,7 +4,7 @@
 #include "exit_code.hpp"
 #include "logging.hpp"
 #include "settings_error.hpp"
-#include "stop_signal.hpp"
+#include "signal_waiter.hpp"
 
 #include <csignal>
 #include <functional>
@@ -22,7 +22,7 @@
     std::function<settings_outcome<log_settings>(const std::string& file)>
         read_settings;
     /** Serves until a stop signal arrives, then drains. */
-    std::function<exit_code(const stop_signal& stop)> serve;
+    std::function<exit_code(const signal_waiter& stop)> serve;
 };
 
 /** Returns the log settings with the name of the process filled in. */
@@ -45,7 +45,7 @@
  * drain(), and reload() if it can reload its settings.
  */
 template <typename Process>
-exit_code serve_until_stopped(Process& process, const stop_signal& stop);
+exit_code serve_until_stopped(Process& process, const signal_waiter& stop);
 
 /** Logs that the listener `name` is open. */
 void announce_listener(const std::string& name, const std::string& address);
@@ -55,7 +55,7 @@
 void announce_stopped();
 
 template <typename Process>
-exit_code serve_until_stopped(Process& process, const stop_signal& stop)
+exit_code serve_until_stopped(Process& process, const signal_waiter& stop)
 {
     announce_ready(process.address());
     while (stop.wait() == SIGHUP) {
--- a/src/libcyclamenrun/decisions/admission.cpp
+++ b/src/libcyclamenrun/decisions/admission.cpp
@@ -110,7 +110,7 @@
 void admission::join(team_queue& queue, work_id id)
 {
     if (queue.waiting.empty()) {
-        shares_.raise_to_floor(*queue.account, least_waiting_counter());
+        shares_.raise_to_virtual_time(*queue.account, least_waiting_counter());
         waiting_queues_.push_back(&queue);
     }
     queue.waiting.push_back(id);
@@ -467,7 +467,7 @@
     return found != records_.end() && found->second.work.suspect ? -1 : 0;
 }
 
-void admission::foreign_memory(std::uint64_t tokens)
+void admission::set_external_memory(std::uint64_t tokens)
 {
     external_tokens_ = tokens;
 }
--- a/src/libcyclamenrun/decisions/admission.hpp
+++ b/src/libcyclamenrun/decisions/admission.hpp
@@ -93,7 +93,7 @@
      * Sets the engine memory used by work outside this process, in tokens.
      * It counts as taken.
      */
-    void foreign_memory(std::uint64_t tokens);
+    void set_external_memory(std::uint64_t tokens);
     void engine_load(const engine_load_hint& hint, time_point now);
 
     std::uint32_t running() const { return running_; }
--- a/src/libcyclamenrun/decisions/attempt_policy.cpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.cpp
@@ -15,7 +15,7 @@
 
 attempt_step step_if_not_run(attempt_step again, const attempt_state& state)
 {
-    if (state.sends < max_sends && !state.time_is_up)
+    if (state.sends < max_sends && !state.is_past_deadline)
         return again;
     // The request may have run in an earlier attempt: "not run" could be false.
     return state.runs > 0 ? attempt_step::report_lost : attempt_step::refuse;
@@ -61,7 +61,7 @@
 {
     if (state.answer_begun)
         return attempt_step::cut;
-    const bool may_repeat = state.idempotent && !state.time_is_up &&
+    const bool may_repeat = state.idempotent && !state.is_past_deadline &&
                             state.runs < state.max_attempts &&
                             state.sends < max_sends;
     switch (result) {
@@ -78,8 +78,8 @@
 }
 
 std::optional<milliseconds>
-silence_limit(const attempt_state& state, milliseconds objective,
-              std::optional<milliseconds> usual_bound)
+attempt_response_timeout(const attempt_state& state, milliseconds objective,
+                         std::optional<milliseconds> usual_bound)
 {
     // The current attempt counts as a run if it times out.
     const bool can_retry = state.idempotent &&
@@ -96,7 +96,7 @@
     return milliseconds(std::llround(std::clamp(usual, lowest, highest)));
 }
 
-milliseconds spread_retry(milliseconds after, std::mt19937_64& random)
+milliseconds jitter_retry_delay(milliseconds after, std::mt19937_64& random)
 {
     constexpr double spread = 0.2;
     std::uniform_real_distribution<double> factor(1 - spread, 1 + spread);
--- a/src/libcyclamenrun/decisions/attempt_policy.hpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.hpp
@@ -27,7 +27,7 @@
     unsigned max_attempts = 1;
     unsigned runs = 0;  ///< attempts that may have run
     unsigned sends = 0; ///< attempts of any result
-    bool time_is_up = false;
+    bool is_past_deadline = false;
     /** Part of a response has been sent to the caller. */
     bool answer_begun = false;
 };
@@ -63,14 +63,14 @@
  * make all queues long.
  */
 std::optional<milliseconds>
-silence_limit(const attempt_state& state, milliseconds objective,
-              std::optional<milliseconds> usual_bound);
+attempt_response_timeout(const attempt_state& state, milliseconds objective,
+                         std::optional<milliseconds> usual_bound);
 
 /**
  * Adds a random deviation of up to a fifth to a retry delay, so that callers
  * that are refused at the same time do not come back at the same time.
  */
-milliseconds spread_retry(milliseconds after, std::mt19937_64& random);
+milliseconds jitter_retry_delay(milliseconds after, std::mt19937_64& random);
 
 /**
  * Maximum number of times that one request is sent to an upstream. When that
--- a/src/libcyclamenrun/decisions/engine_outlook.cpp
+++ b/src/libcyclamenrun/decisions/engine_load_estimate.cpp
@@ -1,4 +1,4 @@
-#include "engine_outlook.hpp"
+#include "engine_load_estimate.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -27,21 +27,24 @@
 
 } // namespace
 
-void engine_outlook::take_view(const engine_view& status, time_point now)
+void engine_load_estimate::update_status(const engine_status& status,
+                                         time_point now)
 {
     record_reading(now);
     status_ = status;
     status_at_ = now;
     std::erase_if(started_, [&](const start_request& each) {
-        return std::none_of(
-            status_.generations.begin(), status_.generations.end(),
-            [&](const held_generation& held) { return held.id == each.id; });
+        return std::none_of(status_.generations.begin(),
+                            status_.generations.end(),
+                            [&](const resident_generation& held) {
+                                return held.id == each.id;
+                            });
     });
     record_started(now);
     drop_stale_grants(now);
 }
 
-void engine_outlook::record_reading(time_point now)
+void engine_load_estimate::record_reading(time_point now)
 {
     const bool reading = status_.starting > 0 && !granted_.empty() &&
                          granted_.front().reading_since != time_point{};
@@ -50,7 +53,7 @@
             now - std::max(status_at_, granted_.front().reading_since));
 }
 
-void engine_outlook::record_started(time_point now)
+void engine_load_estimate::record_started(time_point now)
 {
     for (const auto& held : status_.generations) {
         const auto found = std::find_if(granted_.begin(), granted_.end(),
@@ -67,7 +70,7 @@
     }
 }
 
-void engine_outlook::drop_stale_grants(time_point now)
+void engine_load_estimate::drop_stale_grants(time_point now)
 {
     // Some generations are so short that they start and end between two polls.
     auto stale = std::count_if(
@@ -84,7 +87,7 @@
         granted_.front().reading_since = now;
 }
 
-void engine_outlook::grant(const start_request& start, time_point now)
+void engine_load_estimate::grant(const start_request& start, time_point now)
 {
     granted_.push_back({start, now, granted_.empty() ? now : time_point{}});
     const auto prompt = static_cast<double>(start.prompt_tokens);
@@ -93,46 +96,46 @@
                        : mean_prompt_ + mean_weight * (prompt - mean_prompt_);
 }
 
-bool engine_outlook::was_given(const std::string& id) const
+bool engine_load_estimate::is_granted(const std::string& id) const
 {
     return std::any_of(
         granted_.begin(), granted_.end(),
         [&](const granted_start& each) { return each.request.id == id; });
 }
 
-void engine_outlook::drop_grant(const std::string& id)
+void engine_load_estimate::drop_grant(const std::string& id)
 {
     std::erase_if(granted_, [&](const granted_start& each) {
         return each.request.id == id;
     });
 }
 
-std::size_t engine_outlook::taken_slots() const
+std::size_t engine_load_estimate::taken_slots() const
 {
     const std::size_t not_started = status_.starting + status_.queued;
     return status_.running - std::min(status_.running, status_.starting) +
            std::max(not_started, granted_.size());
 }
 
-given_place engine_outlook::place() const
+engine_occupancy engine_load_estimate::place() const
 {
     return {taken_slots(), static_cast<std::uint64_t>(planned_memory())};
 }
 
-milliseconds engine_outlook::reading_time(std::uint64_t tokens) const
+milliseconds engine_load_estimate::reading_time(std::uint64_t tokens) const
 {
     return milliseconds(
         std::llround(static_cast<double>(tokens) / speed_.tokens_per_ms()));
 }
 
-milliseconds engine_outlook::unread(time_point now) const
+milliseconds engine_load_estimate::unread(time_point now) const
 {
     // A gateway that reaches no monitor sends requests without a start grant.
     const std::size_t not_started = status_.starting + status_.queued;
     const auto ungranted = not_started - std::min(not_started, granted_.size());
     const double prompt = mean_prompt_ > 0
                               ? mean_prompt_
-                              : static_cast<double>(status_.next_tokens);
+                              : static_cast<double>(status_.next_prompt_tokens);
     auto remaining = reading_time(
         static_cast<std::uint64_t>(static_cast<double>(ungranted) * prompt));
     for (const auto& each : granted_)
@@ -146,7 +149,7 @@
                     reading_time(granted_.front().request.prompt_tokens));
 }
 
-double engine_outlook::planned_memory() const
+double engine_load_estimate::planned_memory() const
 {
     double tokens = static_cast<double>(status_.memory_used);
     // The engine allocates a prompt's memory when it begins to read it.
@@ -160,7 +163,8 @@
     return tokens;
 }
 
-const start_request* engine_outlook::find_started(const std::string& id) const
+const start_request*
+engine_load_estimate::find_started(const std::string& id) const
 {
     const auto found =
         std::find_if(started_.begin(), started_.end(),
@@ -168,7 +172,8 @@
     return found == started_.end() ? nullptr : &*found;
 }
 
-std::map<std::string, std::uint64_t> engine_outlook::memory_by_team() const
+std::map<std::string, std::uint64_t>
+engine_load_estimate::memory_by_team() const
 {
     std::map<std::string, std::uint64_t> tokens;
     for (const auto& each : granted_)
@@ -181,9 +186,8 @@
     return tokens;
 }
 
-double
-engine_outlook::expected_further_tokens(const held_generation& held,
-                                        const start_request& request) const
+double engine_load_estimate::expected_further_tokens(
+    const resident_generation& held, const start_request& request) const
 {
     const auto* known = find_started(held.id);
     // A generation moved from another engine has been running for a while.
@@ -196,7 +200,7 @@
     return std::max(expected - generated, expected / 2);
 }
 
-double engine_outlook::room_to_grow(const start_request& request) const
+double engine_load_estimate::room_to_grow(const start_request& request) const
 {
     // Expected ends while each generation makes one token.
     double ends_per_step = 0;
@@ -216,7 +220,7 @@
            std::log(std::max(1.0, value_lost_by_preemption * total / mean));
 }
 
-bool engine_outlook::has_memory_for(const start_request& request) const
+bool engine_load_estimate::has_memory_for(const start_request& request) const
 {
     const double needed =
         planned_memory() + static_cast<double>(request.prompt_tokens);
--- a/src/libcyclamenrun/decisions/engine_outlook.hpp
+++ b/src/libcyclamenrun/decisions/engine_load_estimate.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_ENGINE_OUTLOOK_HPP
-#define CYCLAMENRUN_ENGINE_OUTLOOK_HPP
+#ifndef CYCLAMENRUN_ENGINE_LOAD_ESTIMATE_HPP
+#define CYCLAMENRUN_ENGINE_LOAD_ESTIMATE_HPP
 
 #include "clock.hpp"
 #include "reading_speed.hpp"
@@ -25,41 +25,42 @@
 };
 
 /** Slots and memory in use at an engine, start grants included. */
-struct given_place {
+struct engine_occupancy {
     std::size_t slots_taken = 0;
     std::uint64_t memory_taken = 0; ///< tokens
 };
 
 /** A generation that has started and is in an engine's memory. */
-struct held_generation {
+struct resident_generation {
     std::string id;
     std::uint64_t memory_tokens = 0;
 };
 
 /** Status reported by an engine. */
-struct engine_view {
+struct engine_status {
     std::uint32_t running = 0;  ///< generations, those in prefill included
     std::uint32_t starting = 0; ///< running generations with no token yet
     std::uint32_t queued = 0;
-    std::uint32_t next_tokens = 0; ///< prompt of the first queued request
+    std::uint32_t next_prompt_tokens =
+        0;                         ///< prompt of the first queued request
     std::uint64_t memory_used = 0; ///< tokens that can't be evicted
     std::uint64_t memory_total = 0;
-    std::vector<held_generation> generations;
+    std::vector<resident_generation> generations;
 };
 
 /**
  * Estimates the load of one engine from its latest status and the start grants
  * since then, which count at once. No I/O; not thread-safe.
  */
-class engine_outlook
+class engine_load_estimate
 {
 public:
     /** Replaces the status, and drops the start grants that it includes. */
-    void take_view(const engine_view& status, time_point now);
+    void update_status(const engine_status& status, time_point now);
 
     /** Records a start grant. */
     void grant(const start_request& start, time_point now);
-    bool was_given(const std::string& id) const;
+    bool is_granted(const std::string& id) const;
     /** Drops the start grant of a generation that ended or did not use it. */
     void drop_grant(const std::string& id);
 
@@ -68,7 +69,7 @@
     /** Slots of the generations that run, wait or have a start grant. */
     std::size_t taken_slots() const;
     /** Slots and memory in use, start grants included. */
-    given_place place() const;
+    engine_occupancy place() const;
     /** Time that the engine needs to read the prompts not yet read. */
     milliseconds unread(time_point now) const;
     double tokens_read_per_ms() const { return speed_.tokens_per_ms(); }
@@ -103,10 +104,10 @@
      * by a preemption.
      */
     double room_to_grow(const start_request& request) const;
-    double expected_further_tokens(const held_generation& held,
+    double expected_further_tokens(const resident_generation& held,
                                    const start_request& request) const;
 
-    engine_view status_;
+    engine_status status_;
     time_point status_at_{};
     std::deque<granted_start> granted_; ///< not started yet, in order of grants
     std::vector<start_request> started_;
@@ -116,4 +117,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_ENGINE_OUTLOOK_HPP
+#endif // CYCLAMENRUN_ENGINE_LOAD_ESTIMATE_HPP
--- a/src/libcyclamenrun/decisions/fair_share.cpp
+++ b/src/libcyclamenrun/decisions/fair_share.cpp
@@ -30,9 +30,9 @@
 
 void fair_share::drop_idle()
 {
-    // An account at the virtual time loses nothing, since raise_to_floor()
-    // raises a new one to it. If that frees too few, all idle accounts are
-    // dropped with their debts to keep the bound.
+    // An account at the virtual time loses nothing, since
+    // raise_to_virtual_time() raises a new one to it. If that frees too few,
+    // all idle accounts are dropped with their debts to keep the bound.
     const auto at_virtual_time = [this](const auto& item) {
         return item.second.holders == 0 && item.second.counter <= virtual_time_;
     };
@@ -42,7 +42,8 @@
         idle_ -= std::erase_if(accounts_, idle);
 }
 
-void fair_share::raise_to_floor(account& target, double lowest_waiting) const
+void fair_share::raise_to_virtual_time(account& target,
+                                       double lowest_waiting) const
 {
     target.counter =
         std::max(target.counter, std::min(virtual_time_, lowest_waiting));
--- a/src/libcyclamenrun/decisions/fair_share.hpp
+++ b/src/libcyclamenrun/decisions/fair_share.hpp
@@ -38,7 +38,7 @@
      * counter of the waiting teams, but not beyond the virtual time, which is
      * the highest counter served so far.
      */
-    void raise_to_floor(account& target, double lowest_waiting) const;
+    void raise_to_virtual_time(account& target, double lowest_waiting) const;
     void charge(account& target, double tokens);
     /** Records that the account is served; raises the virtual time to its
      * counter. */
--- a/src/libcyclamenrun/decisions/placement.cpp
+++ b/src/libcyclamenrun/decisions/placement.cpp
@@ -50,7 +50,7 @@
         cost += weights.other_domain;
     if (candidate.unreachable)
         cost += unreachable_cost;
-    if (candidate.doubtful)
+    if (candidate.unconfirmed)
         cost += unconfirmed_cost;
     return cost;
 }
--- a/src/libcyclamenrun/decisions/placement.hpp
+++ b/src/libcyclamenrun/decisions/placement.hpp
@@ -23,7 +23,7 @@
     /** The upstream could not be reached recently. */
     bool unreachable = false;
     /** The upstream was reported as removed, but this is unconfirmed. */
-    bool doubtful = false;
+    bool unconfirmed = false;
 };
 
 /** Weights of the placement cost that differ between kinds of requests. */
--- a/src/libcyclamenrun/decisions/shared_retry_budget.hpp
+++ b/src/libcyclamenrun/decisions/shared_retry_budget.hpp
@@ -33,9 +33,12 @@
     {
     }
 
-    unsigned sharers() const { return gateway_count_; }
+    unsigned gateway_count() const { return gateway_count_; }
     /** Sets the number of gateways that share the budget. */
-    void set_sharers(unsigned count) { gateway_count_ = count > 0 ? count : 1; }
+    void set_gateway_count(unsigned count)
+    {
+        gateway_count_ = count > 0 ? count : 1;
+    }
 
     void request(const std::string& service, time_point now);
     /** Spends one retry; false if the budget is exhausted. */
--- a/src/libcyclamenrun/decisions/start_queue.cpp
+++ b/src/libcyclamenrun/decisions/start_queue.cpp
@@ -25,11 +25,11 @@
 
 } // namespace
 
-void start_queue::take_view(const engine_view& status, bool leaving,
-                            time_point now)
+void start_queue::update_status(const engine_status& status, bool leaving,
+                                time_point now)
 {
     leaving_ = leaving;
-    outlook_.take_view(status, now);
+    outlook_.update_status(status, now);
 }
 
 void start_queue::ask(const start_request& request, time_point now)
@@ -40,7 +40,7 @@
                                     });
     if (found != waiting_.end())
         *found = {request, now};
-    else if (!was_given(request.id) && waiting_.size() < most_waiting_starts)
+    else if (!is_granted(request.id) && waiting_.size() < max_waiting_starts)
         waiting_.push_back({request, now});
 }
 
--- a/src/libcyclamenrun/decisions/start_queue.hpp
+++ b/src/libcyclamenrun/decisions/start_queue.hpp
@@ -2,7 +2,7 @@
 #define CYCLAMENRUN_START_QUEUE_HPP
 
 #include "clock.hpp"
-#include "engine_outlook.hpp"
+#include "engine_load_estimate.hpp"
 
 #include <deque>
 #include <optional>
@@ -34,7 +34,8 @@
 {
 public:
     /** Replaces the engine's status. `leaving`: no more starts are granted. */
-    void take_view(const engine_view& status, bool leaving, time_point now);
+    void update_status(const engine_status& status, bool leaving,
+                       time_point now);
     /**
      * Sets how many generations the engine can run at once, as listed in the
      * directory.
@@ -48,9 +49,9 @@
     /** Grants the starts that are possible now; returns them in order. */
     std::vector<start_request> give(time_point now);
 
-    bool was_given(const std::string& id) const
+    bool is_granted(const std::string& id) const
     {
-        return outlook_.was_given(id);
+        return outlook_.is_granted(id);
     }
     /**
      * True if the request is late and teams that hold less memory are waiting
@@ -60,7 +61,7 @@
     /** True if a running generation of `tokens` could be copied here. */
     bool has_room_for_copy(std::uint64_t tokens) const;
     /** The engine's estimated load, start grants included. */
-    const engine_outlook& outlook() const { return outlook_; }
+    const engine_load_estimate& outlook() const { return outlook_; }
     bool leaving() const { return leaving_; }
     /** When give() is due next; empty: after the next status of the engine. */
     std::optional<time_point> next_event(time_point now) const;
@@ -78,7 +79,7 @@
     void sort(time_point now);
     bool is_late(const start_request& request, time_point now) const;
 
-    engine_outlook outlook_;
+    engine_load_estimate outlook_;
     std::deque<waiting_start> waiting_;
     unsigned slots_ = 0;
     bool leaving_ = false;
@@ -87,7 +88,7 @@
 /** Gateways repeat a request every 150 ms; see start_search. */
 inline constexpr milliseconds start_request_timeout{700};
 /** Requests that wait at one engine; further ones are ignored. */
-inline constexpr std::size_t most_waiting_starts = 512;
+inline constexpr std::size_t max_waiting_starts = 512;
 
 } // namespace cyclamenrun
 
--- a/src/libcyclamenrun/entry/caller_http_handler.cpp
+++ b/src/libcyclamenrun/entry/caller_http_handler.cpp
@@ -2,7 +2,7 @@
 
 #include "caller_error.hpp"
 #include "http_caller_writer.hpp"
-#include "http_write_limit.hpp"
+#include "http_write_timeout.hpp"
 #include "json_text.hpp"
 #include "log_event.hpp"
 
@@ -78,7 +78,7 @@
 {
     request_id_ = response_request_id(header(request, "X-Request-Id"),
                                       std::to_string(random_u64()));
-    const http_write_limit limit(request, response, limits_.write_timeout);
+    const http_write_timeout limit(request, response, limits_.write_timeout);
     outcome<void> handled;
     try {
         handled = route(request, response);
--- a/src/libcyclamenrun/entry/entry_core.cpp
+++ b/src/libcyclamenrun/entry/entry_core.cpp
@@ -1,11 +1,11 @@
 #include "entry_core.hpp"
 
-#include "agent_question.hpp"
+#include "agent_query.hpp"
 #include "caller_writer.hpp"
 #include "log_event.hpp"
 #include "metrics_caller_writer.hpp"
-#include "metrics_of_outcome.hpp"
 #include "operator.pb.h"
+#include "outcome_metrics.hpp"
 
 #include <algorithm>
 
@@ -168,7 +168,7 @@
         routes_.choose(request, objective::stall_time, {}, false, now);
     if (!target)
         return tl::unexpected(target.error());
-    const auto clock = routes_.clock_of(target->upstream, now);
+    const auto clock = routes_.agent_uptime(target->upstream, now);
     if (!clock || clock->incarnation != target->incarnation)
         return tl::unexpected(
             not_run(refusal_reason::no_upstream,
@@ -281,12 +281,12 @@
     return *answer;
 }
 
-std::shared_ptr<agent_question>
-entry_core::send_query(const agent_address& agent, const std::string& path,
-                       const std::string& frame)
+std::shared_ptr<agent_query> entry_core::send_query(const agent_address& agent,
+                                                    const std::string& path,
+                                                    const std::string& frame)
 {
-    auto query = std::make_shared<agent_question>();
-    query->asked_by(links_.open(agent, path, frame, query->handlers()));
+    auto query = std::make_shared<agent_query>();
+    query->set_stream(links_.open(agent, path, frame, query->handlers()));
     return query;
 }
 
@@ -295,7 +295,7 @@
     // Each entry sends heartbeats to many agents, so a few agents, spread over
     // all services, know every entry. Querying all agents would transfer
     // far more data per call.
-    std::vector<std::shared_ptr<agent_question>> queries;
+    std::vector<std::shared_ptr<agent_query>> queries;
     const auto agents = routes_.members().subset();
     const auto stride =
         std::max<std::size_t>(1, agents.size() / max_agents_queried);
@@ -404,7 +404,7 @@
     // already leaving, or its whole failure domain is cut off.
     const bool explained = !known || known->state == upstream_state::leaving ||
                            known->state == upstream_state::gone ||
-                           routes_.members().is_cut(known->failure_domain);
+                           routes_.members().is_cut_off(known->failure_domain);
     if (explained)
         return;
     poison_.agent_lost(fingerprint, agent, now);
--- a/src/libcyclamenrun/entry/entry_core.hpp
+++ b/src/libcyclamenrun/entry/entry_core.hpp
@@ -7,12 +7,12 @@
 #include "configuration_revisions.hpp"
 #include "configuration_store.hpp"
 #include "metrics.hpp"
-#include "poison_watch.hpp"
+#include "poison_mark_sync.hpp"
 #include "relay.hpp"
 #include "relay_runner.hpp"
 #include "route_table.hpp"
 #include "sharded.hpp"
-#include "team_desk.hpp"
+#include "team_registry.hpp"
 #include "ticket_authority.hpp"
 
 #include <atomic>
@@ -28,7 +28,7 @@
 namespace cyclamenrun
 {
 
-class agent_question;
+class agent_query;
 class caller_writer;
 class link_loop;
 
@@ -102,7 +102,7 @@
     route_table& routes() { return routes_; }
     metrics& measurements() { return metrics_; }
     const entry_core_settings& settings() const { return settings_; }
-    const poison_watch& poison() const { return poison_; }
+    const poison_mark_sync& poison() const { return poison_; }
     time_point now() const { return clock_(); }
 
 private:
@@ -117,9 +117,9 @@
 
     relay_hooks relay_hooks_for(const caller_session& caller);
     relay_runner_hooks runner_hooks(const std::string& service);
-    std::shared_ptr<agent_question> send_query(const agent_address& agent,
-                                               const std::string& path,
-                                               const std::string& frame);
+    std::shared_ptr<agent_query> send_query(const agent_address& agent,
+                                            const std::string& path,
+                                            const std::string& frame);
     link::Heartbeat make_heartbeat(const std::string& upstream);
     milliseconds heartbeat_wait(const agent_state& known) const;
     bool should_send_configuration(const std::string& upstream,
@@ -140,9 +140,9 @@
     clock_function clock_;
     configuration_store configuration_;
     configuration_revisions revisions_;
-    team_desk teams_;
+    team_registry teams_;
     route_table routes_;
-    poison_watch poison_;
+    poison_mark_sync poison_;
     ticket_authority tickets_;
     sharded<agent_state_map> agent_states_;
     metrics metrics_;
--- a/src/libcyclamenrun/entry/entry_process.cpp
+++ b/src/libcyclamenrun/entry/entry_process.cpp
@@ -4,11 +4,10 @@
 #include "build_info.hpp"
 #include "caller_http_handler.hpp"
 #include "configuration_recovery.hpp"
+#include "log_change.hpp"
 #include "log_event.hpp"
 #include "log_tailer.hpp"
-#include "logging_change.hpp"
 #include "logging_platform_log.hpp"
-#include "logging_vm_list.hpp"
 #include "operator_commands.hpp"
 #include "operator_queries.hpp"
 #include "platform_log_client.hpp"
@@ -17,6 +16,7 @@
 #include "rpc_router.hpp"
 #include "snapshot_writer.hpp"
 #include "state_dump_sections.hpp"
+#include "vm_list_change_logger.hpp"
 #include "vm_list_watcher.hpp"
 
 #include <Poco/JSON/Array.h>
@@ -56,7 +56,7 @@
     core.routes.members.entry = settings.name;
     core.routes.members.subset.size = settings.routing.subset_size;
     core.routes.seed = random_u64();
-    core.relay.max_whole_bytes = settings.limits.answer_bytes;
+    core.relay.max_buffered_bytes = settings.limits.answer_bytes;
     core.limits.max_prompt_bytes = settings.limits.prompt_bytes;
     core.limits.default_deadline = settings.deadlines.by_default;
     core.limits.max_deadline = settings.deadlines.longest;
@@ -184,8 +184,8 @@
     tailer_->start();
     vm_list_ = std::make_unique<vm_list_watcher>(
         platform,
-        [this,
-         list_log = std::make_shared<logging_vm_list>()](const vm_list& list) {
+        [this, list_log = std::make_shared<vm_list_change_logger>()](
+            const vm_list& list) {
             list_log->note(list);
             core_->on_vm_list(list);
             snapshots_->on_entries(core_->routes().members().entries());
--- a/src/libcyclamenrun/entry/metrics_of_outcome.cpp
+++ b/src/libcyclamenrun/entry/outcome_metrics.cpp
@@ -1,4 +1,4 @@
-#include "metrics_of_outcome.hpp"
+#include "outcome_metrics.hpp"
 
 #include "metrics.hpp"
 #include "relay_request.hpp"
--- a/src/libcyclamenrun/entry/metrics_of_outcome.hpp
+++ b/src/libcyclamenrun/entry/outcome_metrics.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_METRICS_OF_OUTCOME_HPP
-#define CYCLAMENRUN_METRICS_OF_OUTCOME_HPP
+#ifndef CYCLAMENRUN_OUTCOME_METRICS_HPP
+#define CYCLAMENRUN_OUTCOME_METRICS_HPP
 
 #include "clock.hpp"
 
@@ -17,4 +17,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_METRICS_OF_OUTCOME_HPP
+#endif // CYCLAMENRUN_OUTCOME_METRICS_HPP
--- a/src/libcyclamenrun/entry/relay_mailbox.hpp
+++ b/src/libcyclamenrun/entry/relay_mailbox.hpp
@@ -17,8 +17,8 @@
 struct relay_event {
     stream_number stream = 0;
     bool lost = false;
-    bool request_may_have_left = false; ///< only if lost
-    std::string frame;                  ///< only if not lost
+    bool request_may_have_run = false; ///< only if lost
+    std::string frame;                 ///< only if not lost
 };
 
 /**
--- a/src/libcyclamenrun/entry/relay_runner.cpp
+++ b/src/libcyclamenrun/entry/relay_runner.cpp
@@ -24,8 +24,7 @@
     };
     handlers.on_end = [mailbox, stream](stream_end end) {
         // The relay ignores a stream's end after the stream's final frame.
-        mailbox->put(
-            {stream, true, end.clean || end.request_may_have_left, {}});
+        mailbox->put({stream, true, end.clean || end.request_may_have_run, {}});
     };
     return handlers;
 }
@@ -62,7 +61,7 @@
             handle_event(state, *event);
         } else if (writer.gone()) {
             state.result.caller_disconnected = true;
-            perform(state, relay.on_caller_gone(clock_()));
+            perform(state, relay.on_caller_disconnected(clock_()));
         }
         if (!relay.done() && clock_() >= relay.next_event())
             perform(state, relay.on_time(clock_()));
@@ -78,9 +77,8 @@
 {
     if (event.lost) {
         state.streams.erase(event.stream);
-        perform(state, state.relay.on_stream_lost(event.stream,
-                                                  event.request_may_have_left,
-                                                  clock_()));
+        perform(state, state.relay.on_stream_lost(
+                           event.stream, event.request_may_have_run, clock_()));
         return;
     }
     link::AgentFrame frame;
@@ -152,7 +150,7 @@
     if (state.writer.tokens(action))
         return;
     state.result.caller_disconnected = true;
-    perform(state, state.relay.on_caller_gone(clock_()));
+    perform(state, state.relay.on_caller_disconnected(clock_()));
 }
 
 void relay_runner::perform(run_state& state, const write_end& action)
--- a/src/libcyclamenrun/entry/team_desk.cpp
+++ b/src/libcyclamenrun/entry/team_registry.cpp
@@ -1,4 +1,4 @@
-#include "team_desk.hpp"
+#include "team_registry.hpp"
 
 namespace cyclamenrun
 {
@@ -14,12 +14,13 @@
 
 } // namespace
 
-team_desk::limits_shard::limits_shard(double retry_share, std::size_t max_teams)
+team_registry::limits_shard::limits_shard(double retry_share,
+                                          std::size_t max_teams)
     : limiter(max_teams), retries(retry_share, retry_burst, max_teams)
 {
 }
 
-team_desk::team_desk(double retry_share)
+team_registry::team_registry(double retry_share)
     : authenticator_(
           std::make_shared<const team_authenticator>(std::vector<team_key>{})),
       shards_(shard_count, [retry_share](std::size_t) {
@@ -29,7 +30,7 @@
 {
 }
 
-void team_desk::on_configuration(const configuration_view& view)
+void team_registry::on_configuration(const configuration_view& view)
 {
     std::vector<team_key> keys;
     for (const auto* team : view.resources.teams())
@@ -39,7 +40,7 @@
     authenticator_ = std::move(made);
 }
 
-void team_desk::on_entries(std::size_t count)
+void team_registry::on_entries(std::size_t count)
 {
     shards_.with_each([count](limits_shard& shard) {
         shard.limiter.entries(
@@ -47,20 +48,20 @@
     });
 }
 
-std::shared_ptr<const team_authenticator> team_desk::authenticator() const
+std::shared_ptr<const team_authenticator> team_registry::authenticator() const
 {
     const std::scoped_lock lock(mutex_);
     return authenticator_;
 }
 
 outcome<std::string>
-team_desk::authenticate(std::string_view authorization) const
+team_registry::authenticate(std::string_view authorization) const
 {
     return authenticator()->authenticate(authorization);
 }
 
-outcome<void> team_desk::start(const v1::Team& team,
-                               std::uint32_t prompt_tokens, time_point now)
+outcome<void> team_registry::start(const v1::Team& team,
+                                   std::uint32_t prompt_tokens, time_point now)
 {
     const team_limits limits{team.max_concurrent(), team.tokens_per_second()};
     return shards_.with(team.name(), [&](limits_shard& shard) {
@@ -72,20 +73,20 @@
     });
 }
 
-void team_desk::output(const std::string& team, std::uint64_t tokens)
+void team_registry::output(const std::string& team, std::uint64_t tokens)
 {
     shards_.with(team, [&](limits_shard& shard) {
         shard.limiter.output(team, static_cast<std::uint32_t>(tokens));
     });
 }
 
-void team_desk::finish(const std::string& team)
+void team_registry::finish(const std::string& team)
 {
     shards_.with(team,
                  [&](limits_shard& shard) { shard.limiter.finished(team); });
 }
 
-outcome<void> team_desk::spend_retry(const std::string& team)
+outcome<void> team_registry::spend_retry(const std::string& team)
 {
     const bool allowed = shards_.with(team, [&](limits_shard& shard) {
         return shard.retries.try_retry(team);
--- a/src/libcyclamenrun/entry/team_desk.hpp
+++ b/src/libcyclamenrun/entry/team_registry.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_TEAM_DESK_HPP
-#define CYCLAMENRUN_TEAM_DESK_HPP
+#ifndef CYCLAMENRUN_TEAM_REGISTRY_HPP
+#define CYCLAMENRUN_TEAM_REGISTRY_HPP
 
 #include "clock.hpp"
 #include "config.pb.h"
@@ -23,10 +23,10 @@
  * Authenticates teams and enforces each team's limits and retry budget at this
  * entry.
  */
-class team_desk
+class team_registry
 {
 public:
-    explicit team_desk(double retry_share);
+    explicit team_registry(double retry_share);
 
     /** Updates the teams' keys from the configuration. */
     void on_configuration(const configuration_view& view);
@@ -57,4 +57,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_TEAM_DESK_HPP
+#endif // CYCLAMENRUN_TEAM_REGISTRY_HPP
--- a/src/libcyclamenrun/gateway/answer_relay.cpp
+++ b/src/libcyclamenrun/gateway/answer_relay.cpp
@@ -51,7 +51,7 @@
         head_.status = head.status;
 }
 
-tl::expected<answer_relay::progress, event_order_problem>
+tl::expected<answer_relay::progress, event_problem>
 answer_relay::handle_body(std::string_view bytes, time_point now)
 {
     if (relaying_ && is_stream_) {
@@ -76,7 +76,7 @@
     progress result;
     result.relayed = true;
     result.was_first = !begun_;
-    result.late_by_pause = record_part(now);
+    result.late_pause = record_part(now);
     if (!std::exchange(begun_, true))
         writer_->begin(without_connection_fields(head_));
     writer_->piece(bytes);
@@ -113,7 +113,7 @@
     progress result;
     result.relayed = true;
     result.was_first = true;
-    result.late_by_pause = record_part(now);
+    result.late_pause = record_part(now);
     writer_->whole(without_connection_fields(std::move(head_)), body_);
     writer_.reset();
     return result;
--- a/src/libcyclamenrun/gateway/answer_relay.hpp
+++ b/src/libcyclamenrun/gateway/answer_relay.hpp
@@ -29,7 +29,7 @@
     struct progress {
         bool relayed = false; ///< bytes were written to the caller
         /** Pause before this part, if it exceeded the target. */
-        std::optional<milliseconds> late_by_pause;
+        std::optional<milliseconds> late_pause;
         bool was_first = false;
     };
 
@@ -51,8 +51,8 @@
      */
     void prepare_next_response();
     void handle_head(http_head&& head, const response_facts& facts);
-    tl::expected<progress, event_order_problem>
-    handle_body(std::string_view bytes, time_point now);
+    tl::expected<progress, event_problem> handle_body(std::string_view bytes,
+                                                      time_point now);
 
     // Exactly one of these ends the answer.
 
@@ -78,7 +78,10 @@
     }
     std::uint64_t events() const { return events_.events(); }
     /** From the request's arrival to the first part of its answer. */
-    std::optional<milliseconds> first_after() const { return first_after_; }
+    std::optional<milliseconds> time_to_first_part() const
+    {
+        return first_after_;
+    }
     milliseconds longest_pause() const { return longest_pause_; }
 
     /** True if the unsent bytes for the caller exceed their bound. */
--- a/src/libcyclamenrun/gateway/turn_search.cpp
+++ b/src/libcyclamenrun/gateway/copy_turn_search.cpp
@@ -1,4 +1,4 @@
-#include "turn_search.hpp"
+#include "copy_turn_search.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -19,25 +19,26 @@
 
 } // namespace
 
-turn_search::turn_search(gateway_context& context, std::string request_id,
-                         std::uint64_t tokens, hooks on)
+copy_turn_search::copy_turn_search(gateway_context& context,
+                                   std::string request_id, std::uint64_t tokens,
+                                   hooks on)
     : context_(context), request_id_(std::move(request_id)), tokens_(tokens),
       on_(std::move(on))
 {
 }
 
-std::string turn_search::turn_id(const upstream_record& engine) const
+std::string copy_turn_search::turn_id(const upstream_record& engine) const
 {
     return request_id_ + ">" + engine.id;
 }
 
-void turn_search::start()
+void copy_turn_search::start()
 {
     request_more(initial_engines);
     schedule_request_more();
 }
 
-void turn_search::request_more(std::size_t count)
+void copy_turn_search::request_more(std::size_t count)
 {
     auto exclude = refused_;
     for (const auto& each : requested_)
@@ -55,14 +56,14 @@
             if (const auto self = weak.lock())
                 self->handle_refusal(id);
         };
-        context_.monitors->want_turn(
+        context_.monitors->request_turn(
             {engine.address.host, turn_id(engine), tokens_, true},
             std::move(on));
     }
     report_if_refused();
 }
 
-void turn_search::report_if_refused()
+void copy_turn_search::report_if_refused()
 {
     if (over_ || !requested_.empty())
         return;
@@ -72,7 +73,7 @@
     none();
 }
 
-void turn_search::schedule_request_more()
+void copy_turn_search::schedule_request_more()
 {
     context_.reactor->post_at(
         context_.reactor->now() + request_more_delay,
@@ -88,7 +89,7 @@
         });
 }
 
-void turn_search::handle_grant(const std::string& id)
+void copy_turn_search::handle_grant(const std::string& id)
 {
     for (auto& each : requested_)
         each.granted = each.granted || each.engine.id == id;
@@ -101,7 +102,7 @@
                               });
 }
 
-void turn_search::handle_refusal(const std::string& id)
+void copy_turn_search::handle_refusal(const std::string& id)
 {
     if (over_)
         return;
@@ -115,7 +116,7 @@
         report_if_refused();
 }
 
-void turn_search::choose()
+void copy_turn_search::choose()
 {
     choice_pending_ = false;
     if (over_)
@@ -149,7 +150,7 @@
     found(*best);
 }
 
-void turn_search::end()
+void copy_turn_search::end()
 {
     over_ = true;
     for (const auto& each : std::exchange(requested_, {}))
--- a/src/libcyclamenrun/gateway/turn_search.hpp
+++ b/src/libcyclamenrun/gateway/copy_turn_search.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_TURN_SEARCH_HPP
-#define CYCLAMENRUN_TURN_SEARCH_HPP
+#ifndef CYCLAMENRUN_COPY_TURN_SEARCH_HPP
+#define CYCLAMENRUN_COPY_TURN_SEARCH_HPP
 
 #include "gateway_context.hpp"
 
@@ -21,7 +21,7 @@
  * would queue at the same engine while the reclaim notice of their sources
  * expires.
  */
-class turn_search : public std::enable_shared_from_this<turn_search>
+class copy_turn_search : public std::enable_shared_from_this<copy_turn_search>
 {
 public:
     struct hooks {
@@ -37,8 +37,8 @@
         std::function<void()> none;
     };
 
-    turn_search(gateway_context& context, std::string request_id,
-                std::uint64_t tokens, hooks on);
+    copy_turn_search(gateway_context& context, std::string request_id,
+                     std::uint64_t tokens, hooks on);
 
     void start();
     /** Releases all turns after the copy has ended or was abandoned. */
@@ -70,4 +70,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_TURN_SEARCH_HPP
+#endif // CYCLAMENRUN_COPY_TURN_SEARCH_HPP
--- a/src/libcyclamenrun/gateway/directory_relay.cpp
+++ b/src/libcyclamenrun/gateway/directory_relay.cpp
@@ -19,9 +19,9 @@
  */
 constexpr milliseconds upstream_read_interval{450};
 
-coalescer_pace upstream_timing()
+coalescer_timing upstream_timing()
 {
-    coalescer_pace timing;
+    coalescer_timing timing;
     timing.pause = upstream_read_interval;
     return timing;
 }
@@ -52,14 +52,14 @@
 link_limits directory_link_limits()
 {
     constexpr milliseconds busy_ping_delay{400};
-    constexpr milliseconds ping_time{500};
-    constexpr milliseconds handshake_time{800};
+    constexpr milliseconds ping_timeout{500};
+    constexpr milliseconds handshake_timeout{800};
     constexpr std::uint32_t streams_per_gateway = 8;
     link_limits limits;
     limits.max_streams = streams_per_gateway;
     limits.busy_ping_after = busy_ping_delay;
-    limits.ping_time = ping_time;
-    limits.handshake_time = handshake_time;
+    limits.ping_timeout = ping_timeout;
+    limits.handshake_timeout = handshake_timeout;
     return limits;
 }
 
@@ -69,7 +69,7 @@
     : configurations_(
           std::make_shared<relayed_calls<configuration_text_traits>>(
               loop.reactor(), "configurations", feeds.configurations,
-              coalescer_pace(), metrics)),
+              coalescer_timing(), metrics)),
       upstreams_(std::make_shared<relayed_calls<upstream_record_traits>>(
           loop.reactor(), "upstreams", feeds.upstreams, upstream_timing(),
           metrics)),
--- a/src/libcyclamenrun/gateway/directory_watch.cpp
+++ b/src/libcyclamenrun/gateway/directory_watch.cpp
@@ -107,7 +107,7 @@
 
 void directory_watch::follow_configurations(const gateway_settings& settings)
 {
-    feed_pace timing;
+    feed_timing timing;
     timing.wait = settings.configuration_wait;
     feed_follower<gateway_configuration>::hooks on;
     add_common_hooks(on, configuration_feed_name);
@@ -136,7 +136,7 @@
 
 void directory_watch::follow_upstreams(const gateway_settings& settings)
 {
-    feed_pace timing;
+    feed_timing timing;
     timing.wait = settings.upstream_wait;
     feed_follower<upstream_change>::hooks on;
     add_common_hooks(on, upstream_feed_name);
@@ -169,7 +169,7 @@
 
 void directory_watch::tick()
 {
-    context_.board.end_doubts(context_.reactor->now());
+    context_.board.drop_unlisted(context_.reactor->now());
     log_lease_change();
 }
 
--- a/src/libcyclamenrun/gateway/engine_callers.cpp
+++ b/src/libcyclamenrun/gateway/engine_clients.cpp
@@ -1,12 +1,12 @@
-#include "engine_callers.hpp"
+#include "engine_clients.hpp"
 
 #include <algorithm>
 
 namespace cyclamenrun
 {
 
-std::shared_ptr<http_caller>
-engine_callers::idle_client(const upstream_record& engine)
+std::shared_ptr<http_client>
+engine_clients::idle_client(const upstream_record& engine)
 {
     auto& callers = clients_[engine.id];
     const auto idle =
@@ -14,7 +14,7 @@
                      [](const auto& caller) { return !caller->busy(); });
     if (idle != callers.end())
         return *idle;
-    callers.push_back(std::make_shared<http_caller>(reactor_, engine.address));
+    callers.push_back(std::make_shared<http_client>(reactor_, engine.address));
     return callers.back();
 }
 
--- a/src/libcyclamenrun/gateway/engine_monitor.cpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.cpp
@@ -26,13 +26,13 @@
 
 constexpr milliseconds publish_interval_per_gateway{8};
 
-engine_view status_of(const engine_load& load)
+engine_status status_of(const engine_load& load)
 {
-    engine_view status;
+    engine_status status;
     status.running = load.running;
     status.starting = load.starting;
     status.queued = load.queued;
-    status.next_tokens = load.next_tokens;
+    status.next_prompt_tokens = load.next_prompt_tokens;
     status.memory_used = load.memory_used;
     status.memory_total = load.memory_total;
     status.generations = load.generations;
@@ -56,8 +56,8 @@
           [this](const ip_endpoint& from, std::string_view bytes) {
               handle_request(from, bytes);
           })),
-      load_client_(std::make_shared<http_caller>(reactor, settings.engine)),
-      identity_client_(std::make_shared<http_caller>(reactor, settings.engine)),
+      load_client_(std::make_shared<http_client>(reactor, settings.engine)),
+      identity_client_(std::make_shared<http_client>(reactor, settings.engine)),
       metrics_(metrics)
 {
 }
@@ -171,7 +171,7 @@
                                           const v1::StartWanted& wanted)
 {
     // The start is granted already, so the datagram with the grant was lost.
-    if (starts_.was_given(wanted.id())) {
+    if (starts_.is_granted(wanted.id())) {
         send_start_grant(gateway, wanted.id());
         return;
     }
@@ -187,7 +187,7 @@
     if (!starts_.leaving()) {
         starts_.ask(request, now);
         grant_starts();
-        if (starts_.was_given(request.id))
+        if (starts_.is_granted(request.id))
             return;
     }
     v1::MonitorNotice notice;
@@ -320,7 +320,7 @@
     if (load) {
         record_load_metrics(*load);
         last_load_ = *load;
-        starts_.take_view(status_of(*load), load->leaving, reactor_->now());
+        starts_.update_status(status_of(*load), load->leaving, reactor_->now());
         grant_starts();
         publish_load(*load);
         if (load->leaving && on_leaving_)
--- a/src/libcyclamenrun/gateway/engine_monitor.hpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.hpp
@@ -5,7 +5,7 @@
 #include "datagram_socket.hpp"
 #include "exported_metrics.hpp"
 #include "gateway_dialect.hpp"
-#include "http_call.hpp"
+#include "http_client.hpp"
 #include "start_queue.hpp"
 
 #include <functional>
@@ -100,8 +100,8 @@
     std::shared_ptr<const gateway_dialect> dialect_;
     engine_monitor_settings settings_;
     std::shared_ptr<datagram_socket> socket_;
-    std::shared_ptr<http_caller> load_client_;
-    std::shared_ptr<http_caller> identity_client_;
+    std::shared_ptr<http_client> load_client_;
+    std::shared_ptr<http_client> identity_client_;
     std::string health_target_;
     std::string engine_id_; ///< empty: unknown
     time_point identify_at_{};
--- a/src/libcyclamenrun/gateway/event_splitter.cpp
+++ b/src/libcyclamenrun/gateway/event_splitter.cpp
@@ -59,18 +59,18 @@
 
 } // namespace
 
-std::string_view name_of(event_order_problem problem)
+std::string_view name_of(event_problem problem)
 {
     switch (problem) {
-    case event_order_problem::gap:
+    case event_problem::gap:
         return "gap";
-    case event_order_problem::too_large:
+    case event_problem::too_large:
         return "too_large";
     }
     return "gap";
 }
 
-tl::expected<std::string, event_order_problem>
+tl::expected<std::string, event_problem>
 event_splitter::feed(std::string_view bytes)
 {
     pending_ += bytes;
@@ -88,11 +88,11 @@
     }
     pending_.erase(0, at);
     if (pending_.size() > max_event_bytes)
-        return tl::unexpected(event_order_problem::too_large);
+        return tl::unexpected(event_problem::too_large);
     return passed;
 }
 
-tl::expected<bool, event_order_problem>
+tl::expected<bool, event_problem>
 event_splitter::accept_event(std::string_view event)
 {
     const auto id = id_of(event);
@@ -101,7 +101,7 @@
     if (last_id_ && *id <= *last_id_)
         return false;
     if (last_id_ && *id != *last_id_ + 1)
-        return tl::unexpected(event_order_problem::gap);
+        return tl::unexpected(event_problem::gap);
     last_id_ = id;
     ++events_;
     return true;
--- a/src/libcyclamenrun/gateway/event_splitter.hpp
+++ b/src/libcyclamenrun/gateway/event_splitter.hpp
@@ -11,12 +11,12 @@
 namespace cyclamenrun
 {
 
-enum class event_order_problem : std::uint8_t {
+enum class event_problem : std::uint8_t {
     gap,       ///< An event is missing.
     too_large, ///< One event exceeds the limit.
 };
 
-std::string_view name_of(event_order_problem problem);
+std::string_view name_of(event_problem problem);
 
 /**
  * Splits a stream into complete server-sent events and passes them on byte for
@@ -34,7 +34,7 @@
     }
 
     /** Returns the complete events to pass on; empty if there is none yet. */
-    tl::expected<std::string, event_order_problem> feed(std::string_view bytes);
+    tl::expected<std::string, event_problem> feed(std::string_view bytes);
 
     /** Drops an incomplete event of the previous run before a new run. */
     void restart() { pending_.clear(); }
@@ -46,8 +46,7 @@
     std::uint64_t events() const { return events_; }
 
 private:
-    tl::expected<bool, event_order_problem>
-    accept_event(std::string_view event);
+    tl::expected<bool, event_problem> accept_event(std::string_view event);
 
     std::string pending_;
     std::optional<std::uint64_t> last_id_;
--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -1,7 +1,7 @@
 #include "exchange.hpp"
 
 #include "http_text.hpp"
-#include "response_verdict.hpp"
+#include "response_classification.hpp"
 
 #include <algorithm>
 #include <utility>
@@ -17,7 +17,7 @@
  * partition, and callers wait for 7 s or more; other requests are retried
  * sooner.
  */
-constexpr connection_patience stream_timeouts{milliseconds(10000),
+constexpr connection_timeouts stream_timeouts{milliseconds(10000),
                                               milliseconds(5000)};
 /**
  * Engines that are queried for their load when no monitor responds. The better
@@ -153,7 +153,7 @@
 placement_request exchange::needs(const std::string& from_domain) const
 {
     auto request = profile_.needs(from_domain);
-    request.gateways = context_.budget.sharers();
+    request.gateways = context_.budget.gateway_count();
     return request;
 }
 
@@ -167,7 +167,8 @@
         return context_.choice.start_candidates(service_, needs(), excluded,
                                                 count, context_.reactor->now());
     };
-    on.cost = [this](const upstream_record& engine, const given_place& place) {
+    on.cost = [this](const upstream_record& engine,
+                     const engine_occupancy& place) {
         return context_.choice.start_cost(engine, place, needs(),
                                           context_.reactor->now());
     };
@@ -245,9 +246,9 @@
         // The deadline would pass in the queue of the best upstream. The
         // caller should retry when the rest of the queue takes half of the time
         // that the request has left now.
-        if (may_refuse() && placed->first_part_after > left)
+        if (may_refuse() && placed->estimated_time_to_first_part > left)
             refuse(gateway_refusal::overloaded,
-                   placed->first_part_after - left / 2);
+                   placed->estimated_time_to_first_part - left / 2);
         else
             send(placed->record, std::nullopt);
         return;
@@ -273,16 +274,17 @@
     recorder_.backed_up(service_, backup_->id);
 }
 
-std::string exchange::request_for(const upstream_record& upstream,
-                                  const std::optional<continuation>& goes_on)
+std::string
+exchange::request_for(const upstream_record& upstream,
+                      const std::optional<continuation>& resume_from)
 {
     dispatch_facts facts;
     facts.time_left = time_left(admitted_.answer_by, context_.reactor->now());
     facts.upstream_id = upstream.id;
     if (admitted_.team != nullptr)
         facts.team = admitted_.team->name;
-    facts.goes_on = goes_on;
-    if (facts.goes_on || answer_.begun())
+    facts.resume_from = resume_from;
+    if (facts.resume_from || answer_.begun())
         facts.last_event_id = answer_.last_event_id();
     choose_backup(upstream);
     if (backup_)
@@ -297,12 +299,12 @@
 }
 
 void exchange::send(const upstream_record& upstream,
-                    const std::optional<continuation>& goes_on)
+                    const std::optional<continuation>& resume_from)
 {
     upstream_attempt::request what;
     what.upstream = upstream;
     what.id = facts_.id;
-    what.text = request_for(upstream, goes_on);
+    what.text = request_for(upstream, resume_from);
     // An idle connection may be dead without notice; losing a generation costs
     // far more than the millisecond for a new connection.
     what.new_connection = admitted_.route->shape == answer_shape::event_stream;
@@ -312,12 +314,12 @@
     attempt_began_ = context_.reactor->now();
     what.connect_deadline = attempt_began_ + profile_.connect_timeout();
     tried_.push_back(upstream.id);
-    resume_from_ = goes_on;
+    resume_from_ = resume_from;
     answer_.prepare_next_response();
     ++sends_;
     // A resumed generation does not read its prompt again.
-    context_.board.dispatched(upstream.id, goes_on ? 0 : facts_.prompt_tokens,
-                              attempt_began_);
+    context_.board.dispatched(
+        upstream.id, resume_from ? 0 : facts_.prompt_tokens, attempt_began_);
     const auto self = shared_from_this();
     upstream_attempt::hooks on;
     on.head = [self](http_head&& head, const response_facts& facts) {
@@ -450,8 +452,8 @@
 {
     const auto& route = *admitted_.route;
     const auto limit =
-        silence_limit(current_state(), route.objective,
-                      context_.answer_times.usual_bound(route.name));
+        attempt_response_timeout(current_state(), route.objective,
+                                 context_.answer_times.usual_bound(route.name));
     if (!limit)
         return;
     context_.reactor->post_at(
@@ -497,7 +499,7 @@
     state.max_attempts = route.max_attempts;
     state.runs = runs_ + (resume_from_ ? 1 : 0);
     state.sends = sends_;
-    state.time_is_up = context_.reactor->now() >= admitted_.answer_by;
+    state.is_past_deadline = context_.reactor->now() >= admitted_.answer_by;
     state.answer_begun = answer_.begun() && !route.resumable;
     return state;
 }
@@ -511,10 +513,10 @@
     return step_without_budget(result);
 }
 
-request_notes::attempt exchange::attempt_record()
+request_recorder::attempt exchange::attempt_record()
 {
     const auto now = context_.reactor->now();
-    request_notes::attempt ended;
+    request_recorder::attempt ended;
     ended.service = service_;
     ended.upstream = tried_.back();
     ended.number = sends_;
@@ -558,7 +560,7 @@
 {
     generation_mover::hooks on;
     on.memory_tokens = [this] {
-        const auto first = answer_.first_after();
+        const auto first = answer_.time_to_first_part();
         const auto age = since(request_.arrived, context_.reactor->now());
         return profile_.memory_tokens(first ? age - *first : milliseconds(0));
     };
@@ -729,7 +731,8 @@
     if (over_)
         return;
     // The caller may have left because it received nothing in time.
-    const bool late = admitted_.route != nullptr && !answer_.first_after() &&
+    const bool late = admitted_.route != nullptr &&
+                      !answer_.time_to_first_part() &&
                       since(request_.arrived, context_.reactor->now()) >
                           admitted_.route->objective;
     if (late)
@@ -738,10 +741,10 @@
     end(request_outcome::caller_left, answer_.status());
 }
 
-request_report exchange::report(request_outcome outcome, unsigned status,
-                                std::string_view reason) const
+request_summary exchange::report(request_outcome outcome, unsigned status,
+                                 std::string_view reason) const
 {
-    request_report report;
+    request_summary report;
     report.outcome = outcome;
     report.status = status;
     report.reason = reason;
@@ -755,7 +758,7 @@
     report.sends = sends_;
     report.revision = routes_ ? routes_->version() : 0;
     report.configuration_age = configuration_age_;
-    report.first_after = answer_.first_after();
+    report.time_to_first_part = answer_.time_to_first_part();
     report.longest_pause = answer_.longest_pause();
     report.took = since(request_.arrived, context_.reactor->now());
     report.events = answer_.events();
--- a/src/libcyclamenrun/gateway/exchange.hpp
+++ b/src/libcyclamenrun/gateway/exchange.hpp
@@ -8,8 +8,8 @@
 #include "http_session.hpp"
 #include "load_probe.hpp"
 #include "request_admission.hpp"
-#include "request_notes.hpp"
 #include "request_profile.hpp"
+#include "request_recorder.hpp"
 #include "start_search.hpp"
 #include "upstream_attempt.hpp"
 
@@ -68,9 +68,9 @@
     void dispatch_by_estimates();
     std::optional<placed_upstream> place();
     void send(const upstream_record& upstream,
-              const std::optional<continuation>& goes_on);
+              const std::optional<continuation>& resume_from);
     std::string request_for(const upstream_record& upstream,
-                            const std::optional<continuation>& goes_on);
+                            const std::optional<continuation>& resume_from);
     void choose_backup(const upstream_record& upstream);
     void release_attempt();
 
@@ -86,7 +86,7 @@
     attempt_state current_state() const;
     void end_attempt(attempt_result result);
     attempt_step step_after(attempt_result result);
-    request_notes::attempt attempt_record();
+    request_recorder::attempt attempt_record();
     void record_attempt(std::string_view result, std::string_view next);
     void pause_if_caller_is_slow();
 
@@ -105,15 +105,15 @@
     void expire();
     void end(request_outcome outcome, unsigned status,
              std::string_view reason = {});
-    request_report report(request_outcome outcome, unsigned status,
-                          std::string_view reason) const;
+    request_summary report(request_outcome outcome, unsigned status,
+                           std::string_view reason) const;
 
     gateway_context& context_;
     /** Keeps the exchange alive between attempts, until the answer is final. */
     std::shared_ptr<exchange> self_;
     caller_request request_;
     answer_relay answer_;
-    request_notes recorder_;
+    request_recorder recorder_;
     std::shared_ptr<const gateway_routes> routes_;
     milliseconds configuration_age_{0}; ///< at the admission
     request_facts facts_;
--- a/src/libcyclamenrun/gateway/feed_follower.hpp
+++ b/src/libcyclamenrun/gateway/feed_follower.hpp
@@ -16,7 +16,7 @@
 {
 
 /** Timing of a feed_follower's reads. */
-struct feed_pace {
+struct feed_timing {
     /** Time for which the directory holds a call without new records. */
     milliseconds wait{1500};
     /** Time for an answer beyond the wait, before the call times out. */
@@ -60,8 +60,8 @@
     };
 
     feed_follower(std::shared_ptr<link_reactor> reactor,
-                  std::shared_ptr<directory_feed<Item>> feed, feed_pace timing,
-                  hooks on)
+                  std::shared_ptr<directory_feed<Item>> feed,
+                  feed_timing timing, hooks on)
         : reactor_(std::move(reactor)), feed_(std::move(feed)), timing_(timing),
           on_(std::move(on)), retry_delay_(timing.first_retry_delay)
     {
@@ -173,7 +173,7 @@
 
     std::shared_ptr<link_reactor> reactor_;
     std::shared_ptr<directory_feed<Item>> feed_;
-    feed_pace timing_;
+    feed_timing timing_;
     hooks on_;
     std::optional<std::uint64_t> offset_;
     bool reading_ = false;
--- a/src/libcyclamenrun/gateway/gateway_context.cpp
+++ b/src/libcyclamenrun/gateway/gateway_context.cpp
@@ -10,10 +10,11 @@
 gateway_context::gateway_context(
     std::shared_ptr<link_reactor> shared_reactor,
     std::shared_ptr<const gateway_dialect> wire_dialect,
-    upstream_board::hooks board_hooks, const retry_budget_settings& retries,
+    upstream_registry::hooks upstream_hooks,
+    const retry_budget_settings& retries,
     std::optional<milliseconds> lease_term, std::uint64_t seed)
     : reactor(std::move(shared_reactor)), dialect(std::move(wire_dialect)),
-      connections(reactor), callers(reactor), board(std::move(board_hooks)),
+      connections(reactor), callers(reactor), board(std::move(upstream_hooks)),
       budget(retries), lease(lease_term), random(seed), choice(board, random)
 {
 }
--- a/src/libcyclamenrun/gateway/gateway_context.hpp
+++ b/src/libcyclamenrun/gateway/gateway_context.hpp
@@ -3,7 +3,7 @@
 
 #include "backup_policy.hpp"
 #include "configuration_lease.hpp"
-#include "engine_callers.hpp"
+#include "engine_clients.hpp"
 #include "exported_metrics.hpp"
 #include "gateway_dialect.hpp"
 #include "gateway_routes.hpp"
@@ -11,9 +11,9 @@
 #include "monitor_link.hpp"
 #include "response_time.hpp"
 #include "shared_retry_budget.hpp"
-#include "upstream_board.hpp"
 #include "upstream_choice.hpp"
 #include "upstream_connections.hpp"
+#include "upstream_registry.hpp"
 
 #include <memory>
 #include <random>
@@ -32,7 +32,7 @@
 struct gateway_context {
     gateway_context(std::shared_ptr<link_reactor> shared_reactor,
                     std::shared_ptr<const gateway_dialect> wire_dialect,
-                    upstream_board::hooks board_hooks,
+                    upstream_registry::hooks upstream_hooks,
                     const retry_budget_settings& retries,
                     std::optional<milliseconds> lease_term, std::uint64_t seed);
     gateway_context(const gateway_context&) = delete;
@@ -49,8 +49,8 @@
     bool log_every_step = false;
 
     upstream_connections connections;
-    engine_callers callers;
-    upstream_board board;
+    engine_clients callers;
+    upstream_registry board;
     shared_retry_budget budget;
     response_times answer_times;
     configuration_lease lease;
--- a/src/libcyclamenrun/gateway/gateway_dialect.hpp
+++ b/src/libcyclamenrun/gateway/gateway_dialect.hpp
@@ -2,7 +2,7 @@
 #define CYCLAMENRUN_GATEWAY_DIALECT_HPP
 
 #include "gateway_refusal.hpp"
-#include "http_call.hpp"
+#include "http_client.hpp"
 #include "http_head.hpp"
 #include "request_facts.hpp"
 #include "upstream_record.hpp"
--- a/src/libcyclamenrun/gateway/gateway_process.cpp
+++ b/src/libcyclamenrun/gateway/gateway_process.cpp
@@ -100,7 +100,7 @@
 void gateway_process::start(gateway_platform platform)
 {
     const auto& reactor = loop_->reactor();
-    upstream_board::hooks board;
+    upstream_registry::hooks board;
     board.leaving = [this](const std::string& id,
                            std::optional<time_point> leaves_at) {
         upstream_leaving(id, leaves_at);
@@ -138,7 +138,7 @@
                                 : std::string();
     };
     on.gateways = [this](unsigned count) {
-        context_->budget.set_sharers(count);
+        context_->budget.set_gateway_count(count);
     };
     on.hosts = [this] { return monitored_hosts(); };
     const auto monitor_port =
@@ -157,7 +157,7 @@
     on.responds = [this](const std::string& host) {
         return context_->monitors->hears(host);
     };
-    on.gateways = [this] { return context_->budget.sharers(); };
+    on.gateways = [this] { return context_->budget.gateway_count(); };
     relays_ = std::make_shared<relay_clients>(loop_->reactor(), settings_.name,
                                               port, std::move(on));
     directory_->use_relays(relays_);
--- a/src/libcyclamenrun/gateway/generation_move.cpp
+++ b/src/libcyclamenrun/gateway/generation_move.cpp
@@ -68,7 +68,7 @@
     case move_reply::kind::no_room:
         fail(move_failure::no_room, reply.handle);
         return;
-    case move_reply::kind::not_understood:
+    case move_reply::kind::invalid_reply:
         fail(move_failure::uncertain, reply.handle);
         return;
     }
--- a/src/libcyclamenrun/gateway/generation_mover.cpp
+++ b/src/libcyclamenrun/gateway/generation_mover.cpp
@@ -62,7 +62,7 @@
         if (const auto self = weak.lock())
             self->handle_source_turn(source);
     };
-    context_.monitors->want_turn(
+    context_.monitors->request_turn(
         {source.address.host, request_id_, on_.memory_tokens()}, std::move(on));
 }
 
@@ -105,7 +105,7 @@
 
 void generation_mover::search_destination(const upstream_record& source)
 {
-    turn_search::hooks on;
+    copy_turn_search::hooks on;
     on.candidates = [this, source, refused_by = std::exchange(refused_by_, {})](
                         std::vector<std::string> exclude, std::size_t count) {
         exclude.push_back(source.id);
@@ -127,8 +127,8 @@
             self->handle_no_destination(source);
     };
     on_.step(move_step::destination_turn_wanted, source);
-    search_ = std::make_shared<turn_search>(context_, request_id_,
-                                            on_.memory_tokens(), std::move(on));
+    search_ = std::make_shared<copy_turn_search>(
+        context_, request_id_, on_.memory_tokens(), std::move(on));
     search_->start();
 }
 
--- a/src/libcyclamenrun/gateway/generation_mover.hpp
+++ b/src/libcyclamenrun/gateway/generation_mover.hpp
@@ -1,9 +1,9 @@
 #ifndef CYCLAMENRUN_GENERATION_MOVER_HPP
 #define CYCLAMENRUN_GENERATION_MOVER_HPP
 
+#include "copy_turn_search.hpp"
 #include "gateway_context.hpp"
 #include "generation_move.hpp"
-#include "turn_search.hpp"
 
 #include <functional>
 #include <memory>
@@ -105,8 +105,9 @@
     std::string request_id_;
     hooks on_;
     std::shared_ptr<generation_move> move_;
-    std::shared_ptr<turn_search> search_; ///< holds the destination's copy turn
-    bool turn_requested_ = false;         ///< requested or held
+    std::shared_ptr<copy_turn_search>
+        search_;                  ///< holds the destination's copy turn
+    bool turn_requested_ = false; ///< requested or held
     bool source_ended_ = false;
     bool over_ = false;
     std::string refused_by_; ///< last destination that had no room
--- a/src/libcyclamenrun/gateway/monitor_link.cpp
+++ b/src/libcyclamenrun/gateway/monitor_link.cpp
@@ -135,7 +135,7 @@
                   {{log_key::address, host}, {log_key::duration_ms, outage}});
 }
 
-void monitor_link::want_turn(const copy_request& copy, turn_hooks on)
+void monitor_link::request_turn(const copy_request& copy, turn_hooks on)
 {
     turns_[copy.id] = {copy, std::move(on), reactor_->now()};
     send_turn_request(copy.id);
@@ -196,13 +196,13 @@
     turns_.erase(found);
 }
 
-void monitor_link::hear_of_start(const std::string& id, start_hooks on)
+void monitor_link::watch_start(const std::string& id, start_hooks on)
 {
     starts_[id] = std::move(on);
 }
 
-void monitor_link::ask_start(const std::string& host,
-                             const start_request& wanted, unsigned slots)
+void monitor_link::request_start(const std::string& host,
+                                 const start_request& wanted, unsigned slots)
 {
     const auto time_left = std::chrono::duration_cast<milliseconds>(
         wanted.first_due - reactor_->now());
@@ -255,7 +255,7 @@
         end_start(host, notice.id());
         return;
     }
-    // Copied because the hook may call forget_start().
+    // Copied because the hook may call unwatch_start().
     const auto granted = found->second.given;
     granted(host, {notice.slots_taken(), notice.memory_taken()});
 }
@@ -266,11 +266,11 @@
     const auto found = starts_.find(notice.id());
     if (found == starts_.end())
         return;
-    auto wait = start_wait::for_room;
+    auto wait = start_denial::no_room;
     if (notice.passed_over())
-        wait = start_wait::passed_over;
+        wait = start_denial::passed_over;
     if (notice.refused())
-        wait = start_wait::refused;
+        wait = start_denial::refused;
     const auto waits = found->second.waits;
     waits(host, wait);
 }
--- a/src/libcyclamenrun/gateway/monitor_link.hpp
+++ b/src/libcyclamenrun/gateway/monitor_link.hpp
@@ -2,7 +2,7 @@
 #define CYCLAMENRUN_MONITOR_LINK_HPP
 
 #include "datagram_socket.hpp"
-#include "engine_outlook.hpp"
+#include "engine_load_estimate.hpp"
 #include "upstream_record.hpp"
 
 #include <cstdint>
@@ -27,8 +27,8 @@
 {
 
 /** Why a monitor does not grant a start yet. */
-enum class start_wait : std::uint8_t {
-    for_room,
+enum class start_denial : std::uint8_t {
+    no_room,
     passed_over, ///< request is late and its team exceeds its fair share
     refused,     ///< the engine leaves
 };
@@ -83,23 +83,24 @@
     };
     /** Repeats a request for a copy turn until the monitor grants or refuses it
      * or times out, then calls one of the hooks, once. */
-    void want_turn(const copy_request& copy, turn_hooks on);
+    void request_turn(const copy_request& copy, turn_hooks on);
     /** Releases the turn of a copy that has ended or was cancelled. */
     void end_turn(const std::string& id);
 
     struct start_hooks {
         /** The generation may start at the engine on that host. */
-        std::function<void(const std::string& host, const given_place&)> given;
+        std::function<void(const std::string& host, const engine_occupancy&)>
+            given;
         /** The monitor responds, but does not grant the start yet. */
-        std::function<void(const std::string& host, start_wait)> waits;
+        std::function<void(const std::string& host, start_denial)> waits;
     };
     /** Passes monitors' answers about a start to the hooks until
-     * `forget_start`. */
-    void hear_of_start(const std::string& id, start_hooks on);
-    void forget_start(const std::string& id) { starts_.erase(id); }
+     * `unwatch_start`. */
+    void watch_start(const std::string& id, start_hooks on);
+    void unwatch_start(const std::string& id) { starts_.erase(id); }
     /** Sends one start request to the monitor on that host. */
-    void ask_start(const std::string& host, const start_request& wanted,
-                   unsigned slots);
+    void request_start(const std::string& host, const start_request& wanted,
+                       unsigned slots);
     /** Withdraws a start request, or returns a grant that is not used. */
     void end_start(const std::string& host, const std::string& id);
 
--- a/src/libcyclamenrun/gateway/read_coalescer.hpp
+++ b/src/libcyclamenrun/gateway/read_coalescer.hpp
@@ -14,7 +14,7 @@
 {
 
 /** Timing and limits of a read_coalescer. */
-struct coalescer_pace {
+struct coalescer_timing {
     /** Calls that arrive within this time of the first share its read. */
     milliseconds batch_window{10};
     /** Least time between two reads. */
@@ -62,7 +62,7 @@
         milliseconds wait;
     };
 
-    explicit read_coalescer(const coalescer_pace& timing)
+    explicit read_coalescer(const coalescer_timing& timing)
         : timing_(timing), history_(timing.max_changes),
           retry_delay_(timing.first_retry_delay)
     {
@@ -242,7 +242,7 @@
             calls_.erase(each.call);
     }
 
-    coalescer_pace timing_;
+    coalescer_timing timing_;
     feed_history<Traits> history_;
     std::map<call_id, pending_call> calls_; ///< in order of arrival
     call_id last_call_id_ = 0;
--- a/src/libcyclamenrun/gateway/relayed_calls.hpp
+++ b/src/libcyclamenrun/gateway/relayed_calls.hpp
@@ -28,7 +28,7 @@
 
     relayed_calls(std::shared_ptr<link_reactor> reactor, std::string_view name,
                   std::shared_ptr<directory_feed<item>> feed,
-                  const coalescer_pace& timing, exported_metrics& metrics)
+                  const coalescer_timing& timing, exported_metrics& metrics)
         : reactor_(std::move(reactor)), name_(name), feed_(std::move(feed)),
           coalescer_(timing), metrics_(metrics)
     {
--- a/src/libcyclamenrun/gateway/request_admission.cpp
+++ b/src/libcyclamenrun/gateway/request_admission.cpp
@@ -11,7 +11,7 @@
 time_point answer_deadline(const request_facts& facts,
                            const gateway_route& route, time_point arrived)
 {
-    milliseconds left = default_answer_timeout;
+    milliseconds left = max_answer_timeout;
     if (facts.time_left)
         left = std::min(left, *facts.time_left);
     if (route.timeout > milliseconds::zero())
--- a/src/libcyclamenrun/gateway/request_admission.hpp
+++ b/src/libcyclamenrun/gateway/request_admission.hpp
@@ -25,7 +25,7 @@
 };
 
 /** Upper bound of the time to answer; also the default. */
-inline constexpr milliseconds default_answer_timeout{600000};
+inline constexpr milliseconds max_answer_timeout{600000};
 
 /**
  * Admits or refuses a request by the configuration. Without a configuration
--- a/src/libcyclamenrun/gateway/request_facts.hpp
+++ b/src/libcyclamenrun/gateway/request_facts.hpp
@@ -25,7 +25,7 @@
     std::string key; ///< empty: none was sent
     std::optional<milliseconds> time_left;
     std::uint32_t prompt_tokens = 0;
-    std::uint32_t most_output_tokens = 0;
+    std::uint32_t output_token_limit = 0;
     /** The caller's estimate, often inaccurate. */
     std::optional<std::uint32_t> expected_output_tokens;
     std::vector<prompt_part> prompt_parts;
@@ -44,7 +44,7 @@
     std::string upstream_id;           ///< only this upstream may run it
     std::string team;                  ///< empty: none
     std::optional<ip_endpoint> backup; ///< engine that holds a replica
-    std::optional<continuation> goes_on;
+    std::optional<continuation> resume_from;
     /** Last event that the caller has; replaces the caller's own field. */
     std::optional<std::uint64_t> last_event_id;
 };
@@ -58,7 +58,7 @@
     /** The upstream confirms that the body is valid. */
     bool sealed = false;
     /** Time for which the upstream keeps an idle connection, if stated. */
-    std::optional<milliseconds> keeps_idle;
+    std::optional<milliseconds> keep_alive_timeout;
 };
 
 /** Reply to an order to copy a running generation to another engine. */
@@ -68,9 +68,9 @@
         not_running, ///< the generation is unknown or has ended
         under_way,   ///< an earlier order for it is still executing
         no_room,     ///< or the destination is unreachable
-        not_understood,
+        invalid_reply,
     };
-    kind result = kind::not_understood;
+    kind result = kind::invalid_reply;
     std::string handle; ///< of the memory at the source
     std::uint64_t events_made = 0;
 };
--- a/src/libcyclamenrun/gateway/request_profile.cpp
+++ b/src/libcyclamenrun/gateway/request_profile.cpp
@@ -38,7 +38,7 @@
                                  const request_facts& facts)
     : routes_(std::move(routes)), route_(admitted.route),
       prompt_tokens_(facts.prompt_tokens),
-      max_output_tokens_(facts.most_output_tokens),
+      max_output_tokens_(facts.output_token_limit),
       team_(admitted.team == nullptr ? std::string() : admitted.team->name)
 {
 }
@@ -55,7 +55,8 @@
     request.prompt_tokens = prompt_tokens_;
     request.output_tokens = max_output_tokens_ / 2;
     request.objective = route_->objective;
-    request.engine_tokens = engine() != nullptr ? engine()->memory_tokens : 0;
+    request.engine_memory_tokens =
+        engine() != nullptr ? engine()->memory_tokens : 0;
     request.from_domain = from_domain;
     return request;
 }
@@ -112,7 +113,7 @@
                              std::mt19937_64& random) const
 {
     if (time_to_room)
-        return spread_retry(
+        return jitter_retry_delay(
             std::clamp(*time_to_room, default_retry_delay, max_queue_delay),
             random);
     if (route_ == nullptr)
--- a/src/libcyclamenrun/gateway/request_profile.hpp
+++ b/src/libcyclamenrun/gateway/request_profile.hpp
@@ -4,7 +4,7 @@
 #include "gateway_routes.hpp"
 #include "request_admission.hpp"
 #include "request_facts.hpp"
-#include "upstream_board.hpp"
+#include "upstream_registry.hpp"
 
 #include <memory>
 #include <optional>
--- a/src/libcyclamenrun/gateway/request_notes.cpp
+++ b/src/libcyclamenrun/gateway/request_recorder.cpp
@@ -1,12 +1,13 @@
-#include "request_notes.hpp"
+#include "request_recorder.hpp"
 
 namespace cyclamenrun
 {
 
-void request_notes::admitted(const admitted_request& request,
-                             std::uint64_t revision,
-                             milliseconds configuration_age,
-                             milliseconds time_left, const request_facts& facts)
+void request_recorder::admitted(const admitted_request& request,
+                                std::uint64_t revision,
+                                milliseconds configuration_age,
+                                milliseconds time_left,
+                                const request_facts& facts)
 {
     trace_.record(
         log_event_name::request_admitted,
@@ -16,38 +17,39 @@
          {log_key::age_ms, configuration_age},
          {log_key::deadline_ms, time_left},
          {log_key::tokens, facts.prompt_tokens},
-         {log_key::output_tokens, facts.most_output_tokens},
+         {log_key::output_tokens, facts.output_token_limit},
          {log_key::expected_tokens, facts.expected_output_tokens.value_or(0)}});
 }
 
-void request_notes::placed(const placed_upstream& upstream)
+void request_recorder::placed(const placed_upstream& upstream)
 {
     trace_.record(log_event_name::attempt_placed, fields_of(upstream));
 }
 
-void request_notes::start_found(const std::string& service,
-                                const std::string& upstream,
-                                std::size_t queried, milliseconds took)
+void request_recorder::start_found(const std::string& service,
+                                   const std::string& upstream,
+                                   std::size_t queried, milliseconds took)
 {
-    metrics_.observe(exported_metric::start_wait, {service}, took);
+    metrics_.observe(exported_metric::start_denial, {service}, took);
     trace_.record(log_event_name::start_found, {{log_key::upstream, upstream},
                                                 {log_key::weighed, queried},
                                                 {log_key::duration_ms, took}});
 }
 
-void request_notes::start_unheard(std::size_t queried)
+void request_recorder::start_unheard(std::size_t queried)
 {
     trace_.record(log_event_name::start_unheard, {{log_key::weighed, queried}});
 }
 
-void request_notes::start_passed_over(std::size_t queried)
+void request_recorder::start_passed_over(std::size_t queried)
 {
     trace_.record(log_event_name::start_passed_over,
                   {{log_key::weighed, queried}});
 }
 
-void request_notes::attempt_ended(const attempt& ended, std::string_view result,
-                                  std::string_view next)
+void request_recorder::attempt_ended(const attempt& ended,
+                                     std::string_view result,
+                                     std::string_view next)
 {
     metrics_.count(exported_metric::attempts,
                    {ended.service, std::string(result)});
@@ -63,37 +65,39 @@
                    {log_key::next, next}});
 }
 
-void request_notes::late(const answer_relay::progress& progress,
-                         const std::string& upstream, std::uint64_t events)
+void request_recorder::late(const answer_relay::progress& progress,
+                            const std::string& upstream, std::uint64_t events)
 {
-    if (!progress.late_by_pause)
+    if (!progress.late_pause)
         return;
     trace_.mark_late();
     trace_.record(log_event_name::answer_late,
                   {{log_key::kind, progress.was_first ? "first" : "pause"},
-                   {log_key::duration_ms, *progress.late_by_pause},
+                   {log_key::duration_ms, *progress.late_pause},
                    {log_key::upstream, upstream},
                    {log_key::count, events}});
 }
 
-void request_notes::backed_up(const std::string& service,
-                              const std::string& upstream)
+void request_recorder::backed_up(const std::string& service,
+                                 const std::string& upstream)
 {
     metrics_.count(exported_metric::backups, {service});
     trace_.record(log_event_name::generation_backed_up,
                   {{log_key::upstream, upstream}});
 }
 
-void request_notes::move_step_taken(move_step step, const std::string& upstream)
+void request_recorder::move_step_taken(move_step step,
+                                       const std::string& upstream)
 {
     trace_.record(
         log_event_name::generation_move_step,
         {{log_key::kind, name_of(step)}, {log_key::upstream, upstream}});
 }
 
-void request_notes::move_tried(const std::string& service,
-                               const std::string& from, const std::string& to,
-                               std::optional<move_failure> failure)
+void request_recorder::move_tried(const std::string& service,
+                                  const std::string& from,
+                                  const std::string& to,
+                                  std::optional<move_failure> failure)
 {
     const auto result = failure ? name_of(*failure) : "moved";
     metrics_.count(exported_metric::moves, {service, std::string(result)});
@@ -104,16 +108,16 @@
                    {log_key::reason, result}});
 }
 
-void request_notes::continued(const std::string& service,
-                              const std::string& upstream)
+void request_recorder::continued(const std::string& service,
+                                 const std::string& upstream)
 {
     metrics_.count(exported_metric::moves, {service, "from_backup"});
     trace_.record(log_event_name::generation_continued,
                   {{log_key::upstream, upstream}});
 }
 
-void request_notes::ended(const std::string& request_id,
-                          const request_report& report)
+void request_recorder::ended(const std::string& request_id,
+                             const request_summary& report)
 {
     const auto& row = row_of(report.outcome);
     trace_.end(request_id, row.severity, row.event, fields_of(report));
--- a/src/libcyclamenrun/gateway/request_notes.hpp
+++ b/src/libcyclamenrun/gateway/request_recorder.hpp
@@ -1,10 +1,10 @@
-#ifndef CYCLAMENRUN_REQUEST_NOTES_HPP
-#define CYCLAMENRUN_REQUEST_NOTES_HPP
+#ifndef CYCLAMENRUN_REQUEST_RECORDER_HPP
+#define CYCLAMENRUN_REQUEST_RECORDER_HPP
 
 #include "answer_relay.hpp"
 #include "generation_mover.hpp"
 #include "request_admission.hpp"
-#include "request_report.hpp"
+#include "request_summary.hpp"
 #include "request_trace.hpp"
 
 #include <optional>
@@ -15,10 +15,10 @@
 {
 
 /** Records the decisions on one request in its trace and in the metrics. */
-class request_notes
+class request_recorder
 {
 public:
-    explicit request_notes(exported_metrics& metrics) : metrics_(metrics) {}
+    explicit request_recorder(exported_metrics& metrics) : metrics_(metrics) {}
 
     /** Logs each decision on the request as it is made. */
     void follow(const std::string& request_id) { trace_.follow(request_id); }
@@ -59,7 +59,7 @@
                     const std::string& to, std::optional<move_failure> failure);
     void continued(const std::string& service, const std::string& upstream);
 
-    void ended(const std::string& request_id, const request_report& report);
+    void ended(const std::string& request_id, const request_summary& report);
 
 private:
     exported_metrics& metrics_;
@@ -68,4 +68,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_REQUEST_NOTES_HPP
+#endif // CYCLAMENRUN_REQUEST_RECORDER_HPP
--- a/src/libcyclamenrun/gateway/request_report.cpp
+++ b/src/libcyclamenrun/gateway/request_summary.cpp
@@ -1,4 +1,4 @@
-#include "request_report.hpp"
+#include "request_summary.hpp"
 
 namespace cyclamenrun
 {
@@ -11,7 +11,7 @@
 
 } // namespace
 
-std::vector<log_field> fields_of(const request_report& report)
+std::vector<log_field> fields_of(const request_summary& report)
 {
     return {{log_key::reason, report.reason},
             {log_key::status, report.status},
@@ -22,13 +22,13 @@
             {log_key::attempt, report.sends},
             {log_key::revision, report.revision},
             {log_key::age_ms, report.configuration_age},
-            {log_key::first_ms, report.first_after.value_or(none)},
+            {log_key::first_ms, report.time_to_first_part.value_or(none)},
             {log_key::longest_pause_ms, report.longest_pause},
             {log_key::duration_ms, report.took},
             {log_key::count, report.events}};
 }
 
-void record_metrics(exported_metrics& metrics, const request_report& report)
+void record_metrics(exported_metrics& metrics, const request_summary& report)
 {
     metrics.count(exported_metric::requests,
                   {report.route, report.service,
@@ -36,10 +36,10 @@
     metrics.observe(exported_metric::answer_time, {report.route}, report.took);
     if (report.outcome == request_outcome::refused)
         metrics.count(exported_metric::refusals, {std::string(report.reason)});
-    if (!report.first_after)
+    if (!report.time_to_first_part)
         return;
     metrics.observe(exported_metric::first_part_time, {report.route},
-                    *report.first_after);
+                    *report.time_to_first_part);
     metrics.observe(exported_metric::longest_pause, {report.route},
                     report.longest_pause);
 }
--- a/src/libcyclamenrun/gateway/request_report.hpp
+++ b/src/libcyclamenrun/gateway/request_summary.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_REQUEST_REPORT_HPP
-#define CYCLAMENRUN_REQUEST_REPORT_HPP
+#ifndef CYCLAMENRUN_REQUEST_SUMMARY_HPP
+#define CYCLAMENRUN_REQUEST_SUMMARY_HPP
 
 #include "clock.hpp"
 #include "exported_metrics.hpp"
@@ -16,7 +16,7 @@
 {
 
 /** Summary of a request at its end, for the log and the metrics. */
-struct request_report {
+struct request_summary {
     request_outcome outcome = request_outcome::answered;
     unsigned status = 0;
     std::string_view reason; ///< empty: none
@@ -27,18 +27,18 @@
     unsigned sends = 0;
     std::uint64_t revision = 0; ///< of the configuration that was used
     milliseconds configuration_age{0};
-    std::optional<milliseconds> first_after;
+    std::optional<milliseconds> time_to_first_part;
     milliseconds longest_pause{0};
     milliseconds took{0};
     std::uint64_t events = 0;
 };
 
-std::vector<log_field> fields_of(const request_report& report);
-void record_metrics(exported_metrics& metrics, const request_report& report);
+std::vector<log_field> fields_of(const request_summary& report);
+void record_metrics(exported_metrics& metrics, const request_summary& report);
 
 /** Log fields of the values that decided the choice of an upstream. */
 std::vector<log_field> fields_of(const placed_upstream& placed);
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_REQUEST_REPORT_HPP
+#endif // CYCLAMENRUN_REQUEST_SUMMARY_HPP
--- a/src/libcyclamenrun/gateway/response_verdict.cpp
+++ b/src/libcyclamenrun/gateway/response_classification.cpp
@@ -1,4 +1,4 @@
-#include "response_verdict.hpp"
+#include "response_classification.hpp"
 
 #include "http_head.hpp"
 
--- a/src/libcyclamenrun/gateway/response_verdict.hpp
+++ b/src/libcyclamenrun/gateway/response_classification.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_RESPONSE_VERDICT_HPP
-#define CYCLAMENRUN_RESPONSE_VERDICT_HPP
+#ifndef CYCLAMENRUN_RESPONSE_CLASSIFICATION_HPP
+#define CYCLAMENRUN_RESPONSE_CLASSIFICATION_HPP
 
 #include "attempt_policy.hpp"
 #include "request_facts.hpp"
@@ -26,4 +26,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_RESPONSE_VERDICT_HPP
+#endif // CYCLAMENRUN_RESPONSE_CLASSIFICATION_HPP
--- a/src/libcyclamenrun/gateway/start_search.cpp
+++ b/src/libcyclamenrun/gateway/start_search.cpp
@@ -45,16 +45,16 @@
 {
     monitor_link::start_hooks on;
     on.given = [weak = weak_from_this()](const std::string& host,
-                                         const given_place& place) {
+                                         const engine_occupancy& place) {
         if (const auto self = weak.lock())
             self->handle_grant(host, place);
     };
     on.waits = [weak = weak_from_this()](const std::string& host,
-                                         start_wait wait) {
+                                         start_denial wait) {
         if (const auto self = weak.lock())
             self->handle_wait(host, wait);
     };
-    context_.monitors->hear_of_start(request_.id, std::move(on));
+    context_.monitors->watch_start(request_.id, std::move(on));
     request_more(initial_engines);
     context_.reactor->post_at(context_.reactor->now() + response_timeout,
                               [weak = weak_from_this()] {
@@ -72,8 +72,8 @@
         exclude.push_back(each.engine.id);
     for (const auto& engine : on_.candidates(exclude, count)) {
         requested_.push_back({engine, false, false, std::nullopt});
-        context_.monitors->ask_start(engine.address.host, request_,
-                                     engine.slots);
+        context_.monitors->request_start(engine.address.host, request_,
+                                         engine.slots);
     }
 }
 
@@ -92,8 +92,8 @@
         return;
     drop_unusable();
     for (const auto& each : requested_)
-        context_.monitors->ask_start(each.engine.address.host, request_,
-                                     each.engine.slots);
+        context_.monitors->request_start(each.engine.address.host, request_,
+                                         each.engine.slots);
     request_more(std::min(further_engines, max_engines - requested_.size()));
     schedule_repeat();
 }
@@ -135,14 +135,14 @@
                         });
 }
 
-void start_search::handle_wait(const std::string& host, start_wait wait)
+void start_search::handle_wait(const std::string& host, start_denial wait)
 {
     const auto found = find(host);
     if (found == requested_.end())
         return;
     found->responded = true;
-    found->skips_request = wait == start_wait::passed_over;
-    if (wait == start_wait::refused) {
+    found->skips_request = wait == start_denial::passed_over;
+    if (wait == start_denial::refused) {
         requested_.erase(found);
         request_more(1);
         return;
@@ -179,7 +179,7 @@
 }
 
 void start_search::handle_grant(const std::string& host,
-                                const given_place& place)
+                                const engine_occupancy& place)
 {
     const auto found = find(host);
     if (over_ || found == requested_.end()) {
@@ -224,7 +224,7 @@
     if (best == nullptr)
         return;
     over_ = true;
-    context_.monitors->forget_start(request_.id);
+    context_.monitors->unwatch_start(request_.id);
     // Copied, since the call may destroy the exchange and this search.
     const auto engine = best->engine;
     const auto use = on_.found;
@@ -244,7 +244,7 @@
 {
     if (std::exchange(over_, true))
         return;
-    context_.monitors->forget_start(request_.id);
+    context_.monitors->unwatch_start(request_.id);
     release_others({});
 }
 
--- a/src/libcyclamenrun/gateway/start_search.hpp
+++ b/src/libcyclamenrun/gateway/start_search.hpp
@@ -28,7 +28,8 @@
             const std::vector<std::string>& exclude, std::size_t count)>
             candidates;
         /** Cost of a granted start; lower is better. */
-        std::function<double(const upstream_record&, const given_place&)> cost;
+        std::function<double(const upstream_record&, const engine_occupancy&)>
+            cost;
         /** The generation starts at this engine. */
         std::function<void(const upstream_record&)> found;
         /** Most engines skip the request; the search waits until cancelled. */
@@ -51,7 +52,7 @@
         upstream_record engine;
         bool responded = false;     ///< its monitor has responded
         bool skips_request = false; ///< other requests have priority there
-        std::optional<given_place> place; ///< set if the start is granted
+        std::optional<engine_occupancy> place; ///< set if the start is granted
     };
 
     void request_more(std::size_t count);
@@ -60,10 +61,10 @@
     void drop_unusable();
     void check_responses();
     bool all_responded() const;
-    void handle_grant(const std::string& host, const given_place& place);
+    void handle_grant(const std::string& host, const engine_occupancy& place);
     bool may_use(const requested_engine& engine) const;
     void choose();
-    void handle_wait(const std::string& host, start_wait wait);
+    void handle_wait(const std::string& host, start_denial wait);
     bool is_skipped() const;
     void report_if_skipped();
     void release_others(const std::string& host);
--- a/src/libcyclamenrun/gateway/upstream_attempt.cpp
+++ b/src/libcyclamenrun/gateway/upstream_attempt.cpp
@@ -193,7 +193,7 @@
         connection_->close();
         return;
     }
-    const auto idle = facts_.keeps_idle.value_or(default_idle_timeout);
+    const auto idle = facts_.keep_alive_timeout.value_or(default_idle_timeout);
     if (idle <= idle_margin) {
         connection_->close();
         return;
--- a/src/libcyclamenrun/gateway/upstream_choice.cpp
+++ b/src/libcyclamenrun/gateway/upstream_choice.cpp
@@ -76,7 +76,8 @@
     if (upstream.load)
         placed.load_age =
             std::chrono::duration_cast<milliseconds>(now - upstream.load_at);
-    placed.first_part_after = first_part_after(upstream, request, now);
+    placed.estimated_time_to_first_part =
+        estimated_time_to_first_part(upstream, request, now);
     return placed;
 }
 
@@ -145,7 +146,7 @@
 }
 
 double upstream_choice::start_cost(const upstream_record& engine,
-                                   const given_place& place,
+                                   const engine_occupancy& place,
                                    const placement_request& request,
                                    time_point now) const
 {
@@ -158,7 +159,8 @@
         static_cast<double>(place.slots_taken) / std::max(1U, engine.slots);
     reported.memory_taken =
         static_cast<double>(place.memory_taken + request.output_tokens) /
-        static_cast<double>(std::max<std::uint64_t>(1, request.engine_tokens));
+        static_cast<double>(
+            std::max<std::uint64_t>(1, request.engine_memory_tokens));
     return placement_cost(reported);
 }
 
--- a/src/libcyclamenrun/gateway/upstream_choice.hpp
+++ b/src/libcyclamenrun/gateway/upstream_choice.hpp
@@ -2,7 +2,7 @@
 #define CYCLAMENRUN_UPSTREAM_CHOICE_HPP
 
 #include "gateway_configuration.hpp"
-#include "upstream_board.hpp"
+#include "upstream_registry.hpp"
 
 #include <optional>
 #include <random>
@@ -23,14 +23,14 @@
     /** Age of the load report that was used; empty: no report. */
     std::optional<milliseconds> load_age;
     /** Estimated time to the first part: queued prompts and its own. */
-    milliseconds first_part_after{0};
+    milliseconds estimated_time_to_first_part{0};
 };
 
 /** Chooses upstreams for requests from the registry of upstreams. */
 class upstream_choice
 {
 public:
-    upstream_choice(const upstream_board& board, std::mt19937_64& random)
+    upstream_choice(const upstream_registry& board, std::mt19937_64& random)
         : board_(board), random_(random)
     {
     }
@@ -61,7 +61,8 @@
                     time_point now);
 
     /** Cost of a start granted by the engine's monitor. */
-    double start_cost(const upstream_record& engine, const given_place& place,
+    double start_cost(const upstream_record& engine,
+                      const engine_occupancy& place,
                       const placement_request& request, time_point now) const;
     /** Cost of copying a running generation to the engine. */
     double copy_cost(const upstream_record& engine,
@@ -99,7 +100,7 @@
            const placement_request& request, const placement_weights& weights,
            time_point now);
 
-    const upstream_board& board_;
+    const upstream_registry& board_;
     std::mt19937_64& random_;
 };
 
--- a/src/libcyclamenrun/gateway/upstream_connections.cpp
+++ b/src/libcyclamenrun/gateway/upstream_connections.cpp
@@ -22,7 +22,7 @@
 
 std::shared_ptr<tcp_connection>
 upstream_connections::open(const upstream_record& upstream,
-                           const connection_patience& patience)
+                           const connection_timeouts& patience)
 {
     return tcp_connection::connect(reactor_, upstream.address, patience, {});
 }
--- a/src/libcyclamenrun/gateway/upstream_connections.hpp
+++ b/src/libcyclamenrun/gateway/upstream_connections.hpp
@@ -36,7 +36,7 @@
     /** Opens a new connection. */
     std::shared_ptr<tcp_connection>
     open(const upstream_record& upstream,
-         const connection_patience& patience = {});
+         const connection_timeouts& patience = {});
     /** Adds a connection without pending data to the pool. */
     void keep(const std::string& upstream_id,
               std::shared_ptr<tcp_connection> connection, time_point until);
--- a/src/libcyclamenrun/gateway/upstream_record.hpp
+++ b/src/libcyclamenrun/gateway/upstream_record.hpp
@@ -1,7 +1,7 @@
 #ifndef CYCLAMENRUN_UPSTREAM_RECORD_HPP
 #define CYCLAMENRUN_UPSTREAM_RECORD_HPP
 
-#include "engine_outlook.hpp"
+#include "engine_load_estimate.hpp"
 #include "ip_endpoint.hpp"
 
 #include <cstdint>
@@ -37,8 +37,9 @@
     std::uint32_t running = 0;
     std::uint32_t starting = 0; ///< part of `running`: prompts being read
     std::uint32_t queued = 0;
-    std::vector<held_generation> generations; ///< that have begun
-    std::uint32_t next_tokens = 0;  ///< prompt of the first queued request
+    std::vector<resident_generation> generations; ///< that have begun
+    std::uint32_t next_prompt_tokens =
+        0;                          ///< prompt of the first queued request
     std::uint64_t memory_used = 0;  ///< tokens that can't be evicted
     std::uint64_t memory_total = 0; ///< tokens
     /** Time needed to read the prompts ahead of a new one. Only the monitor
--- a/src/libcyclamenrun/gateway/upstream_board.cpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.cpp
@@ -1,4 +1,4 @@
-#include "upstream_board.hpp"
+#include "upstream_registry.hpp"
 
 #include "reading_speed.hpp"
 
@@ -124,8 +124,8 @@
     return upstream.load && now - upstream.load_at <= load_lifetime;
 }
 
-void upstream_board::apply(const upstream_change& change, time_point now,
-                           bool after_outage)
+void upstream_registry::apply(const upstream_change& change, time_point now,
+                              bool after_outage)
 {
     if (change.record)
         add(*change.record, now);
@@ -133,8 +133,8 @@
         remove(change.id, now, after_outage);
 }
 
-void upstream_board::replace_all(const std::vector<upstream_change>& all,
-                                 time_point now, bool after_outage)
+void upstream_registry::replace_all(const std::vector<upstream_change>& all,
+                                    time_point now, bool after_outage)
 {
     std::set<std::string> present;
     for (const auto& change : all) {
@@ -151,7 +151,7 @@
         remove(id, now, after_outage);
 }
 
-void upstream_board::add(const upstream_record& record, time_point)
+void upstream_registry::add(const upstream_record& record, time_point)
 {
     const auto found = upstreams_.find(record.id);
     // A process that restarts under its id has lost the state of the old one.
@@ -172,7 +172,7 @@
         upstream.leaving = false;
 }
 
-void upstream_board::index_address(upstream_state& upstream)
+void upstream_registry::index_address(upstream_state& upstream)
 {
     auto& listed = by_address_[to_string(upstream.record.address)];
     const auto other = upstreams_.find(listed);
@@ -188,8 +188,8 @@
     listed = upstream.record.id;
 }
 
-void upstream_board::remove(const std::string& id, time_point now,
-                            bool after_outage)
+void upstream_registry::remove(const std::string& id, time_point now,
+                               bool after_outage)
 {
     const auto found = upstreams_.find(id);
     if (found == upstreams_.end())
@@ -210,7 +210,7 @@
         drop(id);
 }
 
-void upstream_board::end_doubts(time_point now)
+void upstream_registry::drop_unlisted(time_point now)
 {
     std::vector<std::string> gone;
     for (const auto& [id, upstream] : upstreams_) {
@@ -225,7 +225,7 @@
         remove(id, now, false);
 }
 
-void upstream_board::record_dropped(const std::string& id, time_point now)
+void upstream_registry::record_dropped(const std::string& id, time_point now)
 {
     if (dropped_.size() >= max_dropped)
         std::erase_if(dropped_,
@@ -234,8 +234,8 @@
         dropped_[id] = now + dropped_retention;
 }
 
-void upstream_board::take_identity(const ip_endpoint& address,
-                                   const std::string& id, time_point now)
+void upstream_registry::take_identity(const ip_endpoint& address,
+                                      const std::string& id, time_point now)
 {
     const auto listed = by_address_.find(to_string(address));
     if (listed == by_address_.end() || listed->second == id)
@@ -262,8 +262,8 @@
     listed->second = id;
 }
 
-void upstream_board::mark_leaving(upstream_state& upstream,
-                                  std::optional<time_point> leaves_at)
+void upstream_registry::mark_leaving(upstream_state& upstream,
+                                     std::optional<time_point> leaves_at)
 {
     if (leaves_at)
         upstream.leaves_at = leaves_at;
@@ -273,7 +273,7 @@
         on_.leaving(upstream.record.id, leaves_at);
 }
 
-void upstream_board::drop(const std::string& id)
+void upstream_registry::drop(const std::string& id)
 {
     const auto found = upstreams_.find(id);
     if (found == upstreams_.end())
@@ -287,8 +287,8 @@
         on_.gone(id);
 }
 
-void upstream_board::take_load(const ip_endpoint& address,
-                               const engine_load& load, time_point now)
+void upstream_registry::take_load(const ip_endpoint& address,
+                                  const engine_load& load, time_point now)
 {
     const auto id = by_address_.find(to_string(address));
     if (id == by_address_.end())
@@ -307,8 +307,8 @@
     mark_leaving(upstream, leaves_at);
 }
 
-void upstream_board::expect(const std::string& id, std::uint64_t prompt_tokens,
-                            time_point now)
+void upstream_registry::expect(const std::string& id,
+                               std::uint64_t prompt_tokens, time_point now)
 {
     const auto found = upstreams_.find(id);
     if (found == upstreams_.end())
@@ -319,8 +319,8 @@
         unreported.pop_front();
 }
 
-void upstream_board::dispatched(const std::string& id,
-                                std::uint64_t prompt_tokens, time_point now)
+void upstream_registry::dispatched(const std::string& id,
+                                   std::uint64_t prompt_tokens, time_point now)
 {
     expect(id, prompt_tokens, now);
     const auto found = upstreams_.find(id);
@@ -328,7 +328,7 @@
         ++found->second.own_running;
 }
 
-void upstream_board::settled(const std::string& id)
+void upstream_registry::settled(const std::string& id)
 {
     const auto found = upstreams_.find(id);
     if (found == upstreams_.end() || found->second.own_running == 0)
@@ -338,58 +338,59 @@
         drop(id);
 }
 
-void upstream_board::succeeded(const std::string& id, time_point now)
+void upstream_registry::succeeded(const std::string& id, time_point now)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         update_failure_rate(found->second, 0.0, now);
 }
 
-void upstream_board::failed(const std::string& id, time_point now)
+void upstream_registry::failed(const std::string& id, time_point now)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         update_failure_rate(found->second, 1.0, now);
 }
 
-void upstream_board::unreached(const std::string& id, time_point now)
+void upstream_registry::unreached(const std::string& id, time_point now)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         found->second.unreachable_until = now + unreachable_retry_delay;
 }
 
-void upstream_board::reached(const std::string& id)
+void upstream_registry::reached(const std::string& id)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         found->second.unreachable_until = {};
 }
 
-void upstream_board::misplaced(const std::string& id)
+void upstream_registry::misplaced(const std::string& id)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         found->second.superseded = true;
 }
 
-void upstream_board::update_failure_rate(upstream_state& upstream,
-                                         double sample, time_point now) const
+void upstream_registry::update_failure_rate(upstream_state& upstream,
+                                            double sample, time_point now) const
 {
     const double rate = failure_rate_at(upstream, now);
     upstream.failure_rate = rate + failure_weight * (sample - rate);
     upstream.failure_rate_updated_at = now;
 }
 
-const upstream_state* upstream_board::find(const std::string& id) const
+const upstream_state* upstream_registry::find(const std::string& id) const
 {
     const auto found = upstreams_.find(id);
     return found == upstreams_.end() ? nullptr : &found->second;
 }
 
-const upstream_state* upstream_board::find_at(const ip_endpoint& address) const
+const upstream_state*
+upstream_registry::find_at(const ip_endpoint& address) const
 {
     const auto listed = by_address_.find(to_string(address));
     return listed == by_address_.end() ? nullptr : find(listed->second);
 }
 
 std::vector<const upstream_state*>
-upstream_board::available(const std::string& service) const
+upstream_registry::available(const std::string& service) const
 {
     std::vector<const upstream_state*> result;
     for (const auto& [id, upstream] : upstreams_) {
@@ -401,7 +402,7 @@
 }
 
 std::set<std::string>
-upstream_board::hosts_in_use(const std::string& service) const
+upstream_registry::hosts_in_use(const std::string& service) const
 {
     std::set<std::string> result;
     for (const auto& [id, upstream] : upstreams_) {
@@ -411,7 +412,7 @@
     return result;
 }
 
-std::set<std::string> upstream_board::services() const
+std::set<std::string> upstream_registry::services() const
 {
     std::set<std::string> result;
     for (const auto& [id, upstream] : upstreams_)
@@ -419,8 +420,8 @@
     return result;
 }
 
-service_totals upstream_board::totals(const std::string& service,
-                                      time_point now) const
+service_totals upstream_registry::totals(const std::string& service,
+                                         time_point now) const
 {
     service_totals result;
     for (const auto* upstream : available(service)) {
@@ -446,12 +447,12 @@
     candidate.same_failure_domain =
         upstream.record.failure_domain == request.from_domain;
     candidate.failure_rate = failure_rate_at(upstream, now);
-    candidate.doubtful = upstream.unconfirmed_until.has_value();
+    candidate.unconfirmed = upstream.unconfirmed_until.has_value();
     candidate.unreachable = now < upstream.unreachable_until;
     const auto load = estimate_load(upstream, request, now);
     const double slots = std::max(1U, upstream.record.slots);
     candidate.slots_taken = (load.requests + 1) / slots;
-    if (request.engine_tokens == 0)
+    if (request.engine_memory_tokens == 0)
         return candidate;
     const double objective = static_cast<double>(
         std::max(request.objective, milliseconds(1)).count());
@@ -459,14 +460,15 @@
     candidate.memory_taken =
         (load.memory_tokens +
          static_cast<double>(request.prompt_tokens + request.output_tokens)) /
-        static_cast<double>(request.engine_tokens);
+        static_cast<double>(request.engine_memory_tokens);
     return candidate;
 }
 
-milliseconds first_part_after(const upstream_state& upstream,
-                              const placement_request& request, time_point now)
+milliseconds estimated_time_to_first_part(const upstream_state& upstream,
+                                          const placement_request& request,
+                                          time_point now)
 {
-    if (request.engine_tokens == 0 || !upstream.load)
+    if (request.engine_memory_tokens == 0 || !upstream.load)
         return milliseconds(0);
     const double ms =
         estimate_load(upstream, request, now).unread_ms +
--- a/src/libcyclamenrun/gateway/upstream_board.hpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_UPSTREAM_BOARD_HPP
-#define CYCLAMENRUN_UPSTREAM_BOARD_HPP
+#ifndef CYCLAMENRUN_UPSTREAM_REGISTRY_HPP
+#define CYCLAMENRUN_UPSTREAM_REGISTRY_HPP
 
 #include "clock.hpp"
 #include "placement.hpp"
@@ -69,7 +69,7 @@
  * would send a request to four predecessors, be rejected by the successor each
  * time, and refuse the request.
  */
-class upstream_board
+class upstream_registry
 {
 public:
     struct hooks {
@@ -83,7 +83,7 @@
         std::function<void(const std::string& id)> gone;
     };
 
-    explicit upstream_board(hooks on) : on_(std::move(on)) {}
+    explicit upstream_registry(hooks on) : on_(std::move(on)) {}
 
     /** `after_outage`: the directory was unavailable until recently, and
      * records of live upstreams may have expired. */
@@ -94,7 +94,7 @@
                      bool after_outage);
     /** Drops upstreams that the directory has not listed in time: unconfirmed
      * ones, and ones that only a monitor has reported. */
-    void end_doubts(time_point now);
+    void drop_unlisted(time_point now);
     /**
      * Handles a monitor's report of the engine id that currently responds at
      * an address. A restarted engine is used at once: the directory lists it
@@ -165,7 +165,7 @@
     std::uint64_t output_tokens = 0; ///< expected
     milliseconds objective{0};
     /** Configured memory of an engine; 0 for a service without engines. */
-    std::uint64_t engine_tokens = 0;
+    std::uint64_t engine_memory_tokens = 0;
     std::string from_domain;
     unsigned gateways = 1; ///< number that send to the same upstreams
 };
@@ -174,8 +174,9 @@
  * Estimated time until the first part of a generation at the upstream; zero
  * for a service without engines and if no load is known.
  */
-milliseconds first_part_after(const upstream_state& upstream,
-                              const placement_request& request, time_point now);
+milliseconds estimated_time_to_first_part(const upstream_state& upstream,
+                                          const placement_request& request,
+                                          time_point now);
 
 /** The upstream as a placement candidate, with the request added to it. */
 placement_candidate placement_of(const upstream_state& upstream,
@@ -184,4 +185,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_UPSTREAM_BOARD_HPP
+#endif // CYCLAMENRUN_UPSTREAM_REGISTRY_HPP
--- a/src/libcyclamenrun/http/datagram_socket.hpp
+++ b/src/libcyclamenrun/http/datagram_socket.hpp
@@ -3,7 +3,7 @@
 
 #include "ip_endpoint.hpp"
 #include "link_reactor.hpp"
-#include "link_watcher.hpp"
+#include "socket_event_handler.hpp"
 
 #include <Poco/Net/DatagramSocket.h>
 #include <functional>
@@ -15,7 +15,7 @@
 
 /** A UDP socket on a reactor. Drops datagrams that can't be sent at once. */
 class datagram_socket final
-    : public link_watcher,
+    : public socket_event_handler,
       public std::enable_shared_from_this<datagram_socket>
 {
 public:
--- a/src/libcyclamenrun/http/http_call.cpp
+++ b/src/libcyclamenrun/http/http_client.cpp
@@ -1,4 +1,4 @@
-#include "http_call.hpp"
+#include "http_client.hpp"
 
 #include "http_text.hpp"
 
@@ -22,25 +22,25 @@
     return "broken";
 }
 
-http_caller::http_caller(std::shared_ptr<link_reactor> reactor,
+http_client::http_client(std::shared_ptr<link_reactor> reactor,
                          ip_endpoint peer)
     : reactor_(std::move(reactor)), peer_(std::move(peer))
 {
 }
 
-http_caller::~http_caller()
+http_client::~http_client()
 {
     close();
 }
 
-void http_caller::close()
+void http_client::close()
 {
     if (connection_)
         connection_->close();
     connection_.reset();
 }
 
-void http_caller::call(http_head head, const std::string& body,
+void http_client::call(http_head head, const std::string& body,
                        time_point deadline, answered on_answer)
 {
     head.fields.insert(head.fields.begin(), {"Host", to_string(peer_)});
@@ -60,7 +60,7 @@
     send_call();
 }
 
-void http_caller::send_call()
+void http_client::send_call()
 {
     if (!connection_ || !connection_->open())
         open_connection();
@@ -74,7 +74,7 @@
         });
 }
 
-void http_caller::open_connection()
+void http_client::open_connection()
 {
     http_reader::hooks read;
     read.head = [this](http_head&& head) {
@@ -98,7 +98,7 @@
     connection_ = tcp_connection::connect(reactor_, peer_, {}, std::move(on));
 }
 
-void http_caller::read(std::string_view bytes)
+void http_client::read(std::string_view bytes)
 {
     if (!busy()) {
         // Unsolicited bytes: they could be taken for the next call's answer.
@@ -118,7 +118,7 @@
     finish(std::move(reply_));
 }
 
-void http_caller::connection_ended(connection_end reason)
+void http_client::connection_ended(connection_end reason)
 {
     connection_.reset();
     if (!busy())
@@ -133,7 +133,7 @@
                               : call_failure::broken));
 }
 
-void http_caller::finish(call_outcome outcome)
+void http_client::finish(call_outcome outcome)
 {
     if (!outcome)
         close();
--- a/src/libcyclamenrun/http/http_call.hpp
+++ b/src/libcyclamenrun/http/http_client.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_HTTP_CALL_HPP
-#define CYCLAMENRUN_HTTP_CALL_HPP
+#ifndef CYCLAMENRUN_HTTP_CLIENT_HPP
+#define CYCLAMENRUN_HTTP_CLIENT_HPP
 
 #include "http_reader.hpp"
 #include "tcp_connection.hpp"
@@ -35,15 +35,15 @@
  * taken for the answer to a later call. The object keeps itself alive until the
  * pending call completes.
  */
-class http_caller : public std::enable_shared_from_this<http_caller>
+class http_client : public std::enable_shared_from_this<http_client>
 {
 public:
     using answered = std::function<void(call_outcome)>;
 
-    http_caller(std::shared_ptr<link_reactor> reactor, ip_endpoint peer);
-    ~http_caller();
-    http_caller(const http_caller&) = delete;
-    http_caller& operator=(const http_caller&) = delete;
+    http_client(std::shared_ptr<link_reactor> reactor, ip_endpoint peer);
+    ~http_client();
+    http_client(const http_client&) = delete;
+    http_client& operator=(const http_client&) = delete;
 
     /** Starts a call. No other call may be pending. */
     void call(http_head head, const std::string& body, time_point deadline,
@@ -62,7 +62,7 @@
     ip_endpoint peer_;
     std::shared_ptr<tcp_connection> connection_;
     std::unique_ptr<http_reader> reader_;
-    std::shared_ptr<http_caller> self_;
+    std::shared_ptr<http_client> self_;
     std::string request_;
     http_reply reply_;
     answered on_answer_;
@@ -75,4 +75,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_HTTP_CALL_HPP
+#endif // CYCLAMENRUN_HTTP_CLIENT_HPP
--- a/src/libcyclamenrun/http/tcp_acceptor.hpp
+++ b/src/libcyclamenrun/http/tcp_acceptor.hpp
@@ -3,7 +3,7 @@
 
 #include "ip_endpoint.hpp"
 #include "link_reactor.hpp"
-#include "link_watcher.hpp"
+#include "socket_event_handler.hpp"
 
 #include <Poco/Net/ServerSocket.h>
 #include <functional>
@@ -13,7 +13,7 @@
 {
 
 /** Accepts connections on a reactor until it is stopped. */
-class tcp_acceptor final : public link_watcher,
+class tcp_acceptor final : public socket_event_handler,
                            public std::enable_shared_from_this<tcp_acceptor>
 {
 public:
--- a/src/libcyclamenrun/http/tcp_connection.cpp
+++ b/src/libcyclamenrun/http/tcp_connection.cpp
@@ -30,7 +30,7 @@
  * nor resets. Without them a connection would hang for as long as the operating
  * system retransmits.
  */
-void set_timeouts(int socket, const connection_patience& timeouts)
+void set_timeouts(int socket, const connection_timeouts& timeouts)
 {
     const auto idle = static_cast<int>(
         std::max<std::int64_t>(1, timeouts.idle_probe / second));
@@ -72,7 +72,7 @@
 std::shared_ptr<tcp_connection>
 tcp_connection::connect(std::shared_ptr<link_reactor> reactor,
                         const ip_endpoint& peer,
-                        const connection_patience& timeouts, hooks on)
+                        const connection_timeouts& timeouts, hooks on)
 {
     try {
         Poco::Net::StreamSocket socket;
--- a/src/libcyclamenrun/http/tcp_connection.hpp
+++ b/src/libcyclamenrun/http/tcp_connection.hpp
@@ -3,7 +3,7 @@
 
 #include "ip_endpoint.hpp"
 #include "link_reactor.hpp"
-#include "link_watcher.hpp"
+#include "socket_event_handler.hpp"
 
 #include <Poco/Net/StreamSocket.h>
 #include <cstdint>
@@ -28,7 +28,7 @@
  * How long a peer's host may stay unresponsive before the connection counts as
  * broken.
  */
-struct connection_patience {
+struct connection_timeouts {
     milliseconds unacknowledged{3000}; ///< for sent data
     milliseconds idle_probe{1000};     ///< between keep-alive probes
 };
@@ -38,7 +38,7 @@
  * buffered. The connection keeps itself and its hooks alive while it is open;
  * close() releases both without calling a hook.
  */
-class tcp_connection final : public link_watcher,
+class tcp_connection final : public socket_event_handler,
                              public std::enable_shared_from_this<tcp_connection>
 {
 public:
@@ -57,7 +57,7 @@
     /** Starts to connect. Returns nullptr if the address is unusable. */
     static std::shared_ptr<tcp_connection>
     connect(std::shared_ptr<link_reactor> reactor, const ip_endpoint& peer,
-            const connection_patience& timeouts, hooks on);
+            const connection_timeouts& timeouts, hooks on);
 
     void start(hooks on);
     /** Replaces the hooks. A hook that is running completes. */
--- a/src/libcyclamenrun/links/agent_question.cpp
+++ b/src/libcyclamenrun/links/agent_query.cpp
@@ -1,9 +1,9 @@
-#include "agent_question.hpp"
+#include "agent_query.hpp"
 
 namespace cyclamenrun
 {
 
-client_handlers agent_question::handlers()
+client_handlers agent_query::handlers()
 {
     client_handlers handlers;
     handlers.on_frame = [self = shared_from_this()](std::string frame) {
@@ -15,13 +15,13 @@
     return handlers;
 }
 
-void agent_question::asked_by(std::shared_ptr<client_stream> stream)
+void agent_query::set_stream(std::shared_ptr<client_stream> stream)
 {
     const std::scoped_lock lock(mutex_);
     stream_ = std::move(stream);
 }
 
-std::optional<std::string> agent_question::wait(time_point deadline)
+std::optional<std::string> agent_query::wait(time_point deadline)
 {
     std::unique_lock lock(mutex_);
     ended_cv_.wait_until(lock, deadline, [this] { return ended_; });
@@ -31,7 +31,7 @@
     return answer_;
 }
 
-void agent_question::end(std::optional<std::string> answer)
+void agent_query::end(std::optional<std::string> answer)
 {
     const std::scoped_lock lock(mutex_);
     if (ended_)
--- a/src/libcyclamenrun/links/agent_question.hpp
+++ b/src/libcyclamenrun/links/agent_query.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_AGENT_QUESTION_HPP
-#define CYCLAMENRUN_AGENT_QUESTION_HPP
+#ifndef CYCLAMENRUN_AGENT_QUERY_HPP
+#define CYCLAMENRUN_AGENT_QUERY_HPP
 
 #include "client_stream.hpp"
 #include "clock.hpp"
@@ -17,12 +17,12 @@
  * A request to an agent with one answer that a thread waits for. The link's
  * callbacks keep the object alive, as they may run after wait() has returned.
  */
-class agent_question : public std::enable_shared_from_this<agent_question>
+class agent_query : public std::enable_shared_from_this<agent_query>
 {
 public:
     client_handlers handlers();
     /** Sets the stream of the request; null if none could be opened. */
-    void asked_by(std::shared_ptr<client_stream> stream);
+    void set_stream(std::shared_ptr<client_stream> stream);
     /**
      * Waits for the answer. Returns nothing if the stream fails or the
      * deadline passes first; in the latter case the stream is cancelled.
@@ -41,4 +41,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_AGENT_QUESTION_HPP
+#endif // CYCLAMENRUN_AGENT_QUERY_HPP
--- a/src/libcyclamenrun/links/client_stream.hpp
+++ b/src/libcyclamenrun/links/client_stream.hpp
@@ -28,7 +28,7 @@
      * the peer reported that it did not process the request. The request has
      * then not run and never will.
      */
-    bool request_may_have_left = false;
+    bool request_may_have_run = false;
 };
 
 /** Callbacks of a stream, called on the loop's thread with no lock held. */
--- a/src/libcyclamenrun/links/link_client_connection.cpp
+++ b/src/libcyclamenrun/links/link_client_connection.cpp
@@ -49,7 +49,7 @@
     hooks owner_hooks)
     : link_connection(std::move(reactor), limits, socket),
       link_key_(std::move(link_key)), hooks_(std::move(owner_hooks)),
-      handshake_deadline_(this->reactor().now() + limits.handshake_time)
+      handshake_deadline_(this->reactor().now() + limits.handshake_timeout)
 {
 }
 
@@ -183,7 +183,7 @@
     if (std::erase(waiting_, stream) == 0 && remove(stream->id_))
         reset_stream(stream->id_, NGHTTP2_CANCEL);
     stream->end({.failure = link_failure::cancelled,
-                 .request_may_have_left = may_have_been_sent(*stream)});
+                 .request_may_have_run = may_have_been_sent(*stream)});
 }
 
 void link_client_connection::cancel_all()
@@ -246,7 +246,7 @@
     remove(stream);
     reset_stream(stream, NGHTTP2_CANCEL);
     found->end({.failure = link_failure::too_large,
-                .request_may_have_left = may_have_been_sent(*found)});
+                .request_may_have_run = may_have_been_sent(*found)});
 }
 
 void link_client_connection::stream_half_closed(std::int32_t stream)
@@ -265,7 +265,7 @@
     how.clean = error_code == NGHTTP2_NO_ERROR && found->answer_ended_ &&
                 !found->decoder_.mid_frame();
     how.failure = failure_of(error_code);
-    how.request_may_have_left =
+    how.request_may_have_run =
         may_have_been_sent(*found) && !proves_not_run(error_code);
     found->end(how);
 }
@@ -300,7 +300,7 @@
     const auto streams = std::exchange(streams_, {});
     for (const auto& [id, stream] : streams)
         stream->end({.failure = failure,
-                     .request_may_have_left = may_have_been_sent(*stream)});
+                     .request_may_have_run = may_have_been_sent(*stream)});
 }
 
 bool link_client_connection::busy() const
--- a/src/libcyclamenrun/links/link_connection.cpp
+++ b/src/libcyclamenrun/links/link_connection.cpp
@@ -57,7 +57,7 @@
                                           window);
     watch_ =
         reactor_->watch(descriptor_of(socket_), shared_from_this(), connecting);
-    schedule_check(reactor_->now() + limits_.handshake_time);
+    schedule_check(reactor_->now() + limits_.handshake_timeout);
     flush_later();
 }
 
--- a/src/libcyclamenrun/links/link_connection.hpp
+++ b/src/libcyclamenrun/links/link_connection.hpp
@@ -6,7 +6,7 @@
 #include "link_limits.hpp"
 #include "link_output.hpp"
 #include "link_reactor.hpp"
-#include "link_watcher.hpp"
+#include "socket_event_handler.hpp"
 
 #include <Poco/Net/StreamSocket.h>
 #include <cstdint>
@@ -39,7 +39,7 @@
  * the socket, the nghttp2 session and the keepalive. Used on its loop's
  * thread only; the loop keeps it alive until it closes.
  */
-class link_connection : public link_watcher,
+class link_connection : public socket_event_handler,
                         public std::enable_shared_from_this<link_connection>
 {
 public:
--- a/src/libcyclamenrun/links/link_keepalive.cpp
+++ b/src/libcyclamenrun/links/link_keepalive.cpp
@@ -5,7 +5,7 @@
 
 link_keepalive::link_keepalive(const link_limits& limits, time_point now)
     : busy_ping_after_(limits.busy_ping_after),
-      idle_ping_after_(limits.idle_ping_after), ping_time_(limits.ping_time),
+      idle_ping_after_(limits.idle_ping_after), ping_time_(limits.ping_timeout),
       last_received_(now)
 {
 }
--- a/src/libcyclamenrun/links/link_limits.hpp
+++ b/src/libcyclamenrun/links/link_limits.hpp
@@ -26,7 +26,7 @@
     /** Output bytes buffered until the socket accepts them. */
     std::size_t send_buffer_bytes = 256U << 10;
     /** Timeout for the connection and the handshake together. */
-    milliseconds handshake_time{3000};
+    milliseconds handshake_timeout{3000};
     /**
      * Path of long-polling requests. Streams to it don't make a connection
      * busy: a link with nothing but a pending heartbeat would otherwise carry
@@ -44,7 +44,7 @@
      */
     milliseconds idle_ping_after{15000};
     /** Timeout for the answer to a PING. */
-    milliseconds ping_time{2000};
+    milliseconds ping_timeout{2000};
     /** Time without streams after which a client closes a connection. */
     milliseconds idle_timeout{600000};
 };
--- a/src/libcyclamenrun/links/link_listener.cpp
+++ b/src/libcyclamenrun/links/link_listener.cpp
@@ -16,7 +16,7 @@
 } // namespace
 
 link_listener::link_listener(std::shared_ptr<link_reactor> reactor,
-                             std::shared_ptr<const link_server_shared> shared,
+                             std::shared_ptr<const link_server_context> shared,
                              const Poco::Net::ServerSocket& socket)
     : reactor_(std::move(reactor)), shared_(std::move(shared)), socket_(socket)
 {
--- a/src/libcyclamenrun/links/link_listener.hpp
+++ b/src/libcyclamenrun/links/link_listener.hpp
@@ -16,12 +16,12 @@
  * oldest of them is closed, so that many idle connections can't lock out a
  * peer that has the key.
  */
-class link_listener final : public link_watcher,
+class link_listener final : public socket_event_handler,
                             public std::enable_shared_from_this<link_listener>
 {
 public:
     link_listener(std::shared_ptr<link_reactor> reactor,
-                  std::shared_ptr<const link_server_shared> shared,
+                  std::shared_ptr<const link_server_context> shared,
                   const Poco::Net::ServerSocket& socket);
 
     // To be called on the loop's thread.
@@ -43,7 +43,7 @@
     void add(const Poco::Net::StreamSocket& socket);
 
     std::shared_ptr<link_reactor> reactor_;
-    std::shared_ptr<const link_server_shared> shared_;
+    std::shared_ptr<const link_server_context> shared_;
     Poco::Net::ServerSocket socket_;
     link_reactor::watch_id watch_ = 0;
     bool accepting_ = false;
--- a/src/libcyclamenrun/links/link_reactor.cpp
+++ b/src/libcyclamenrun/links/link_reactor.cpp
@@ -94,7 +94,7 @@
 }
 
 link_reactor::watch_id
-link_reactor::watch(int socket, std::shared_ptr<link_watcher> watcher,
+link_reactor::watch(int socket, std::shared_ptr<socket_event_handler> watcher,
                     bool write_interest)
 {
     const watch_id id = next_watch_++;
@@ -127,7 +127,7 @@
     watches_.erase(found);
 }
 
-void link_reactor::flush_later(std::shared_ptr<link_watcher> watcher)
+void link_reactor::flush_later(std::shared_ptr<socket_event_handler> watcher)
 {
     unflushed_.push_back(std::move(watcher));
 }
--- a/src/libcyclamenrun/links/link_reactor.hpp
+++ b/src/libcyclamenrun/links/link_reactor.hpp
@@ -2,7 +2,7 @@
 #define CYCLAMENRUN_LINK_REACTOR_HPP
 
 #include "clock.hpp"
-#include "link_watcher.hpp"
+#include "socket_event_handler.hpp"
 
 #include <atomic>
 #include <cstdint>
@@ -47,12 +47,12 @@
 
     // To be called on the loop's thread only.
 
-    watch_id watch(int socket, std::shared_ptr<link_watcher> watcher,
+    watch_id watch(int socket, std::shared_ptr<socket_event_handler> watcher,
                    bool write_interest);
     void set_interest(watch_id id, bool read, bool write);
     void unwatch(watch_id id);
     /** Calls the watcher's flush() at the end of this loop iteration. */
-    void flush_later(std::shared_ptr<link_watcher> watcher);
+    void flush_later(std::shared_ptr<socket_event_handler> watcher);
     bool stopping() const { return stopping_; }
     /** Time at the start of this loop iteration. */
     time_point now() const { return now_; }
@@ -62,7 +62,7 @@
 private:
     struct watch_entry {
         int socket;
-        std::shared_ptr<link_watcher> watcher;
+        std::shared_ptr<socket_event_handler> watcher;
         std::uint32_t events;
     };
 
@@ -89,7 +89,7 @@
     std::uint64_t next_watch_ = 1;
     std::unordered_map<watch_id, watch_entry> watches_;
     std::multimap<time_point, task> timers_;
-    std::vector<std::shared_ptr<link_watcher>> unflushed_;
+    std::vector<std::shared_ptr<socket_event_handler>> unflushed_;
     std::vector<char> read_buffer_;
 };
 
--- a/src/libcyclamenrun/links/link_server_connection.cpp
+++ b/src/libcyclamenrun/links/link_server_connection.cpp
@@ -20,13 +20,13 @@
 
 link_server_connection::link_server_connection(
     std::shared_ptr<link_reactor> reactor,
-    std::shared_ptr<const link_server_shared> shared,
+    std::shared_ptr<const link_server_context> shared,
     const Poco::Net::StreamSocket& socket, hooks owner_hooks)
     : link_connection(std::move(reactor), shared->limits, socket),
       shared_(std::move(shared)), peer_(std::make_shared<const std::string>(
                                       socket.peerAddress().toString())),
       hooks_(std::move(owner_hooks)),
-      handshake_deadline_(this->reactor().now() + limits().handshake_time)
+      handshake_deadline_(this->reactor().now() + limits().handshake_timeout)
 {
 }
 
--- a/src/libcyclamenrun/links/link_server_connection.hpp
+++ b/src/libcyclamenrun/links/link_server_connection.hpp
@@ -17,7 +17,7 @@
 using request_handler = std::function<void(std::shared_ptr<server_stream>)>;
 
 /** Constants that a server shares with all its connections. */
-struct link_server_shared {
+struct link_server_context {
     std::string link_key;
     link_limits limits;
     request_handler handler;
@@ -34,7 +34,7 @@
     };
 
     link_server_connection(std::shared_ptr<link_reactor> reactor,
-                           std::shared_ptr<const link_server_shared> shared,
+                           std::shared_ptr<const link_server_context> shared,
                            const Poco::Net::StreamSocket& socket,
                            hooks owner_hooks);
 
@@ -70,7 +70,7 @@
     void check_proof(server_stream& stream);
     void refuse_peer(std::int32_t stream);
 
-    std::shared_ptr<const link_server_shared> shared_;
+    std::shared_ptr<const link_server_context> shared_;
     std::shared_ptr<const std::string> peer_;
     hooks hooks_;
     phase phase_ = phase::awaiting_hello;
--- a/src/libcyclamenrun/links/link_watcher.hpp
+++ b/src/libcyclamenrun/links/socket_event_handler.hpp
@@ -1,17 +1,17 @@
-#ifndef CYCLAMENRUN_LINK_WATCHER_HPP
-#define CYCLAMENRUN_LINK_WATCHER_HPP
+#ifndef CYCLAMENRUN_SOCKET_EVENT_HANDLER_HPP
+#define CYCLAMENRUN_SOCKET_EVENT_HANDLER_HPP
 
 namespace cyclamenrun
 {
 
 /** Handles the events of one socket on the loop's thread. */
-class link_watcher
+class socket_event_handler
 {
 public:
-    link_watcher() = default;
-    link_watcher(const link_watcher&) = delete;
-    link_watcher& operator=(const link_watcher&) = delete;
-    virtual ~link_watcher() = default;
+    socket_event_handler() = default;
+    socket_event_handler(const socket_event_handler&) = delete;
+    socket_event_handler& operator=(const socket_event_handler&) = delete;
+    virtual ~socket_event_handler() = default;
 
     virtual void ready(bool readable, bool writable) = 0;
     /** Called at the end of a loop iteration after a flush_later() call. */
@@ -22,4 +22,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_LINK_WATCHER_HPP
+#endif // CYCLAMENRUN_SOCKET_EVENT_HANDLER_HPP
--- a/src/libcyclamenrun/membership/agent_clocks.cpp
+++ b/src/libcyclamenrun/membership/agent_uptimes.cpp
@@ -1,24 +1,24 @@
-#include "agent_clocks.hpp"
+#include "agent_uptimes.hpp"
 
 namespace cyclamenrun
 {
 
-void agent_clocks::record_report(const std::string& upstream,
-                                 std::uint64_t incarnation,
-                                 std::uint64_t uptime_ms, time_point now)
+void agent_uptimes::record_report(const std::string& upstream,
+                                  std::uint64_t incarnation,
+                                  std::uint64_t uptime_ms, time_point now)
 {
     const std::scoped_lock lock(mutex_);
     reports_[upstream] = {incarnation, now - milliseconds(uptime_ms)};
 }
 
-void agent_clocks::forget(const std::string& upstream)
+void agent_uptimes::forget(const std::string& upstream)
 {
     const std::scoped_lock lock(mutex_);
     reports_.erase(upstream);
 }
 
-std::optional<agent_clocks::reading>
-agent_clocks::read(const std::string& upstream, time_point now) const
+std::optional<agent_uptimes::reading>
+agent_uptimes::read(const std::string& upstream, time_point now) const
 {
     const std::scoped_lock lock(mutex_);
     const auto found = reports_.find(upstream);
--- a/src/libcyclamenrun/membership/agent_clocks.hpp
+++ b/src/libcyclamenrun/membership/agent_uptimes.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_AGENT_CLOCKS_HPP
-#define CYCLAMENRUN_AGENT_CLOCKS_HPP
+#ifndef CYCLAMENRUN_AGENT_UPTIMES_HPP
+#define CYCLAMENRUN_AGENT_UPTIMES_HPP
 
 #include "clock.hpp"
 
@@ -17,7 +17,7 @@
  * can be expressed as its agent's uptime. The transit time of a report makes
  * the estimate too low, so that a ticket may expire early but never late.
  */
-class agent_clocks
+class agent_uptimes
 {
 public:
     struct reading {
@@ -43,4 +43,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_AGENT_CLOCKS_HPP
+#endif // CYCLAMENRUN_AGENT_UPTIMES_HPP
--- a/src/libcyclamenrun/membership/domain_cut_detector.cpp
+++ b/src/libcyclamenrun/membership/domain_cut_detector.cpp
@@ -35,7 +35,7 @@
         domains_[domain].known = count;
 }
 
-bool domain_cut_detector::is_cut(const std::string& domain) const
+bool domain_cut_detector::is_cut_off(const std::string& domain) const
 {
     const auto found = domains_.find(domain);
     return found != domains_.end() && found->second.cut;
--- a/src/libcyclamenrun/membership/domain_cut_detector.hpp
+++ b/src/libcyclamenrun/membership/domain_cut_detector.hpp
@@ -28,7 +28,7 @@
      */
     void set_known_upstreams(const std::string& domain, std::size_t count);
 
-    bool is_cut(const std::string& domain) const;
+    bool is_cut_off(const std::string& domain) const;
 
     /** Upstreams that become suspects within this time count together. */
     static constexpr milliseconds suspect_window{15'000};
--- a/src/libcyclamenrun/membership/membership.cpp
+++ b/src/libcyclamenrun/membership/membership.cpp
@@ -268,10 +268,10 @@
     return {live.begin(), live.end()};
 }
 
-bool membership::is_cut(const std::string& failure_domain) const
+bool membership::is_cut_off(const std::string& failure_domain) const
 {
     const std::lock_guard lock(domain_cuts_mutex_);
-    return domain_cuts_.is_cut(failure_domain);
+    return domain_cuts_.is_cut_off(failure_domain);
 }
 
 void membership::append_known(std::vector<candidate>& found,
--- a/src/libcyclamenrun/membership/membership.hpp
+++ b/src/libcyclamenrun/membership/membership.hpp
@@ -92,7 +92,7 @@
      * Whether the failure domain is cut off: many of its upstreams were lost
      * at once, so no single upstream is at fault.
      */
-    bool is_cut(const std::string& failure_domain) const;
+    bool is_cut_off(const std::string& failure_domain) const;
 
     static constexpr std::size_t max_vms = 8192;
 
--- a/src/libcyclamenrun/membership/route_table.cpp
+++ b/src/libcyclamenrun/membership/route_table.cpp
@@ -127,8 +127,8 @@
                   [&](router& router) { router.report(latest, now); });
 }
 
-std::optional<agent_clocks::reading>
-route_table::clock_of(const std::string& upstream, time_point now) const
+std::optional<agent_uptimes::reading>
+route_table::agent_uptime(const std::string& upstream, time_point now) const
 {
     return clocks_.read(upstream, now);
 }
--- a/src/libcyclamenrun/membership/route_table.hpp
+++ b/src/libcyclamenrun/membership/route_table.hpp
@@ -1,7 +1,7 @@
 #ifndef CYCLAMENRUN_ROUTE_TABLE_HPP
 #define CYCLAMENRUN_ROUTE_TABLE_HPP
 
-#include "agent_clocks.hpp"
+#include "agent_uptimes.hpp"
 #include "clock.hpp"
 #include "membership.hpp"
 #include "objective.hpp"
@@ -51,8 +51,8 @@
     /** Applies a report that came with an answer or a heartbeat. */
     void report(const link::LoadReport& load, time_point now);
     /** The agent's incarnation and estimated uptime, for a ticket. */
-    std::optional<agent_clocks::reading> clock_of(const std::string& upstream,
-                                                  time_point now) const;
+    std::optional<agent_uptimes::reading>
+    agent_uptime(const std::string& upstream, time_point now) const;
 
     membership& members() { return members_; }
     const membership& members() const { return members_; }
@@ -64,7 +64,7 @@
     route_table_settings settings_;
     membership members_;
     sharded<router> routers_;
-    agent_clocks clocks_;
+    agent_uptimes clocks_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/router.cpp
+++ b/src/libcyclamenrun/membership/router.cpp
@@ -238,7 +238,7 @@
 double router::load_cost_ms(const load_view& load) const
 {
     return static_cast<double>(load.expected_wait().count()) +
-           settings_.full_memory_ms * load.memory_share();
+           settings_.full_memory_cost_ms * load.memory_share();
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/router_settings.hpp
+++ b/src/libcyclamenrun/membership/router_settings.hpp
@@ -25,7 +25,7 @@
      * Cost of a full memory while nothing is queued yet. Decode steps take
      * longer then, and a burst soon has to wait.
      */
-    double full_memory_ms = 2'000.0;
+    double full_memory_cost_ms = 2'000.0;
     /** Added cost of an upstream in another failure domain of the region. */
     milliseconds failure_domain_cost{2};
     /** Added cost of an upstream in another region. */
--- a/src/libcyclamenrun/observability/exported_metric.hpp
+++ b/src/libcyclamenrun/observability/exported_metric.hpp
@@ -19,7 +19,7 @@
     longest_pause,
     answer_time,
     upstream_time,
-    start_wait,
+    start_denial,
     directory_time,
     directory_failures,
     unreadable_records,
--- a/src/libcyclamenrun/observability/line_output.hpp
+++ b/src/libcyclamenrun/observability/line_output.hpp
@@ -1,7 +1,7 @@
 #ifndef CYCLAMENRUN_LINE_OUTPUT_HPP
 #define CYCLAMENRUN_LINE_OUTPUT_HPP
 
-#include "line_budget.hpp"
+#include "log_rate_limiter.hpp"
 
 #include <condition_variable>
 #include <mutex>
--- a/src/libcyclamenrun/observability/logging_change.cpp
+++ b/src/libcyclamenrun/observability/log_change.cpp
@@ -1,4 +1,4 @@
-#include "logging_change.hpp"
+#include "log_change.hpp"
 
 #include "log_event.hpp"
 
--- a/src/libcyclamenrun/observability/logging_change.hpp
+++ b/src/libcyclamenrun/observability/log_change.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_LOGGING_CHANGE_HPP
-#define CYCLAMENRUN_LOGGING_CHANGE_HPP
+#ifndef CYCLAMENRUN_LOG_CHANGE_HPP
+#define CYCLAMENRUN_LOG_CHANGE_HPP
 
 #include "operator.pb.h"
 #include "refusal.hpp"
@@ -13,4 +13,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_LOGGING_CHANGE_HPP
+#endif // CYCLAMENRUN_LOG_CHANGE_HPP
--- a/src/libcyclamenrun/observability/log_event.cpp
+++ b/src/libcyclamenrun/observability/log_event.cpp
@@ -31,7 +31,7 @@
         const std::lock_guard lock(mutex_);
         process_ = settings.process;
         writer_ = std::move(writer);
-        budget_ = line_budget(settings.lines_per_s);
+        budget_ = log_rate_limiter(settings.lines_per_s);
         unreported_ = {};
     }
 
@@ -98,7 +98,7 @@
     mutable std::mutex mutex_;
     std::string process_;
     log_writer writer_;
-    line_budget budget_{log_settings::default_log_lines_per_s};
+    log_rate_limiter budget_{log_settings::default_log_lines_per_s};
     dropped_lines unreported_;
     dropped_lines all_;
 };
--- a/src/libcyclamenrun/observability/line_budget.cpp
+++ b/src/libcyclamenrun/observability/log_rate_limiter.cpp
@@ -1,4 +1,4 @@
-#include "line_budget.hpp"
+#include "log_rate_limiter.hpp"
 
 #include <algorithm>
 
@@ -28,12 +28,12 @@
 
 } // namespace
 
-line_budget::line_budget(double lines_per_s)
+log_rate_limiter::log_rate_limiter(double lines_per_s)
     : lines_per_s_(lines_per_s), available_lines_(lines_per_s)
 {
 }
 
-bool line_budget::try_consume(log_severity severity, time_point now)
+bool log_rate_limiter::try_consume(log_severity severity, time_point now)
 {
     const std::chrono::duration<double> passed = now - refilled_at_;
     refilled_at_ = now;
--- a/src/libcyclamenrun/observability/line_budget.hpp
+++ b/src/libcyclamenrun/observability/log_rate_limiter.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_LINE_BUDGET_HPP
-#define CYCLAMENRUN_LINE_BUDGET_HPP
+#ifndef CYCLAMENRUN_LOG_RATE_LIMITER_HPP
+#define CYCLAMENRUN_LOG_RATE_LIMITER_HPP
 
 #include "clock.hpp"
 #include "log_severity.hpp"
@@ -31,11 +31,11 @@
  * time needed for serving. Lines of severity info are dropped first: part of
  * the budget is reserved for warnings and errors.
  */
-class line_budget
+class log_rate_limiter
 {
 public:
     /** Allows bursts of up to one second's budget. */
-    explicit line_budget(double lines_per_s);
+    explicit log_rate_limiter(double lines_per_s);
 
     /** Returns whether a line may be logged, and consumes budget if so. */
     bool try_consume(log_severity severity, time_point now);
@@ -48,4 +48,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_LINE_BUDGET_HPP
+#endif // CYCLAMENRUN_LOG_RATE_LIMITER_HPP
--- a/src/libcyclamenrun/observability/logging.hpp
+++ b/src/libcyclamenrun/observability/logging.hpp
@@ -1,7 +1,7 @@
 #ifndef CYCLAMENRUN_LOGGING_HPP
 #define CYCLAMENRUN_LOGGING_HPP
 
-#include "line_budget.hpp"
+#include "log_rate_limiter.hpp"
 #include "log_severity.hpp"
 
 #include <functional>
--- a/src/libcyclamenrun/operators/log_record.cpp
+++ b/src/libcyclamenrun/operators/parsed_log_line.cpp
@@ -1,4 +1,4 @@
-#include "log_record.hpp"
+#include "parsed_log_line.hpp"
 
 #include "http_json.hpp"
 
@@ -15,8 +15,8 @@
 namespace
 {
 
-/** Returns whether a JSON member is not among log_record::fields: it is a
- * member of log_record, or the severity, which is not kept. */
+/** Returns whether a JSON member is not among parsed_log_line::fields: it is a
+ * member of parsed_log_line, or the severity, which is not kept. */
 bool is_separate_member(const std::string& name)
 {
     return name == "time" || name == "severity" || name == "process" ||
@@ -35,7 +35,7 @@
 
 } // namespace
 
-std::string log_record::field(std::string_view name) const
+std::string parsed_log_line::field(std::string_view name) const
 {
     const auto found =
         std::find_if(fields.begin(), fields.end(),
@@ -43,7 +43,7 @@
     return found == fields.end() ? std::string() : found->second;
 }
 
-std::optional<log_record> read_log_record(const std::string& line)
+std::optional<parsed_log_line> parse_log_line(const std::string& line)
 {
     const auto begin = line.find('{');
     if (begin == std::string::npos)
@@ -55,7 +55,7 @@
     const auto event = json_string(*object, "event");
     if (!time || !event)
         return std::nullopt;
-    log_record record;
+    parsed_log_line record;
     record.time = *time;
     record.event = *event;
     record.process = json_string(*object, "process").value_or("");
--- a/src/libcyclamenrun/operators/log_record.hpp
+++ b/src/libcyclamenrun/operators/parsed_log_line.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_LOG_RECORD_HPP
-#define CYCLAMENRUN_LOG_RECORD_HPP
+#ifndef CYCLAMENRUN_PARSED_LOG_LINE_HPP
+#define CYCLAMENRUN_PARSED_LOG_LINE_HPP
 
 #include <optional>
 #include <string>
@@ -11,7 +11,7 @@
 {
 
 /** A parsed line of a process's log. */
-struct log_record {
+struct parsed_log_line {
     std::string time; ///< RFC 3339 in UTC, so that string order is time order
     std::string process;
     std::string event;
@@ -28,7 +28,7 @@
  * collectors put a host or a time there. Empty if the line is not a log event
  * of this project.
  */
-std::optional<log_record> read_log_record(const std::string& line);
+std::optional<parsed_log_line> parse_log_line(const std::string& line);
 
 /** Milliseconds from one record's time to another's; empty if a time cannot be
  * parsed. */
@@ -40,4 +40,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_LOG_RECORD_HPP
+#endif // CYCLAMENRUN_PARSED_LOG_LINE_HPP
--- a/src/libcyclamenrun/operators/request_story.cpp
+++ b/src/libcyclamenrun/operators/request_timeline.cpp
@@ -1,4 +1,4 @@
-#include "request_story.hpp"
+#include "request_timeline.hpp"
 
 #include "log_event_name.hpp"
 
@@ -56,7 +56,7 @@
 
 /** Returns the arrival time of a request. A line that is logged at the end of
  * the request contains its duration. */
-std::string arrival_time(const log_record& first)
+std::string arrival_time(const parsed_log_line& first)
 {
     const bool is_end =
         first.event != name_of(log_event_name::request_admitted);
@@ -66,7 +66,7 @@
     return ms > 0 ? time_before(first.time, ms) : first.time;
 }
 
-void print_fields(std::ostream& to, const log_record& record)
+void print_fields(std::ostream& to, const parsed_log_line& record)
 {
     for (const auto& [name, value] : record.fields) {
         if (!value.empty())
@@ -75,16 +75,16 @@
     to << '\n';
 }
 
-bool by_time(const log_record& left, const log_record& right)
+bool by_time(const parsed_log_line& left, const parsed_log_line& right)
 {
     return left.time < right.time;
 }
 
 } // namespace
 
-void request_story::take(const std::string& line)
+void request_timeline::take(const std::string& line)
 {
-    auto record = read_log_record(line);
+    auto record = parse_log_line(line);
     if (!record)
         return;
     if (record->request_id == request_id_)
@@ -94,13 +94,13 @@
         state_events_.push_back(std::move(*record));
 }
 
-void request_story::sort()
+void request_timeline::sort()
 {
     std::stable_sort(steps_.begin(), steps_.end(), by_time);
     std::stable_sort(state_events_.begin(), state_events_.end(), by_time);
 }
 
-std::set<std::string> request_story::processes() const
+std::set<std::string> request_timeline::processes() const
 {
     std::set<std::string> names;
     for (const auto& step : steps_)
@@ -108,7 +108,7 @@
     return names;
 }
 
-std::set<std::string> request_story::upstreams() const
+std::set<std::string> request_timeline::upstreams() const
 {
     std::set<std::string> names;
     for (const auto& step : steps_) {
@@ -119,7 +119,7 @@
     return names;
 }
 
-void request_story::print(std::ostream& to)
+void request_timeline::print(std::ostream& to)
 {
     sort();
     to << "request " << request_id_ << '\n';
@@ -128,17 +128,17 @@
     print_steps(to);
 }
 
-void request_story::print_initial_state(std::ostream& to,
-                                        const std::string& process) const
+void request_timeline::print_initial_state(std::ostream& to,
+                                           const std::string& process) const
 {
-    const auto first =
-        std::find_if(steps_.begin(), steps_.end(), [&](const log_record& step) {
-            return step.process == process;
-        });
+    const auto first = std::find_if(
+        steps_.begin(), steps_.end(),
+        [&](const parsed_log_line& step) { return step.process == process; });
     const auto moment = arrival_time(*first);
     to << "\nwhat " << process << " believed at " << moment << ":\n";
     // Each feed of the directory is lost and regained separately.
-    std::map<std::pair<std::string, std::string>, const log_record*> newest;
+    std::map<std::pair<std::string, std::string>, const parsed_log_line*>
+        newest;
     for (const auto& state_event : state_events_) {
         const auto about = find_state_event(state_event.event)->about;
         if (state_event.process == process && state_event.time <= moment &&
@@ -156,7 +156,7 @@
     }
 }
 
-void request_story::print_steps(std::ostream& to) const
+void request_timeline::print_steps(std::ostream& to) const
 {
     const auto begin = arrival_time(steps_.front());
     const auto own_processes = processes();
--- a/src/libcyclamenrun/operators/request_story.hpp
+++ b/src/libcyclamenrun/operators/request_timeline.hpp
@@ -1,7 +1,7 @@
-#ifndef CYCLAMENRUN_REQUEST_STORY_HPP
-#define CYCLAMENRUN_REQUEST_STORY_HPP
+#ifndef CYCLAMENRUN_REQUEST_TIMELINE_HPP
+#define CYCLAMENRUN_REQUEST_TIMELINE_HPP
 
-#include "log_record.hpp"
+#include "parsed_log_line.hpp"
 
 #include <iosfwd>
 #include <set>
@@ -17,10 +17,10 @@
  * of each of these processes at the arrival of the request, and the changes of
  * that state while the request was served.
  */
-class request_story
+class request_timeline
 {
 public:
-    explicit request_story(std::string request_id)
+    explicit request_timeline(std::string request_id)
         : request_id_(std::move(request_id))
     {
     }
@@ -41,11 +41,11 @@
     void print_steps(std::ostream& to) const;
 
     std::string request_id_;
-    std::vector<log_record> steps_;
+    std::vector<parsed_log_line> steps_;
     /** Of all processes, including those that did not serve the request. */
-    std::vector<log_record> state_events_;
+    std::vector<parsed_log_line> state_events_;
 };
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_REQUEST_STORY_HPP
+#endif // CYCLAMENRUN_REQUEST_TIMELINE_HPP
--- a/src/libcyclamenrun/operators/resource_file.cpp
+++ b/src/libcyclamenrun/operators/resource_file.cpp
@@ -39,7 +39,7 @@
 }
 
 /** Copies a table's values into a resource; returns the errors found. */
-settings_errors convert(const service_entry& entry, v1::Resource& resource,
+settings_errors convert(const service_table& entry, v1::Resource& resource,
                         const settings_error& where)
 {
     auto& service = *resource.mutable_service();
@@ -60,7 +60,7 @@
     return {};
 }
 
-settings_errors convert(const team_entry& entry, v1::Resource& resource,
+settings_errors convert(const team_table& entry, v1::Resource& resource,
                         const settings_error& where)
 {
     auto& team = *resource.mutable_team();
@@ -80,7 +80,7 @@
     return {};
 }
 
-settings_errors convert(const assignment_entry& entry, v1::Resource& resource,
+settings_errors convert(const assignment_table& entry, v1::Resource& resource,
                         const settings_error& /*where*/)
 {
     auto& assignment = *resource.mutable_assignment();
@@ -104,9 +104,9 @@
 
     settings_outcome<std::vector<v1::Resource>> read()
     {
-        read_kind<service_entry>("service", service_rows);
-        read_kind<team_entry>("team", team_rows);
-        read_kind<assignment_entry>("assignment", assignment_rows);
+        read_kind<service_table>("service", service_rows);
+        read_kind<team_table>("team", team_rows);
+        read_kind<assignment_table>("assignment", assignment_rows);
         check_keys();
         if (!errors_.empty())
             return tl::unexpected(std::move(errors_));
@@ -170,7 +170,7 @@
 
 } // namespace
 
-settings_table service_rows(service_entry& entry)
+settings_table service_rows(service_table& entry)
 {
     return {
         {"name", &entry.name, required, 1, max_name_bytes, "",
@@ -192,7 +192,7 @@
     };
 }
 
-settings_table team_rows(team_entry& entry)
+settings_table team_rows(team_table& entry)
 {
     return {
         {"name", &entry.name, required, 1, max_name_bytes, "",
@@ -212,7 +212,7 @@
     };
 }
 
-settings_table assignment_rows(assignment_entry& entry)
+settings_table assignment_rows(assignment_table& entry)
 {
     return {
         {"name", &entry.name, required, 1, max_name_bytes, "",
--- a/src/libcyclamenrun/operators/resource_file.hpp
+++ b/src/libcyclamenrun/operators/resource_file.hpp
@@ -13,7 +13,7 @@
 {
 
 /** The keys of one `[[service]]` table in a resource file. */
-struct service_entry {
+struct service_table {
     std::string name;
     upstream_kind kind = upstream_kind::model;
     std::string objective;
@@ -24,7 +24,7 @@
 };
 
 /** The keys of one `[[team]]` table. */
-struct team_entry {
+struct team_table {
     std::string name;
     std::string key_hash;
     std::uint64_t weight = 1;
@@ -34,7 +34,7 @@
 };
 
 /** The keys of one `[[assignment]]` table. */
-struct assignment_entry {
+struct assignment_table {
     std::string name;
     std::string service;
     std::string model;
@@ -43,9 +43,9 @@
     std::string role;
 };
 
-settings_table service_rows(service_entry& entry);
-settings_table team_rows(team_entry& entry);
-settings_table assignment_rows(assignment_entry& entry);
+settings_table service_rows(service_table& entry);
+settings_table team_rows(team_table& entry);
+settings_table assignment_rows(assignment_table& entry);
 
 /**
  * Parses a file that an operator wrote for `cyclamenrunctl apply`. Returns the
--- a/src/libcyclamenrun/operators/rpc_http_handler.cpp
+++ b/src/libcyclamenrun/operators/rpc_http_handler.cpp
@@ -1,6 +1,6 @@
 #include "rpc_http_handler.hpp"
 
-#include "http_write_limit.hpp"
+#include "http_write_timeout.hpp"
 #include "log_event.hpp"
 
 #include <Poco/Net/HTTPServerRequest.h>
@@ -85,7 +85,7 @@
 void rpc_http_handler::handleRequest(Poco::Net::HTTPServerRequest& request,
                                      Poco::Net::HTTPServerResponse& response)
 {
-    const http_write_limit limit(request, response, write_timeout);
+    const http_write_timeout limit(request, response, write_timeout);
     const auto answer = respond(request);
     if (answer.status != Poco::Net::HTTPResponse::HTTP_OK)
         log_refused(request, answer);
--- a/src/libcyclamenrun/orders/order_lease.cpp
+++ b/src/libcyclamenrun/orders/order_lease.cpp
@@ -133,7 +133,7 @@
     exclusive_from_ = time_point::max();
 }
 
-bool order_lease::may_act(time_point now) const
+bool order_lease::may_send_order(time_point now) const
 {
     return phase_ == phase::held && exclusive_ && has_time_for_order(now);
 }
--- a/src/libcyclamenrun/orders/order_lease.hpp
+++ b/src/libcyclamenrun/orders/order_lease.hpp
@@ -25,7 +25,7 @@
     read_claim,   ///< read the log to its end, then call on_claim_read()
     append_claim, ///< call on_claim_sent(), then append claim()
     wait,         ///< wait until wake_at()
-    act,          ///< send orders, checking may_act() before each
+    act,          ///< send orders, checking may_send_order() before each
     stood_down,   ///< another agent has taken over: never send orders again
 };
 
@@ -62,7 +62,7 @@
                        time_point read_started_at, time_point now);
 
     /** Whether an order may be sent. Callers check it before each order. */
-    bool may_act(time_point now) const;
+    bool may_send_order(time_point now) const;
 
     /** The fencing number of the held claim; 0: none. */
     std::uint64_t fencing_number() const { return held_number_; }
--- a/src/libcyclamenrun/orders/order_queue.cpp
+++ b/src/libcyclamenrun/orders/order_queue.cpp
@@ -79,8 +79,8 @@
 {
 }
 
-void order_queue::on_desired(std::vector<desired_order> desired,
-                             std::size_t peers, time_point now)
+void order_queue::set_desired_orders(std::vector<desired_order> desired,
+                                     std::size_t peers, time_point now)
 {
     peers_ = std::max<std::size_t>(peers, 1);
     if (desired == desired_)
--- a/src/libcyclamenrun/orders/order_queue.hpp
+++ b/src/libcyclamenrun/orders/order_queue.hpp
@@ -42,9 +42,9 @@
 /** The result of an order. */
 enum class order_result : std::uint8_t {
     done,
-    failed,        ///< failed or not answered; the order is sent again
-    store_limited, ///< the weight store was at its limit
-    old_number,    ///< the engine has seen a higher fencing number
+    failed,               ///< failed or not answered; the order is sent again
+    store_limited,        ///< the weight store was at its limit
+    stale_fencing_number, ///< the engine has seen a higher fencing number
 };
 
 /**
@@ -63,8 +63,8 @@
     order_queue(order_queue_settings settings, random_function random);
 
     /** `peers`: upstreams of the service whose agents may load at once. */
-    void on_desired(std::vector<desired_order> desired, std::size_t peers,
-                    time_point now);
+    void set_desired_orders(std::vector<desired_order> desired,
+                            std::size_t peers, time_point now);
 
     /** Queues all orders again, since a restarted engine has nothing loaded. */
     void on_engine_restarted(time_point now);
--- a/src/libcyclamenrun/orders/order_runner.cpp
+++ b/src/libcyclamenrun/orders/order_runner.cpp
@@ -89,7 +89,7 @@
     // The process may have been frozen for longer than its lease since next()
     // returned `act`. An engine that ignores fencing numbers would then execute
     // this order after those of the next agent.
-    if (!lease_.may_act(now))
+    if (!lease_.may_send_order(now))
         return order_runner_state::lease_lapsed;
     const auto result = engine_({lease_.fencing_number(), order.action,
                                  order.value, now + settings_.order_limit});
--- a/src/libcyclamenrun/orders/order_worker.cpp
+++ b/src/libcyclamenrun/orders/order_worker.cpp
@@ -123,9 +123,10 @@
     if (!configuration_changed)
         return;
     if (const auto view = store_.view())
-        queue_.on_desired(desired_orders(view->resources, settings_.service,
-                                         settings_.upstream),
-                          assumed_peers, clock_());
+        queue_.set_desired_orders(desired_orders(view->resources,
+                                                 settings_.service,
+                                                 settings_.upstream),
+                                  assumed_peers, clock_());
 }
 
 void order_worker::wait_for_change(time_point deadline)
--- a/src/libcyclamenrun/outcomes/gate.cpp
+++ b/src/libcyclamenrun/outcomes/gate.cpp
@@ -73,7 +73,7 @@
       tombstones_(settings_.tombstone_capacity),
       tickets_(settings_.link_key, settings_.upstream, settings_.incarnation,
                settings_.started_at, settings_.ticket_capacity),
-      poison_(settings_.poison_capacity, settings_.poison_life),
+      poison_(settings_.poison_capacity, settings_.poison_mark_lifetime),
       sessions_(limits_of(settings_))
 {
 }
@@ -161,7 +161,7 @@
                                       time_point now)
 {
     const auto time_left =
-        clamp_deadline(dispatch.time_left_ms(), settings_.longest_deadline);
+        clamp_deadline(dispatch.time_left_ms(), settings_.max_deadline);
     const auto [work, session] = sessions_.add(dispatch, now + time_left);
     session.generation = {settings_.upstream, settings_.incarnation, work,
                           random_u64()};
@@ -410,7 +410,7 @@
         engine_ready_ = true;
         ++load_change_;
         deferred.state_changed = true;
-        admission_.foreign_memory(external_tokens);
+        admission_.set_external_memory(external_tokens);
         admit(now, deferred);
     }
     run(deferred);
@@ -586,7 +586,7 @@
 
 bool gate::add_tombstone(const std::string& request_id, time_point now)
 {
-    return tombstones_.add(request_id, now + settings_.tombstone_life, now);
+    return tombstones_.add(request_id, now + settings_.tombstone_lifetime, now);
 }
 
 work_session* gate::running_session(work_id work)
--- a/src/libcyclamenrun/outcomes/gate.hpp
+++ b/src/libcyclamenrun/outcomes/gate.hpp
@@ -7,7 +7,7 @@
 #include "poison_register.hpp"
 #include "refusal.hpp"
 #include "session_table.hpp"
-#include "ticket_book.hpp"
+#include "ticket_use_registry.hpp"
 #include "tombstones.hpp"
 
 #include <cstdint>
@@ -20,7 +20,7 @@
 {
 
 /** One work item that the upstream is to run. */
-struct run_order {
+struct admitted_work {
     work_id work = 0;
     std::string request_id;
     link::WorkKind kind = link::WORK_KIND_GENERATION;
@@ -32,7 +32,7 @@
 
 /** Callbacks of a gate. They are called without the gate's lock held. */
 struct gate_hooks {
-    std::function<void(const run_order&)> start;
+    std::function<void(const admitted_work&)> start;
     std::function<void(work_id)> stop;
     std::function<void(reader_id)> wake; ///< pull() has data for the reader
     std::function<void()> news; ///< load_change() or marks_version() advanced
@@ -112,7 +112,7 @@
 private:
     /** Callbacks to run once the lock is released. */
     struct deferred_calls {
-        std::vector<run_order> starts;
+        std::vector<admitted_work> starts;
         std::vector<work_id> stops;
         std::vector<reader_id> wakes;
         bool state_changed = false;
@@ -147,7 +147,7 @@
     mutable std::mutex mutex_;
     admission admission_;
     tombstones tombstones_;
-    ticket_book tickets_;
+    ticket_use_registry tickets_;
     poison_register poison_;
     session_table sessions_;
     std::uint64_t engine_losses_ = 0;
--- a/src/libcyclamenrun/outcomes/gate_settings.hpp
+++ b/src/libcyclamenrun/outcomes/gate_settings.hpp
@@ -43,8 +43,8 @@
      * How long a tombstone is kept: longer than a stalled link can delay a
      * dispatch.
      */
-    milliseconds tombstone_life{600'000};
-    milliseconds poison_life{3'600'000};
+    milliseconds tombstone_lifetime{600'000};
+    milliseconds poison_mark_lifetime{3'600'000};
     /**
      * How long a draining gate keeps responding. Exceeds the time in which an
      * entry closes a link that does not respond (3 s) and tries to reattach
@@ -52,7 +52,7 @@
      * without a response.
      */
     milliseconds drain_linger{15'000};
-    milliseconds longest_deadline{3'600'000};
+    milliseconds max_deadline{3'600'000};
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/outcomes/poison_watch.cpp
+++ b/src/libcyclamenrun/outcomes/poison_mark_sync.cpp
@@ -1,4 +1,4 @@
-#include "poison_watch.hpp"
+#include "poison_mark_sync.hpp"
 
 #include "digest.hpp"
 
@@ -12,20 +12,20 @@
 
 } // namespace
 
-poison_watch::poison_watch(std::size_t capacity, duration mark_lifetime)
+poison_mark_sync::poison_mark_sync(std::size_t capacity, duration mark_lifetime)
     : marks_(capacity, mark_lifetime)
 {
 }
 
-poison_verdict poison_watch::verdict(std::uint64_t fingerprint,
-                                     time_point now) const
+poison_verdict poison_mark_sync::verdict(std::uint64_t fingerprint,
+                                         time_point now) const
 {
     const std::scoped_lock lock(mutex_);
     return marks_.verdict(fingerprint, now);
 }
 
-void poison_watch::agent_lost(std::uint64_t fingerprint,
-                              const route_target& agent, time_point now)
+void poison_mark_sync::agent_lost(std::uint64_t fingerprint,
+                                  const route_target& agent, time_point now)
 {
     const std::scoped_lock lock(mutex_);
     // Derived from the agent's incarnation, so that all entries that lose the
@@ -36,15 +36,15 @@
         reported_.insert(loss);
 }
 
-void poison_watch::engine_lost(std::uint64_t fingerprint, std::uint64_t loss,
-                               time_point now)
+void poison_mark_sync::engine_lost(std::uint64_t fingerprint,
+                                   std::uint64_t loss, time_point now)
 {
     const std::scoped_lock lock(mutex_);
     marks_.mark(fingerprint, loss, now);
 }
 
-void poison_watch::write_marks(const std::string& upstream,
-                               link::Heartbeat& heartbeat)
+void poison_mark_sync::write_marks(const std::string& upstream,
+                                   link::Heartbeat& heartbeat)
 {
     const std::scoped_lock lock(mutex_);
     auto& known = peers_[upstream];
@@ -54,8 +54,9 @@
         *heartbeat.add_marks() = std::move(mark);
 }
 
-void poison_watch::read_marks(const std::string& upstream,
-                              const link::HeartbeatReply& reply, time_point now)
+void poison_mark_sync::read_marks(const std::string& upstream,
+                                  const link::HeartbeatReply& reply,
+                                  time_point now)
 {
     const std::scoped_lock lock(mutex_);
     auto& known = peers_[upstream];
@@ -72,7 +73,7 @@
         marks_.merge(mark, now);
 }
 
-std::size_t poison_watch::size() const
+std::size_t poison_mark_sync::size() const
 {
     const std::scoped_lock lock(mutex_);
     return marks_.size();
--- a/src/libcyclamenrun/outcomes/poison_watch.hpp
+++ b/src/libcyclamenrun/outcomes/poison_mark_sync.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_POISON_WATCH_HPP
-#define CYCLAMENRUN_POISON_WATCH_HPP
+#ifndef CYCLAMENRUN_POISON_MARK_SYNC_HPP
+#define CYCLAMENRUN_POISON_MARK_SYNC_HPP
 
 #include "clock.hpp"
 #include "link.pb.h"
@@ -20,10 +20,10 @@
  * has received. Marks reach other entries through the agents with which both
  * exchange heartbeats.
  */
-class poison_watch
+class poison_mark_sync
 {
 public:
-    poison_watch(std::size_t capacity, duration mark_lifetime);
+    poison_mark_sync(std::size_t capacity, duration mark_lifetime);
 
     poison_verdict verdict(std::uint64_t fingerprint, time_point now) const;
     /**
@@ -67,4 +67,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_POISON_WATCH_HPP
+#endif // CYCLAMENRUN_POISON_MARK_SYNC_HPP
--- a/src/libcyclamenrun/outcomes/relay.cpp
+++ b/src/libcyclamenrun/outcomes/relay.cpp
@@ -181,7 +181,7 @@
         buffered_bytes_ += text.size();
         buffered_tokens_.push_back(std::move(text));
     }
-    if (buffered_bytes_ > settings_.max_whole_bytes)
+    if (buffered_bytes_ > settings_.max_buffered_bytes)
         return abort_work(failed(refusal_reason::answer_too_large), now);
     return {};
 }
@@ -232,12 +232,12 @@
 }
 
 relay_actions relay::on_stream_lost(stream_number stream,
-                                    bool request_may_have_left, time_point now)
+                                    bool request_may_have_run, time_point now)
 {
     if (done_ || stream != stream_ || !stream_open_)
         return {};
     stream_open_ = false;
-    if (!request_may_have_left && !reattaching_ && !request_.ticket)
+    if (!request_may_have_run && !reattaching_ && !request_.ticket)
         return try_elsewhere(not_run(refusal_reason::no_upstream,
                                      "the agent could not be reached",
                                      milliseconds(1000)),
@@ -340,7 +340,7 @@
     return actions;
 }
 
-relay_actions relay::on_caller_gone(time_point)
+relay_actions relay::on_caller_disconnected(time_point)
 {
     if (done_)
         return {};
--- a/src/libcyclamenrun/outcomes/relay.hpp
+++ b/src/libcyclamenrun/outcomes/relay.hpp
@@ -48,7 +48,7 @@
     milliseconds reattach_delay{200};
     /** Streams with invalid frames after which an attempt is abandoned. */
     int max_invalid_streams = 2;
-    std::size_t max_whole_bytes = std::size_t{4} << 20U;
+    std::size_t max_buffered_bytes = std::size_t{4} << 20U;
 };
 
 /**
@@ -70,8 +70,8 @@
                            time_point now);
     /** Handles a stream that ended without a final frame. */
     relay_actions on_stream_lost(stream_number stream,
-                                 bool request_may_have_left, time_point now);
-    relay_actions on_caller_gone(time_point now);
+                                 bool request_may_have_run, time_point now);
+    relay_actions on_caller_disconnected(time_point now);
     /** Handles expired deadlines; to be called at next_event(). */
     relay_actions on_time(time_point now);
 
--- a/src/libcyclamenrun/outcomes/ticket_book.cpp
+++ b/src/libcyclamenrun/outcomes/ticket_use_registry.cpp
@@ -1,4 +1,4 @@
-#include "ticket_book.hpp"
+#include "ticket_use_registry.hpp"
 
 #include "link.pb.h"
 
@@ -13,16 +13,18 @@
 
 } // namespace
 
-ticket_book::ticket_book(std::string link_key, std::string upstream,
-                         std::uint64_t incarnation, time_point started_at,
-                         std::size_t capacity)
+ticket_use_registry::ticket_use_registry(std::string link_key,
+                                         std::string upstream,
+                                         std::uint64_t incarnation,
+                                         time_point started_at,
+                                         std::size_t capacity)
     : authority_(std::move(link_key)), upstream_(std::move(upstream)),
       incarnation_(incarnation), started_at_(started_at), capacity_(capacity)
 {
 }
 
-outcome<std::optional<ticket_book::use>>
-ticket_book::check(const link::Dispatch& dispatch, time_point now) const
+outcome<std::optional<ticket_use_registry::use>>
+ticket_use_registry::check(const link::Dispatch& dispatch, time_point now) const
 {
     const auto& ticket = dispatch.ticket();
     if (!authority_.has_valid_signature(ticket) ||
@@ -55,8 +57,8 @@
     return std::nullopt;
 }
 
-bool ticket_book::enter(const link::Dispatch& dispatch, std::uint64_t work,
-                        time_point now)
+bool ticket_use_registry::enter(const link::Dispatch& dispatch,
+                                std::uint64_t work, time_point now)
 {
     if (uses_.size() >= capacity_)
         std::erase_if(uses_, [now](const auto& known) {
@@ -69,12 +71,12 @@
     return true;
 }
 
-void ticket_book::remove_use(const link::Dispatch& dispatch)
+void ticket_use_registry::remove_use(const link::Dispatch& dispatch)
 {
     uses_.erase(dispatch.ticket().nonce());
 }
 
-time_point ticket_book::expiry_of(const link::Dispatch& dispatch) const
+time_point ticket_use_registry::expiry_of(const link::Dispatch& dispatch) const
 {
     return started_at_ + milliseconds(dispatch.ticket().expiry_ms());
 }
--- a/src/libcyclamenrun/outcomes/ticket_book.hpp
+++ b/src/libcyclamenrun/outcomes/ticket_use_registry.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_TICKET_BOOK_HPP
-#define CYCLAMENRUN_TICKET_BOOK_HPP
+#ifndef CYCLAMENRUN_TICKET_USE_REGISTRY_HPP
+#define CYCLAMENRUN_TICKET_USE_REGISTRY_HPP
 
 #include "clock.hpp"
 #include "refusal.hpp"
@@ -25,7 +25,7 @@
  * from then on a use without a record is refused as expired, so a later use is
  * never taken for the first.
  */
-class ticket_book
+class ticket_use_registry
 {
 public:
     struct use {
@@ -34,9 +34,9 @@
         time_point expiry;
     };
 
-    ticket_book(std::string link_key, std::string upstream,
-                std::uint64_t incarnation, time_point started_at,
-                std::size_t capacity);
+    ticket_use_registry(std::string link_key, std::string upstream,
+                        std::uint64_t incarnation, time_point started_at,
+                        std::size_t capacity);
 
     /**
      * Returns the earlier use of the dispatch's ticket, nullopt if this is the
@@ -68,4 +68,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_TICKET_BOOK_HPP
+#endif // CYCLAMENRUN_TICKET_USE_REGISTRY_HPP
--- a/src/libcyclamenrun/outside/http_exchange.cpp
+++ b/src/libcyclamenrun/outside/http_exchange.cpp
@@ -140,7 +140,8 @@
         std::min(time_left(deadline, clock_()), limits_.connect_timeout);
     if (wait.count() == 0)
         return false;
-    socket_ = new http_deadline_socket(deadline, limits_.max_silence, clock_);
+    socket_ =
+        new http_deadline_socket(deadline, limits_.response_timeout, clock_);
     Poco::Net::StreamSocket socket(socket_);
     socket.connect(Poco::Net::SocketAddress(address_),
                    Poco::Timespan(wait.count() * Poco::Timespan::MILLISECONDS));
--- a/src/libcyclamenrun/outside/http_exchange.hpp
+++ b/src/libcyclamenrun/outside/http_exchange.hpp
@@ -24,7 +24,7 @@
     lost_before_answer, ///< closed before the status line
     lost_mid_answer,    ///< closed before the end of the body
     malformed,
-    timed_out, ///< the deadline passed, or no byte came within max_silence
+    timed_out, ///< the deadline passed, or no byte came within response_timeout
     cancelled,
     too_large,
 };
@@ -41,7 +41,7 @@
 struct http_limits {
     milliseconds connect_timeout = milliseconds(1000);
     /** Response timeout: the longest wait for the next byte of an answer. */
-    milliseconds max_silence = milliseconds(30000);
+    milliseconds response_timeout = milliseconds(30000);
     std::size_t max_answer_bytes = std::size_t(16) << 20;
 };
 
