--- a/src/libcyclamenrun/outside/http_write_limit.cpp
+++ b/src/libcyclamenrun/outside/http_write_timeout.cpp
@@ -1,4 +1,4 @@
-#include "http_write_limit.hpp"
+#include "http_write_timeout.hpp"
 
 #include <Poco/Exception.h>
 #include <Poco/Net/HTTPServerRequestImpl.h>
@@ -18,9 +18,9 @@
 
 } // namespace
 
-http_write_limit::http_write_limit(Poco::Net::HTTPServerRequest& request,
-                                   Poco::Net::HTTPServerResponse& response,
-                                   milliseconds limit)
+http_write_timeout::http_write_timeout(Poco::Net::HTTPServerRequest& request,
+                                       Poco::Net::HTTPServerResponse& response,
+                                       milliseconds limit)
     : request_(request), response_(response),
       limit_(limit.count() * Poco::Timespan::MILLISECONDS)
 {
@@ -29,13 +29,13 @@
         socket->setSendTimeout(limit_);
 }
 
-http_write_limit::~http_write_limit()
+http_write_timeout::~http_write_timeout()
 {
     if (!client_accepts_data())
         response_.setKeepAlive(false);
 }
 
-bool http_write_limit::client_accepts_data() const
+bool http_write_timeout::client_accepts_data() const
 {
     try {
         const auto* socket = socket_of(request_);
--- a/src/libcyclamenrun/outside/http_write_limit.hpp
+++ b/src/libcyclamenrun/outside/http_write_timeout.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_HTTP_WRITE_LIMIT_HPP
-#define CYCLAMENRUN_HTTP_WRITE_LIMIT_HPP
+#ifndef CYCLAMENRUN_HTTP_WRITE_TIMEOUT_HPP
+#define CYCLAMENRUN_HTTP_WRITE_TIMEOUT_HPP
 
 #include "clock.hpp"
 
@@ -21,15 +21,15 @@
  * read the next request and block again. So the destructor disables keep-alive
  * unless the socket accepts more data.
  */
-class http_write_limit
+class http_write_timeout
 {
 public:
-    http_write_limit(Poco::Net::HTTPServerRequest& request,
-                     Poco::Net::HTTPServerResponse& response,
-                     milliseconds limit);
-    ~http_write_limit();
-    http_write_limit(const http_write_limit&) = delete;
-    http_write_limit& operator=(const http_write_limit&) = delete;
+    http_write_timeout(Poco::Net::HTTPServerRequest& request,
+                       Poco::Net::HTTPServerResponse& response,
+                       milliseconds limit);
+    ~http_write_timeout();
+    http_write_timeout(const http_write_timeout&) = delete;
+    http_write_timeout& operator=(const http_write_timeout&) = delete;
 
 private:
     bool client_accepts_data() const;
@@ -41,4 +41,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_HTTP_WRITE_LIMIT_HPP
+#endif // CYCLAMENRUN_HTTP_WRITE_TIMEOUT_HPP
--- a/src/libcyclamenrun/outside/platform_log.hpp
+++ b/src/libcyclamenrun/outside/platform_log.hpp
@@ -29,17 +29,17 @@
     std::uint64_t first_retained = 0;           ///< with retained_away
 };
 
-struct log_entry {
+struct platform_log_record {
     std::uint64_t offset = 0;
     std::string data;
 
-    bool operator==(const log_entry&) const = default;
+    bool operator==(const platform_log_record&) const = default;
 };
 
 struct log_page {
-    std::uint64_t first_retained = 0; ///< the oldest offset still kept
-    std::uint64_t next = 0;           ///< offset of the next append
-    std::vector<log_entry> records;   ///< in order of offset
+    std::uint64_t first_retained = 0;         ///< the oldest offset still kept
+    std::uint64_t next = 0;                   ///< offset of the next append
+    std::vector<platform_log_record> records; ///< in order of offset
 };
 
 /** One append-only log of the platform's log service. */
--- a/src/libcyclamenrun/outside/platform_log_client.cpp
+++ b/src/libcyclamenrun/outside/platform_log_client.cpp
@@ -81,7 +81,8 @@
     }
 }
 
-std::optional<log_entry> entry_of(const Poco::JSON::Object::Ptr& object)
+std::optional<platform_log_record>
+entry_of(const Poco::JSON::Object::Ptr& object)
 {
     if (!object)
         return {};
@@ -92,7 +93,7 @@
     auto bytes = data->empty() ? std::string() : decode_base64(*data);
     if (!bytes)
         return {};
-    return log_entry{*offset, std::move(*bytes)};
+    return platform_log_record{*offset, std::move(*bytes)};
 }
 
 /** Offsets must ascend from `from`, or a reader could apply a record twice. */
--- a/src/libcyclamenrun/outside/logging_vm_list.cpp
+++ b/src/libcyclamenrun/outside/vm_list_change_logger.cpp
@@ -1,4 +1,4 @@
-#include "logging_vm_list.hpp"
+#include "vm_list_change_logger.hpp"
 
 #include "log_event.hpp"
 
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void logging_vm_list::note(const vm_list& list)
+void vm_list_change_logger::note(const vm_list& list)
 {
     std::map<std::string, vm> current;
     for (const auto& each : list.vms) {
@@ -35,7 +35,7 @@
     is_first_ = false;
 }
 
-void logging_vm_list::log_change(const vm& current)
+void vm_list_change_logger::log_change(const vm& current)
 {
     const auto before = known_.find(current.id);
     if (before != known_.end() && before->second == current)
@@ -45,7 +45,7 @@
            current);
 }
 
-void logging_vm_list::log_removed(
+void vm_list_change_logger::log_removed(
     const std::map<std::string, vm>& current) const
 {
     for (const auto& [id, listed_vm] : known_) {
--- a/src/libcyclamenrun/outside/logging_vm_list.hpp
+++ b/src/libcyclamenrun/outside/vm_list_change_logger.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_LOGGING_VM_LIST_HPP
-#define CYCLAMENRUN_LOGGING_VM_LIST_HPP
+#ifndef CYCLAMENRUN_VM_LIST_CHANGE_LOGGER_HPP
+#define CYCLAMENRUN_VM_LIST_CHANGE_LOGGER_HPP
 
 #include "vm_list.hpp"
 
@@ -13,7 +13,7 @@
  * Logs changes of the platform's list of VMs. Not thread-safe: one thread
  * passes all lists.
  */
-class logging_vm_list
+class vm_list_change_logger
 {
 public:
     /** Logs changes since the last list; for the first, the number of VMs. */
@@ -29,4 +29,4 @@
 
 } // namespace cyclamenrun
 
-#endif // CYCLAMENRUN_LOGGING_VM_LIST_HPP
+#endif // CYCLAMENRUN_VM_LIST_CHANGE_LOGGER_HPP
--- a/src/monitor/main.cpp
+++ b/src/monitor/main.cpp
@@ -19,7 +19,7 @@
             return log_settings_of(settings);
         });
     };
-    program.serve = [&](const stop_signal& stop) {
+    program.serve = [&](const signal_waiter& stop) {
         monitor_platform platform;
         platform.dialect = std::make_shared<platform::http_dialect>();
         platform.feeds = platform::make_relay_feeds;
--- a/tests/configuration/test_change_submitter.cpp
+++ b/tests/configuration/test_change_submitter.cpp
@@ -280,7 +280,7 @@
     world last = current;
     for (std::size_t i = 0; i < last.participants.size(); ++i) {
         configuration_store store;
-        std::vector<log_entry> records;
+        std::vector<platform_log_record> records;
         for (std::uint64_t at = 0; at < last.log.size(); ++at)
             records.push_back({at, last.log.at(at)});
         store.apply(records);
--- a/tests/configuration/test_order_lease.cpp
+++ b/tests/configuration/test_order_lease.cpp
@@ -29,7 +29,7 @@
                               time_point to)
     {
         if (honours_fencing && order.fence < highest)
-            return order_result::old_number;
+            return order_result::stale_fencing_number;
         highest = std::max(highest, order.fence);
         accepted_orders.push_back({incarnation, order.fence, from, to});
         return order_result::done;
@@ -84,9 +84,9 @@
 
     void add_desired_order()
     {
-        queue_.on_desired({{engine_action::set_role,
-                            "role-" + std::to_string(++order_count_)}},
-                          1, clock());
+        queue_.set_desired_orders({{engine_action::set_role,
+                                    "role-" + std::to_string(++order_count_)}},
+                                  1, clock());
     }
 
     order_runner_state pass()
@@ -233,7 +233,7 @@
     EXPECT_LE(run_until_order_sent(world, new_agent), milliseconds(1'000));
     EXPECT_EQ(
         world.engine.handle_order(1, {1, {}, {}, {}}, world.now, world.now),
-        order_result::old_number);
+        order_result::stale_fencing_number);
 }
 
 // The append of a claim is lost, loses its answer, is duplicated or is delayed.
@@ -284,7 +284,7 @@
     lease.on_claim_read(own, now, now);
     now += settings.lease + settings.margin;
     lease.on_claim_read({}, now, now);
-    EXPECT_FALSE(lease.may_act(now));
+    EXPECT_FALSE(lease.may_send_order(now));
     EXPECT_EQ(lease.next(now), lease_step::append_claim);
     EXPECT_EQ(lease.claim().base_fencing_number(), 0U);
 }
@@ -306,8 +306,8 @@
     lease.on_claim_sent(sent + milliseconds(1'000)); // second copy of the claim
     lease.on_claim_read(own, sent, sent + milliseconds(5'000));
     const auto last = sent + settings.lease - settings.order_limit;
-    EXPECT_TRUE(lease.may_act(last));
-    EXPECT_FALSE(lease.may_act(last + milliseconds(1)));
+    EXPECT_TRUE(lease.may_send_order(last));
+    EXPECT_FALSE(lease.may_send_order(last + milliseconds(1)));
 }
 
 // Up to three agents of one upstream are suspended at random and lose access
@@ -392,8 +392,8 @@
     time_point now{};
     for (int i = 0; i < agents; ++i) {
         queues.emplace_back(settings, [&] { return uniform(random); });
-        queues.back().on_desired({{engine_action::load_model, "m"}}, agents,
-                                 now);
+        queues.back().set_desired_orders({{engine_action::load_model, "m"}},
+                                         agents, now);
     }
     load_outcome result;
     double tokens = 4.0;
--- a/tests/decisions/test_admission.cpp
+++ b/tests/decisions/test_admission.cpp
@@ -255,13 +255,13 @@
     admission_settings settings;
     settings.memory_tokens = 10'000;
     admission controller(settings);
-    controller.foreign_memory(9'800);
+    controller.set_external_memory(9'800);
     ASSERT_TRUE(controller.enqueue(work_of(1, "a"), start));
     ASSERT_TRUE(controller.enqueue(work_of(2, "a"), start));
     EXPECT_EQ(controller.admit(start).size(), 1U); // the first is exempt
     controller.tokens_made(1, 1, start);
     EXPECT_TRUE(controller.admit(start).empty());
-    controller.foreign_memory(0);
+    controller.set_external_memory(0);
     EXPECT_EQ(controller.admit(start), std::vector<work_id>{2});
 }
 
--- a/tests/decisions/test_gateway_decisions.cpp
+++ b/tests/decisions/test_gateway_decisions.cpp
@@ -90,7 +90,7 @@
     settings.share = 0;
     settings.extra = 50;
     shared_retry_budget budget(settings);
-    budget.set_sharers(5);
+    budget.set_gateway_count(5);
     int taken = 0;
     while (budget.try_retry("s", at(0)))
         ++taken;
@@ -106,7 +106,7 @@
     settings.extra = 10;
     settings.window = milliseconds(1000);
     shared_retry_budget budget(settings);
-    budget.set_sharers(1);
+    budget.set_gateway_count(1);
     std::vector<int> retries;
     for (int ms = 0; ms < 10000; ms += 10) {
         budget.request("s", at(ms));
@@ -129,7 +129,7 @@
     settings.share = 0;
     settings.extra = 10;
     shared_retry_budget budget(settings);
-    budget.set_sharers(1);
+    budget.set_gateway_count(1);
     for (int i = 0; i < 8; ++i)
         budget.forced("s", at(0));
     EXPECT_FALSE(budget.try_retry("s", at(0)));
@@ -145,13 +145,13 @@
     full.memory_taken = 1.0;
     auto fails = good;
     fails.failure_rate = 0.5;
-    auto doubtful = good;
-    doubtful.doubtful = true;
-    for (const auto& bad : {waits, full, fails, doubtful})
+    auto unconfirmed = good;
+    unconfirmed.unconfirmed = true;
+    for (const auto& bad : {waits, full, fails, unconfirmed})
         EXPECT_LT(placement_cost(good), placement_cost(bad));
     // An unconfirmed upstream is better than none.
     std::mt19937_64 random(1);
-    EXPECT_EQ(choose_placement(std::vector{doubtful}, random), 0U);
+    EXPECT_EQ(choose_placement(std::vector{unconfirmed}, random), 0U);
     EXPECT_FALSE(choose_placement(std::vector<placement_candidate>(), random));
 }
 
@@ -258,13 +258,14 @@
     state.idempotent = true;
     state.max_attempts = 2;
     state.sends = 1;
-    EXPECT_EQ(silence_limit(state, objective, {}), milliseconds(200));
-    EXPECT_FALSE(silence_limit(state, milliseconds(0), {}));
+    EXPECT_EQ(attempt_response_timeout(state, objective, {}),
+              milliseconds(200));
+    EXPECT_FALSE(attempt_response_timeout(state, milliseconds(0), {}));
     state.runs = 1;
-    EXPECT_FALSE(silence_limit(state, objective, {}));
+    EXPECT_FALSE(attempt_response_timeout(state, objective, {}));
     state.runs = 0;
     state.idempotent = false;
-    EXPECT_FALSE(silence_limit(state, objective, {}));
+    EXPECT_FALSE(attempt_response_timeout(state, objective, {}));
 }
 
 // Guards against timeouts under load: if all upstreams have queues, responses
@@ -275,11 +276,11 @@
     attempt_state state;
     state.idempotent = true;
     state.max_attempts = 2;
-    EXPECT_EQ(silence_limit(state, objective, milliseconds(20)),
+    EXPECT_EQ(attempt_response_timeout(state, objective, milliseconds(20)),
               milliseconds(60));
-    EXPECT_EQ(silence_limit(state, objective, milliseconds(130)),
+    EXPECT_EQ(attempt_response_timeout(state, objective, milliseconds(130)),
               milliseconds(130));
-    EXPECT_EQ(silence_limit(state, objective, milliseconds(900)),
+    EXPECT_EQ(attempt_response_timeout(state, objective, milliseconds(900)),
               milliseconds(200));
 }
 
@@ -290,7 +291,7 @@
     std::mt19937_64 random(1);
     std::set<milliseconds> times;
     for (int i = 0; i < 100; ++i) {
-        const auto after = spread_retry(milliseconds(1000), random);
+        const auto after = jitter_retry_delay(milliseconds(1000), random);
         EXPECT_GE(after, milliseconds(800));
         EXPECT_LE(after, milliseconds(1200));
         times.insert(after);
--- a/tests/decisions/test_start_queue.cpp
+++ b/tests/decisions/test_start_queue.cpp
@@ -30,15 +30,15 @@
     return request;
 }
 
-engine_view idle_engine()
+engine_status idle_engine()
 {
-    engine_view view;
+    engine_status view;
     view.memory_total = memory;
     return view;
 }
 
 /** An engine that runs generations with the given memory sizes in tokens. */
-engine_view engine_with(const std::vector<std::uint64_t>& sizes)
+engine_status engine_with(const std::vector<std::uint64_t>& sizes)
 {
     auto view = idle_engine();
     for (const auto size : sizes) {
@@ -76,7 +76,7 @@
 // while other engines have nothing to read.
 TEST_F(start_queues, grant_one_start_at_a_time_at_a_new_engine)
 {
-    queue.take_view(idle_engine(), false, at(0));
+    queue.update_status(idle_engine(), false, at(0));
     for (int i = 0; i < 10; ++i)
         queue.ask(request_for(std::to_string(i)), at(0));
     EXPECT_EQ(grant(0), names{"0"});
@@ -91,13 +91,13 @@
 {
     queue.ask(request_for("a"), at(0));
     EXPECT_EQ(grant(0), names{});
-    queue.take_view(idle_engine(), false, at(10));
+    queue.update_status(idle_engine(), false, at(10));
     EXPECT_EQ(grant(10), names{"a"});
 }
 
 TEST_F(start_queues, grant_the_earliest_deadline_first)
 {
-    queue.take_view(idle_engine(), false, at(0));
+    queue.update_status(idle_engine(), false, at(0));
     queue.ask(request_for("later", 2000, 1500), at(0));
     queue.ask(request_for("sooner", 2000, 900), at(0));
     EXPECT_EQ(grant(0), names{"sooner"});
@@ -107,7 +107,7 @@
 // backlog, a late request that goes first delays one that could be on time.
 TEST_F(start_queues, grant_late_requests_after_those_on_time)
 {
-    queue.take_view(idle_engine(), false, at(0));
+    queue.update_status(idle_engine(), false, at(0));
     queue.ask(request_for("late", 2000, 100), at(0));
     queue.ask(request_for("on_time", 2000, 1500), at(0));
     EXPECT_EQ(grant(0), names{"on_time"});
@@ -127,7 +127,7 @@
 {
     std::vector<std::uint64_t> sizes;
     std::vector<std::string> running;
-    queue.take_view(idle_engine(), false, at(0));
+    queue.update_status(idle_engine(), false, at(0));
     for (const std::string id : {"f1", "f2", "f3", "c1"}) {
         queue.ask(of_team(id[0] == 'f' ? "flood" : "calm", id), at(0));
         EXPECT_EQ(queue.give(at(0)).size(), 1U);
@@ -136,7 +136,7 @@
         auto view = engine_with(sizes);
         for (std::size_t i = 0; i < running.size(); ++i)
             view.generations[i].id = running[i];
-        queue.take_view(view, false, at(0));
+        queue.update_status(view, false, at(0));
     }
 }
 
@@ -175,11 +175,11 @@
 // A long prompt that waits for memory must not block a short one that fits.
 TEST_F(start_queues, grant_a_smaller_request_before_one_that_does_not_fit)
 {
-    queue.take_view(engine_with({4000, 4000, 4000}), false, at(0));
+    queue.update_status(engine_with({4000, 4000, 4000}), false, at(0));
     queue.ask(request_for("large", 6000, 500), at(0));
     queue.ask(request_for("small", 1000, 1500), at(0));
     EXPECT_EQ(grant(0), names{"small"});
-    queue.take_view(engine_with({4000}), false, at(200));
+    queue.update_status(engine_with({4000}), false, at(200));
     EXPECT_EQ(grant(200), names{"large"});
 }
 
@@ -187,21 +187,21 @@
 // engine that is full would preempt one of them and restore it later.
 TEST_F(start_queues, leave_room_for_running_generations_to_grow)
 {
-    queue.take_view(engine_with({4000, 4000, 4000, 4000}), false, at(0));
+    queue.update_status(engine_with({4000, 4000, 4000, 4000}), false, at(0));
     queue.ask(request_for("a", 3900), at(0));
     EXPECT_EQ(grant(0), names{});
     queue.ask(request_for("b", 2000), at(0));
     EXPECT_EQ(grant(0), names{"b"});
     // On an empty engine a generation may need all of the memory.
     queue.end("a");
-    queue.take_view(idle_engine(), false, at(1000));
+    queue.update_status(idle_engine(), false, at(1000));
     queue.ask(request_for("whole", memory), at(1000));
     EXPECT_EQ(grant(1000), names{"whole"});
 }
 
 TEST_F(start_queues, count_a_grant_until_the_engine_reports_it)
 {
-    queue.take_view(engine_with({8000}), false, at(0));
+    queue.update_status(engine_with({8000}), false, at(0));
     queue.ask(request_for("a", 6000), at(0));
     ASSERT_EQ(grant(0), names{"a"});
     // The prompt is being read, and the status includes its memory.
@@ -209,7 +209,7 @@
     view.running = 2;
     view.starting = 1;
     view.memory_used += 6000;
-    queue.take_view(view, false, at(100));
+    queue.update_status(view, false, at(100));
     queue.ask(request_for("b", 5000), at(100));
     EXPECT_EQ(grant(840), names{}); // 19,000 tokens leave no room to grow
     queue.ask(request_for("b", 2000), at(800));
@@ -220,20 +220,20 @@
 // start and end between two polls of the engine.
 TEST_F(start_queues, drop_the_grant_of_a_generation_that_ended_between_polls)
 {
-    queue.take_view(idle_engine(), false, at(0));
+    queue.update_status(idle_engine(), false, at(0));
     queue.ask(request_for("short"), at(0));
     ASSERT_EQ(grant(0), names{"short"});
-    queue.take_view(idle_engine(), false, at(100));
-    EXPECT_TRUE(queue.was_given("short"));
-    queue.take_view(idle_engine(), false, at(200));
-    EXPECT_FALSE(queue.was_given("short"));
+    queue.update_status(idle_engine(), false, at(100));
+    EXPECT_TRUE(queue.is_granted("short"));
+    queue.update_status(idle_engine(), false, at(200));
+    EXPECT_FALSE(queue.is_granted("short"));
 }
 
 // A gateway that is granted two starts uses one of them. The other one has to
 // be granted to the next request.
 TEST_F(start_queues, grant_unused_starts_to_other_requests)
 {
-    queue.take_view(idle_engine(), false, at(0));
+    queue.update_status(idle_engine(), false, at(0));
     queue.ask(request_for("a"), at(0));
     queue.ask(request_for("b"), at(0));
     ASSERT_EQ(grant(0), names{"a"});
@@ -245,7 +245,7 @@
 // those grants would not be used.
 TEST_F(start_queues, drop_requests_that_are_not_repeated)
 {
-    queue.take_view(idle_engine(), false, at(0));
+    queue.update_status(idle_engine(), false, at(0));
     queue.ask(request_for("dead"), at(0));
     queue.ask(request_for("alive", 2000, 2500), at(0));
     const int later = static_cast<int>(start_request_timeout.count());
@@ -255,7 +255,7 @@
 
 TEST_F(start_queues, grant_nothing_at_an_engine_that_is_leaving)
 {
-    queue.take_view(idle_engine(), true, at(0));
+    queue.update_status(idle_engine(), true, at(0));
     queue.ask(request_for("a"), at(0));
     EXPECT_EQ(grant(0), names{});
     EXPECT_TRUE(queue.leaving());
@@ -264,24 +264,24 @@
 TEST_F(start_queues, keep_to_the_slots_of_the_engine)
 {
     queue.set_slots(2);
-    queue.take_view(engine_with({100, 100}), false, at(0));
+    queue.update_status(engine_with({100, 100}), false, at(0));
     queue.ask(request_for("a"), at(0));
     EXPECT_EQ(grant(0), names{});
-    queue.take_view(engine_with({100}), false, at(50));
+    queue.update_status(engine_with({100}), false, at(50));
     EXPECT_EQ(grant(50), names{"a"});
 }
 
 // A gateway that reaches no monitor sends requests without a start grant.
 TEST_F(start_queues, count_requests_sent_without_a_grant)
 {
-    queue.take_view(idle_engine(), false, at(0));
+    queue.update_status(idle_engine(), false, at(0));
     queue.ask(request_for("a"), at(0));
     ASSERT_EQ(grant(0), names{"a"});
     auto view = idle_engine();
     view.running = 1;
     view.starting = 1;
     view.queued = 3;
-    queue.take_view(view, false, at(280));
+    queue.update_status(view, false, at(280));
     queue.ask(request_for("b"), at(280));
     EXPECT_EQ(grant(290), names{});
 }
@@ -295,8 +295,8 @@
     view.running = 1;
     view.starting = 1;
     view.queued = 3;
-    view.next_tokens = 2100;
-    queue.take_view(view, false, at(0));
+    view.next_prompt_tokens = 2100;
+    queue.update_status(view, false, at(0));
     EXPECT_EQ(queue.outlook().unread(at(0)), milliseconds(1200));
     queue.ask(request_for("a"), at(0));
     EXPECT_EQ(grant(10), names{});
@@ -304,9 +304,9 @@
 
 TEST_F(start_queues, are_bounded)
 {
-    for (std::size_t i = 0; i < 2 * most_waiting_starts; ++i)
+    for (std::size_t i = 0; i < 2 * max_waiting_starts; ++i)
         queue.ask(request_for(std::to_string(i)), at(0));
-    EXPECT_EQ(queue.waiting(), most_waiting_starts);
+    EXPECT_EQ(queue.waiting(), max_waiting_starts);
 }
 
 TEST(reading_speeds, start_from_the_prior_and_follow_measurements)
--- a/tests/decisions/test_herds.cpp
+++ b/tests/decisions/test_thundering_herds.cpp
@@ -100,9 +100,9 @@
         reading = false;
     }
 
-    engine_view view() const
+    engine_status view() const
     {
-        engine_view result;
+        engine_status result;
         result.starting = reading ? 1 : 0;
         result.running =
             static_cast<std::uint32_t>(running.size()) + result.starting;
@@ -303,7 +303,8 @@
     {
         for (int i = 0; i < engines; ++i) {
             if (now_ms % poll_ms == 0 && !is_removed(i))
-                queues_[i]->take_view(upstreams[i].view(), false, at(now_ms));
+                queues_[i]->update_status(upstreams[i].view(), false,
+                                          at(now_ms));
             for (const auto& granted : queues_[i]->give(at(now_ms)))
                 start(i, granted.id);
         }
--- a/tests/faults/fake_upstream.cpp
+++ b/tests/faults/fake_upstream.cpp
@@ -59,7 +59,7 @@
         gate_->engine_ready(0, time_.now());
 }
 
-void fake_upstream::start(const run_order& order)
+void fake_upstream::start(const admitted_work& order)
 {
     if (!alive_) {
         gate_->run_failed(order.work, not_run(refusal_reason::no_upstream),
--- a/tests/faults/fake_upstream.hpp
+++ b/tests/faults/fake_upstream.hpp
@@ -37,7 +37,7 @@
 
     /** Sets the gate that receives events; null while the agent is down. */
     void attach(gate* gate);
-    void start(const run_order& order);
+    void start(const admitted_work& order);
     void stop(work_id work);
 
     /** Crashes the process with all of its runs; it restarts after a delay. */
@@ -56,7 +56,7 @@
 
 private:
     struct run {
-        run_order order;
+        admitted_work order;
         std::uint64_t tokens_made = 0;
         gate* owner = nullptr;
     };
--- a/tests/faults/fault_world.cpp
+++ b/tests/faults/fault_world.cpp
@@ -105,7 +105,7 @@
     settings.resume_grace = milliseconds(5'000);
     settings.replay_window_tokens = replay_window;
     gate_hooks hooks;
-    hooks.start = [this, index](const run_order& order) {
+    hooks.start = [this, index](const admitted_work& order) {
         agents_[index].upstream->start(order);
     };
     hooks.stop = [this, index](work_id work) {
@@ -499,7 +499,7 @@
 }
 
 void fault_world::handle_stream_lost(const stream_pointer& open,
-                                     bool request_may_have_left)
+                                     bool request_may_have_run)
 {
     if (open->entry_closed || !entry_runs(open->entry))
         return;
@@ -507,7 +507,7 @@
     auto& current = sessions_.at(open->session);
     perform(open->session,
             current.session_relay->on_stream_lost(
-                open->number, request_may_have_left, time_.now()));
+                open->number, request_may_have_run, time_.now()));
 }
 
 void fault_world::close_agent_side(const stream_pointer& open)
@@ -758,7 +758,8 @@
                     continue;
                 current.finished = true;
                 record(event_kind::caller_left, id);
-                perform(id, current.session_relay->on_caller_gone(time_.now()));
+                perform(id, current.session_relay->on_caller_disconnected(
+                                time_.now()));
             }
         });
         break;
@@ -781,7 +782,7 @@
             if (sessions_.at(id).finished || !entry_runs(1 - entry))
                 return;
             handle_caller_lost(id);
-            perform(id, sessions_.at(id).session_relay->on_caller_gone(
+            perform(id, sessions_.at(id).session_relay->on_caller_disconnected(
                             time_.now()));
         });
         break;
--- a/tests/faults/fault_world.hpp
+++ b/tests/faults/fault_world.hpp
@@ -112,7 +112,7 @@
     void to_relay(const stream_pointer& open, const link::AgentFrame& frame);
     void send_frame(const stream_pointer& open, const link::AgentFrame& frame);
     void handle_stream_lost(const stream_pointer& open,
-                            bool request_may_have_left);
+                            bool request_may_have_run);
     void close_agent_side(const stream_pointer& open);
     void watch_keepalive(const stream_pointer& open);
     link_pair& link_pair_of(std::size_t entry, std::size_t agent);
--- a/tests/faults/test_guards.cpp
+++ b/tests/faults/test_guards.cpp
@@ -21,7 +21,7 @@
         settings.started_at = start;
         settings.link_key = link_key;
         gate_hooks hooks;
-        hooks.start = [this](const run_order& order) {
+        hooks.start = [this](const admitted_work& order) {
             started.push_back(order.work);
         };
         hooks.stop = [this](work_id work) { stopped.push_back(work); };
--- a/tests/gateway/stand_in_store.cpp
+++ b/tests/gateway/fake_store.cpp
@@ -1,4 +1,4 @@
-#include "stand_in_store.hpp"
+#include "fake_store.hpp"
 
 #include <Poco/Base64Encoder.h>
 #include <Poco/URI.h>
@@ -38,59 +38,59 @@
 
 } // namespace
 
-stand_in_store::stand_in_store()
+fake_store::fake_store()
     : server_([this](const arrived_request& request, upstream_reply& reply) {
           handle_request(request, reply);
       })
 {
 }
 
-stand_in_store::~stand_in_store()
+fake_store::~fake_store()
 {
     const std::scoped_lock lock(mutex_);
     stopping_ = true;
     changed_.notify_all();
 }
 
-void stand_in_store::put(const std::string& topic, const std::string& key,
-                         const std::string& value)
+void fake_store::put(const std::string& topic, const std::string& key,
+                     const std::string& value)
 {
     const std::scoped_lock lock(mutex_);
     topics_[topic].records.push_back({key, value});
     changed_.notify_all();
 }
 
-void stand_in_store::set_mood(mood next)
+void fake_store::set_fault_mode(fault_mode next)
 {
     const std::scoped_lock lock(mutex_);
     mood_ = next;
     changed_.notify_all();
 }
 
-void stand_in_store::drop_history()
+void fake_store::drop_history()
 {
     const std::scoped_lock lock(mutex_);
     for (auto& [name, topic] : topics_)
         topic.first = topic.records.size();
 }
 
-void stand_in_store::handle_request(const arrived_request& request,
-                                    upstream_reply& reply)
+void fake_store::handle_request(const arrived_request& request,
+                                upstream_reply& reply)
 {
     const Poco::URI uri(request.head.target);
     std::map<std::string, std::string> query;
     for (const auto& [name, value] : uri.getQueryParameters())
         query[name] = value;
-    mood current_mood = mood::healthy;
+    fault_mode current_mood = fault_mode::healthy;
     {
         const std::scoped_lock lock(mutex_);
         current_mood = mood_;
     }
-    if (current_mood == mood::busy)
+    if (current_mood == fault_mode::busy)
         reply.answer(request, 503, "{}");
-    else if (current_mood == mood::silent)
+    else if (current_mood == fault_mode::silent)
         reply.wait_for_close();
-    else if (current_mood == mood::disconnecting)
+    else if (current_mood == fault_mode::disconnecting)
         reply.close();
     else if (uri.getPath() == "/log-newest")
         serve_newest(query, request, reply);
@@ -98,9 +98,9 @@
         serve_read(query, request, reply);
 }
 
-void stand_in_store::serve_read(const std::map<std::string, std::string>& query,
-                                const arrived_request& request,
-                                upstream_reply& reply)
+void fake_store::serve_read(const std::map<std::string, std::string>& query,
+                            const arrived_request& request,
+                            upstream_reply& reply)
 {
     const auto from = std::stoul(query.at("from"));
     const std::chrono::milliseconds wait(std::stol(query.at("wait_ms")));
@@ -108,7 +108,7 @@
     auto& topic = topics_[query.at("topic")];
     changed_.wait_for(lock, wait, [&] {
         return topic.records.size() > from || stopping_ ||
-               mood_ != mood::healthy;
+               mood_ != fault_mode::healthy;
     });
     if (from < topic.first) {
         lock.unlock();
@@ -123,7 +123,7 @@
     reply.answer(request, 200, body);
 }
 
-std::size_t stand_in_store::count_of(const std::string& target) const
+std::size_t fake_store::count_of(const std::string& target) const
 {
     const auto calls = server_.arrived();
     return std::count_if(calls.begin(), calls.end(),
@@ -132,15 +132,15 @@
                          });
 }
 
-void stand_in_store::set_page_size(std::size_t records)
+void fake_store::set_page_size(std::size_t records)
 {
     const std::scoped_lock lock(mutex_);
     page_size_ = records;
 }
 
-void stand_in_store::serve_newest(
-    const std::map<std::string, std::string>& query,
-    const arrived_request& request, upstream_reply& reply)
+void fake_store::serve_newest(const std::map<std::string, std::string>& query,
+                              const arrived_request& request,
+                              upstream_reply& reply)
 {
     std::unique_lock lock(mutex_);
     const auto& topic = topics_[query.at("topic")];
--- a/tests/gateway/stand_in_store.hpp
+++ b/tests/gateway/fake_store.hpp
@@ -18,26 +18,26 @@
  * which are read from an offset with a wait, or as the newest record of each
  * key. It can refuse calls, leave them unanswered or delete its history.
  */
-class stand_in_store
+class fake_store
 {
 public:
-    enum class mood : std::uint8_t {
+    enum class fault_mode : std::uint8_t {
         healthy,
         busy,         ///< answers 503
         silent,       ///< accepts calls and does not answer
         disconnecting ///< closes the connection without an answer
     };
 
-    stand_in_store();
-    ~stand_in_store();
-    stand_in_store(const stand_in_store&) = delete;
-    stand_in_store& operator=(const stand_in_store&) = delete;
+    fake_store();
+    ~fake_store();
+    fake_store(const fake_store&) = delete;
+    fake_store& operator=(const fake_store&) = delete;
 
     std::string address() const { return to_string(server_.address()); }
     /** Appends a record; an empty value removes the key. */
     void put(const std::string& topic, const std::string& key,
              const std::string& value);
-    void set_mood(mood next);
+    void set_fault_mode(fault_mode next);
     /** Sets the number of records on a page of the newest records. */
     void set_page_size(std::size_t records);
     /** Number of calls so far, refused ones included. */
@@ -66,7 +66,7 @@
     std::mutex mutex_;
     std::condition_variable changed_;
     std::map<std::string, topic_log> topics_;
-    mood mood_ = mood::healthy;
+    fault_mode mood_ = fault_mode::healthy;
     std::size_t page_size_ = 500;
     bool stopping_ = false;
     fake_upstream server_;
--- a/tests/gateway/fake_upstream.cpp
+++ b/tests/gateway/fake_upstream.cpp
@@ -155,7 +155,7 @@
             if (!reader.complete())
                 continue;
             upstream_reply reply(socket);
-            if (tells_no_load && request.head.target == "/report") {
+            if (rejects_load_requests && request.head.target == "/report") {
                 reply.answer(request, 404, "");
             } else {
                 {
--- a/tests/gateway/fake_upstream.hpp
+++ b/tests/gateway/fake_upstream.hpp
@@ -68,7 +68,7 @@
 
     /** If set, load requests get a 404 answer and don't reach the script or
      * `arrived`. */
-    std::atomic<bool> tells_no_load = false;
+    std::atomic<bool> rejects_load_requests = false;
 
     ip_endpoint address() const;
     std::vector<arrived_request> arrived() const;
--- a/tests/gateway/gateway_fixture.cpp
+++ b/tests/gateway/gateway_fixture.cpp
@@ -182,7 +182,7 @@
                                     const std::string& host)
 {
     upstreams.push_back(std::make_unique<fake_upstream>(std::move(play), host));
-    upstreams.back()->tells_no_load = true;
+    upstreams.back()->rejects_load_requests = true;
     upstream_record record;
     record.id = id;
     record.service = service;
--- a/tests/gateway/gateway_program.hpp
+++ b/tests/gateway/gateway_program.hpp
@@ -2,8 +2,8 @@
 #define CYCLAMENRUN_TESTS_GATEWAY_PROGRAM_HPP
 
 #include "../support/child_process.hpp"
+#include "fake_store.hpp"
 #include "gateway_fixture.hpp"
-#include "stand_in_store.hpp"
 
 #include <Poco/Net/ServerSocket.h>
 #include <atomic>
@@ -18,18 +18,18 @@
 {
 
 /** A settings file, removed by the destructor. */
-class settings_text
+class temporary_settings_file
 {
 public:
-    explicit settings_text(const std::string& text)
+    explicit temporary_settings_file(const std::string& text)
         : path_(std::filesystem::temp_directory_path() /
                 ("gateway-" + std::to_string(::getpid()) + ".toml"))
     {
         write(text);
     }
-    ~settings_text() { std::filesystem::remove(path_); }
-    settings_text(const settings_text&) = delete;
-    settings_text& operator=(const settings_text&) = delete;
+    ~temporary_settings_file() { std::filesystem::remove(path_); }
+    temporary_settings_file(const temporary_settings_file&) = delete;
+    temporary_settings_file& operator=(const temporary_settings_file&) = delete;
 
     void write(const std::string& text) const { std::ofstream(path_) << text; }
     std::string path() const { return path_.string(); }
@@ -46,7 +46,7 @@
     return socket.address().port();
 }
 
-inline std::string gateway_text(const stand_in_store& store)
+inline std::string gateway_settings_text(const fake_store& store)
 {
     return "name = \"g\"\nregion = \"r\"\nfailure_domain = \"d\"\n"
            "listen = \"127.0.0.1:0\"\nready_listen = \"127.0.0.1:0\"\n"
@@ -87,7 +87,7 @@
                   else
                       reply.answer(request, 200, "hello");
               }),
-          settings(gateway_text(store))
+          settings(gateway_settings_text(store))
     {
         store.put("keyed.op", "config", configuration_text(1, "k1"));
         put_upstream("ready");
@@ -152,10 +152,10 @@
         return false;
     }
 
-    stand_in_store store;
+    fake_store store;
     std::atomic<bool> may_answer = true;
     fake_upstream upstream;
-    settings_text settings;
+    temporary_settings_file settings;
     std::unique_ptr<child_process> process;
     std::string ready;
     std::string address;
--- a/tests/gateway/test_answer_relay.cpp
+++ b/tests/gateway/test_answer_relay.cpp
@@ -1,6 +1,6 @@
 #include "answer_relay.hpp"
 
-#include "response_verdict.hpp"
+#include "response_classification.hpp"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -67,8 +67,8 @@
     EXPECT_FALSE(relay.begun());
     EXPECT_CALL(*writer, whole(_, std::string_view("hello")));
     const auto late = relay.deliver(arrived + milliseconds(130));
-    EXPECT_EQ(late.late_by_pause, milliseconds(130));
-    EXPECT_EQ(relay.first_after(), milliseconds(130));
+    EXPECT_EQ(late.late_pause, milliseconds(130));
+    EXPECT_EQ(relay.time_to_first_part(), milliseconds(130));
 }
 
 // Guards against an answer that is joined from two responses: the first
@@ -106,20 +106,20 @@
     EXPECT_CALL(*writer, piece(_)).Times(2);
     const auto first =
         relay.handle_body("id: 1\ndata: a\n\n", arrived + milliseconds(101));
-    EXPECT_EQ(first->late_by_pause, milliseconds(101));
+    EXPECT_EQ(first->late_pause, milliseconds(101));
     EXPECT_TRUE(first->was_first);
     EXPECT_FALSE(
         relay.handle_body("id: 2\nda", arrived + milliseconds(120))->relayed);
     const auto second =
         relay.handle_body("ta: b\n\n", arrived + milliseconds(150));
     EXPECT_TRUE(second->relayed);
-    EXPECT_FALSE(second->late_by_pause);
-    EXPECT_EQ(relay.first_after(), milliseconds(101));
+    EXPECT_FALSE(second->late_pause);
+    EXPECT_EQ(relay.time_to_first_part(), milliseconds(101));
     EXPECT_EQ(relay.longest_pause(), milliseconds(49));
     EXPECT_EQ(relay.last_event_id(), 2U);
 }
 
-TEST(response_verdict, only_a_confirmed_response_is_delivered)
+TEST(response_classification, only_a_confirmed_response_is_delivered)
 {
     const response_facts unsealed;
     response_facts turned_away;
--- a/tests/gateway/test_turn_search.cpp
+++ b/tests/gateway/test_copy_turn_search.cpp
@@ -1,4 +1,4 @@
-#include "turn_search.hpp"
+#include "copy_turn_search.hpp"
 
 #include "http_dialect.hpp"
 #include "link_loop.hpp"
@@ -41,16 +41,16 @@
 
 /** Engines on separate hosts with monitors, and the search of a destination
  * among them. */
-class turn_searches : public testing::Test
+class copy_turn_searches : public testing::Test
 {
 protected:
-    turn_searches() : port(scripted_monitor::free_port())
+    copy_turn_searches() : port(scripted_monitor::free_port())
     {
         on_loop([this] {
             context = std::make_unique<gateway_context>(
                 loop->reactor(), std::make_shared<platform::http_dialect>(),
-                upstream_board::hooks(), retry_budget_settings(), std::nullopt,
-                1);
+                upstream_registry::hooks(), retry_budget_settings(),
+                std::nullopt, 1);
             monitor_link::hooks on;
             on.load = [](const ip_endpoint&, const engine_load&) {};
             on.identity = [](const ip_endpoint&, const std::string&) {};
@@ -64,7 +64,7 @@
         });
     }
 
-    ~turn_searches() override
+    ~copy_turn_searches() override
     {
         on_loop([this] { search.reset(); });
         loop.reset();
@@ -98,7 +98,7 @@
 
     void begin()
     {
-        turn_search::hooks on;
+        copy_turn_search::hooks on;
         on.candidates = [this](const std::vector<std::string>& exclude,
                                std::size_t count) {
             std::vector<upstream_record> left;
@@ -116,8 +116,8 @@
         on.found = [this](const upstream_record& to) { end_with(to.id); };
         on.none = [this] { end_with("none"); };
         on_loop([&] {
-            search = std::make_shared<turn_search>(*context, "r1", 100,
-                                                   std::move(on));
+            search = std::make_shared<copy_turn_search>(*context, "r1", 100,
+                                                        std::move(on));
             search->start();
         });
     }
@@ -140,7 +140,7 @@
     std::uint16_t port;
     std::unique_ptr<link_loop> loop = std::make_unique<link_loop>();
     std::unique_ptr<gateway_context> context;
-    std::shared_ptr<turn_search> search;
+    std::shared_ptr<copy_turn_search> search;
     std::vector<upstream_record> engines;
     std::vector<std::unique_ptr<scripted_monitor>> monitors;
     std::string cheapest;
@@ -152,7 +152,7 @@
 // Guards against copies that queue while other links are idle: many generations
 // leave at once and select the same destination, and the reclaim notice expires
 // while they wait.
-TEST_F(turn_searches, use_an_engine_whose_link_is_free)
+TEST_F(copy_turn_searches, use_an_engine_whose_link_is_free)
 {
     const auto& busy = add("127.0.0.2", always(answer::waits));
     const auto& idle = add("127.0.0.3", always(answer::given));
@@ -165,7 +165,7 @@
     EXPECT_TRUE(idle.wait_for(ends_turn));
 }
 
-TEST_F(turn_searches, use_the_better_of_two_turns)
+TEST_F(copy_turn_searches, use_the_better_of_two_turns)
 {
     const auto& other = add("127.0.0.2", always(answer::given));
     add("127.0.0.3", always(answer::given));
@@ -177,7 +177,7 @@
 
 // Guards against a search that ends at the first refusals, which come from
 // engines that leave or have filled up.
-TEST_F(turn_searches, continue_after_refusals)
+TEST_F(copy_turn_searches, continue_after_refusals)
 {
     for (const auto* host :
          {"127.0.0.2", "127.0.0.3", "127.0.0.4", "127.0.0.5", "127.0.0.6"})
@@ -187,7 +187,7 @@
     EXPECT_EQ(wait_for_result(), "on-127.0.0.7");
 }
 
-TEST_F(turn_searches, end_when_all_have_refused)
+TEST_F(copy_turn_searches, end_when_all_have_refused)
 {
     add("127.0.0.2", always(answer::refused));
     add("127.0.0.3", always(answer::refused));
@@ -196,7 +196,7 @@
 }
 
 // Guards against waiting while the links of all requested engines are busy.
-TEST_F(turn_searches, request_more_engines_while_links_are_busy)
+TEST_F(copy_turn_searches, request_more_engines_while_links_are_busy)
 {
     for (const auto* host :
          {"127.0.0.2", "127.0.0.3", "127.0.0.4", "127.0.0.5"})
@@ -208,7 +208,7 @@
 
 // Guards against a copy to an engine that leaves, when the directory reports it
 // before the engine's monitor does.
-TEST_F(turn_searches, use_no_engine_that_leaves)
+TEST_F(copy_turn_searches, use_no_engine_that_leaves)
 {
     add("127.0.0.2", always(answer::given));
     add("127.0.0.3", always(answer::given));
@@ -224,7 +224,7 @@
 
 // Guards against a failed move when the monitor of the only engine has crashed:
 // a copy that competes with others is better than none.
-TEST_F(turn_searches, use_an_engine_without_a_monitor_as_a_last_resort)
+TEST_F(copy_turn_searches, use_an_engine_without_a_monitor_as_a_last_resort)
 {
     add("127.0.0.2", always(answer::silence));
     begin();
--- a/tests/gateway/test_directory_relay.cpp
+++ b/tests/gateway/test_directory_relay.cpp
@@ -1,12 +1,12 @@
 #include "../support/tcp_relay.hpp"
+#include "fake_store.hpp"
 #include "gateway_fixture.hpp"
 #include "gateway_program.hpp"
 #include "http_dialect.hpp"
 #include "monitor_process.hpp"
-#include "record_codec.hpp"
+#include "record_parser.hpp"
 #include "relay_choice.hpp"
 #include "scripted_monitor.hpp"
-#include "stand_in_store.hpp"
 #include "store_feed.hpp"
 
 #include <algorithm>
@@ -186,7 +186,7 @@
         }
     }
 
-    stand_in_store store;
+    fake_store store;
     tcp_relay gateways_path{store.address()};
     tcp_relay monitors_path{store.address()};
     std::uint16_t port;
@@ -317,7 +317,7 @@
     constexpr std::size_t fleet = 8;
     for (std::size_t i = 0; i < fleet; ++i)
         start_gateway();
-    store.set_mood(stand_in_store::mood::busy);
+    store.set_fault_mode(fake_store::fault_mode::busy);
     std::this_thread::sleep_for(milliseconds(300));
     const auto before = store.calls();
     constexpr double seconds = 3;
@@ -326,7 +326,7 @@
     // every 0.4 s.
     const auto bound = fleet * 2 * (seconds / 2 + 1) + 2 * 2 * seconds / 0.4;
     EXPECT_LE(static_cast<double>(store.calls() - before), bound);
-    store.set_mood(stand_in_store::mood::healthy);
+    store.set_fault_mode(fake_store::fault_mode::healthy);
     const auto back_at = steady_now();
     for (const auto& gateway : gateways)
         EXPECT_TRUE(eventually_answers(*gateway, "k1", 200));
@@ -376,11 +376,11 @@
 TEST_F(relayed_directory, rereads_all_when_the_history_is_gone)
 {
     auto& gateway = start_gateway();
-    store.set_mood(stand_in_store::mood::busy);
+    store.set_fault_mode(fake_store::fault_mode::busy);
     store.put("keyed.op", "config", configuration(5, "k5"));
     store.put("keyed.op", "config", configuration(6, "k6"));
     store.drop_history();
-    store.set_mood(stand_in_store::mood::healthy);
+    store.set_fault_mode(fake_store::fault_mode::healthy);
     EXPECT_TRUE(eventually_answers(gateway, "k6", 200));
     EXPECT_EQ(status_of(gateway, "k1"), 401U);
 }
--- a/tests/gateway/test_event_splitter.cpp
+++ b/tests/gateway/test_event_splitter.cpp
@@ -47,7 +47,7 @@
     ASSERT_TRUE(splitter.feed(event(1)));
     const auto fed = splitter.feed(event(3));
     ASSERT_FALSE(fed);
-    EXPECT_EQ(fed.error(), event_order_problem::gap);
+    EXPECT_EQ(fed.error(), event_problem::gap);
 }
 
 TEST(event_splitter, passes_events_without_an_id_and_with_other_line_ends)
@@ -63,7 +63,7 @@
     event_splitter splitter;
     const auto fed = splitter.feed(std::string(max_event_bytes + 1, 'x'));
     ASSERT_FALSE(fed);
-    EXPECT_EQ(fed.error(), event_order_problem::too_large);
+    EXPECT_EQ(fed.error(), event_problem::too_large);
 }
 
 RC_GTEST_PROP(event_splitter, passes_a_stream_unchanged_for_any_chunks, ())
--- a/tests/gateway/test_explaining.cpp
+++ b/tests/gateway/test_explaining.cpp
@@ -1,5 +1,5 @@
 #include "gateway_program.hpp"
-#include "request_story.hpp"
+#include "request_timeline.hpp"
 
 #include <gmock/gmock.h>
 #include <sstream>
@@ -27,7 +27,7 @@
 
     std::string explain(const std::string& id) const
     {
-        request_story timeline(id);
+        request_timeline timeline(id);
         std::istringstream log(process->output());
         for (std::string line; std::getline(log, line);)
             timeline.take("collector 10.1.0.19 " + line);
@@ -71,7 +71,7 @@
 // its lease on the configuration, and with it on the keys.
 TEST_F(request_explanation, shows_why_a_request_was_refused)
 {
-    store.set_mood(stand_in_store::mood::silent);
+    store.set_fault_mode(fake_store::fault_mode::silent);
     wait_for_answer("k1", 503);
     ASSERT_TRUE(wait_for_log("directory_lost"));
     const auto id = send("k1", "/a/x");
@@ -107,9 +107,9 @@
                                     "revision=2 status=401")));
 }
 
-TEST(request_story, skips_invalid_log_lines)
+TEST(request_timeline, skips_invalid_log_lines)
 {
-    request_story timeline("a");
+    request_timeline timeline("a");
     for (const auto* line : {"", "{", "plain text", "{\"time\":1}", "[]",
                              "\xff\xfe{\"event\":\"x\"}"})
         timeline.take(line);
@@ -118,9 +118,9 @@
 
 // The log has one line for a request that succeeded, written at its end. The
 // state shown must be the gateway's when the request arrived, not at its end.
-TEST(request_story, shows_state_when_the_request_arrived)
+TEST(request_timeline, shows_state_when_the_request_arrived)
 {
-    request_story timeline("a");
+    request_timeline timeline("a");
     const auto applied = [](const std::string& time, const std::string& what) {
         return R"({"time":"2026-01-01T00:00:)" + time +
                R"(Z","process":"g","event":"configuration_applied",)"
@@ -142,9 +142,9 @@
 
 // Logs of several processes are read one after another; the timeline must be
 // sorted by time over all of them.
-TEST(request_story, sorts_lines_of_all_processes_by_time)
+TEST(request_timeline, sorts_lines_of_all_processes_by_time)
 {
-    request_story timeline("a");
+    request_timeline timeline("a");
     const auto line = [](const std::string& second, const std::string& process,
                          const std::string& event) {
         return R"({"time":"2026-01-01T00:00:0)" + second +
--- a/tests/gateway/test_feed_follower.cpp
+++ b/tests/gateway/test_feed_follower.cpp
@@ -91,7 +91,7 @@
     const auto count = rest.size() + 1;
     auto feed = std::make_shared<scripted_feed>(std::move(rest));
     follower_record record;
-    feed_pace timing;
+    feed_timing timing;
     timing.first_retry_delay = milliseconds(1);
     timing.max_retry_delay = milliseconds(4);
     {
@@ -196,7 +196,7 @@
             confirmed.push_back(sent_at);
         };
         follower = std::make_shared<feed_follower<int>>(
-            loop.reactor(), feed, feed_pace(), std::move(on));
+            loop.reactor(), feed, feed_timing(), std::move(on));
         loop.post([this] { follower->start(); });
     }
 
--- a/tests/gateway/test_monitor.cpp
+++ b/tests/gateway/test_monitor.cpp
@@ -72,14 +72,14 @@
     listening_gateway& operator=(const listening_gateway&) = delete;
     ~listening_gateway() { loop_.reset(); }
 
-    void want_turn(const std::string& id, std::uint64_t tokens = 100,
-                   bool into = false)
+    void request_turn(const std::string& id, std::uint64_t tokens = 100,
+                      bool into = false)
     {
         loop_->post([this, id, tokens, into] {
             monitor_link::turn_hooks on;
             on.given = [this, id] { reports.add("turn " + id); };
             on.refused = [this, id] { reports.add("no turn " + id); };
-            link_->want_turn({"127.0.0.1", id, tokens, into}, std::move(on));
+            link_->request_turn({"127.0.0.1", id, tokens, into}, std::move(on));
         });
     }
     void end_turn(const std::string& id)
@@ -214,7 +214,7 @@
     listening_gateway other(port, {});
     const auto line = "load " + to_string(engine.address()) + " 2";
     ASSERT_TRUE(subscriber.reports.wait_for(line));
-    other.want_turn("a");
+    other.request_turn("a");
     ASSERT_TRUE(other.reports.wait_for("turn a"));
     EXPECT_TRUE(other.reports.has(line));
     const auto received_before = subscriber.reports.count(line);
@@ -244,9 +244,9 @@
 {
     listening_gateway first(port);
     listening_gateway second(port);
-    first.want_turn("a");
+    first.request_turn("a");
     ASSERT_TRUE(first.reports.wait_for("turn a"));
-    second.want_turn("b");
+    second.request_turn("b");
     std::this_thread::sleep_for(milliseconds(300));
     EXPECT_FALSE(second.reports.has("turn b"));
     first.end_turn("a");
@@ -259,11 +259,11 @@
 {
     listening_gateway gateway(port);
     ASSERT_TRUE(gateway.reports.wait_for("gateways 1"));
-    gateway.want_turn("small", 80, true);
+    gateway.request_turn("small", 80, true);
     EXPECT_TRUE(gateway.reports.wait_for("turn small"));
-    gateway.want_turn("large", 95, true);
+    gateway.request_turn("large", 95, true);
     EXPECT_TRUE(gateway.reports.wait_for("no turn large"));
-    gateway.want_turn("from it", 95);
+    gateway.request_turn("from it", 95);
     gateway.end_turn("small");
     EXPECT_TRUE(gateway.reports.wait_for("turn from it"));
 }
@@ -274,7 +274,7 @@
     listening_gateway gateway(port);
     ASSERT_TRUE(gateway.reports.wait_for("load " + to_string(engine.address()) +
                                          " 2 leaving"));
-    gateway.want_turn("a", 10, true);
+    gateway.request_turn("a", 10, true);
     EXPECT_TRUE(gateway.reports.wait_for("no turn a"));
 }
 
@@ -284,7 +284,7 @@
 {
     process.reset();
     listening_gateway gateway(port);
-    gateway.want_turn("a");
+    gateway.request_turn("a");
     EXPECT_TRUE(gateway.reports.wait_for("turn a"));
 }
 
--- a/tests/gateway/test_programs.cpp
+++ b/tests/gateway/test_programs.cpp
@@ -38,12 +38,13 @@
 // has ended, since a key may have been revoked, and serve again afterwards.
 TEST_F(gateway_program, serves_until_its_lease_ends_and_again_afterwards)
 {
-    using mood = stand_in_store::mood;
-    for (const auto failure : {mood::silent, mood::busy, mood::disconnecting}) {
-        store.set_mood(failure);
+    using fault_mode = fake_store::fault_mode;
+    for (const auto failure :
+         {fault_mode::silent, fault_mode::busy, fault_mode::disconnecting}) {
+        store.set_fault_mode(failure);
         EXPECT_EQ(status_of("k1"), 200U);
         wait_for_answer("k1", 503);
-        store.set_mood(mood::healthy);
+        store.set_fault_mode(fault_mode::healthy);
         wait_for_answer("k1", 200);
     }
     EXPECT_TRUE(wait_for_log("directory_lost"));
@@ -55,12 +56,12 @@
 // the record.
 TEST_F(gateway_program, rereads_all_when_the_history_is_gone)
 {
-    store.set_mood(stand_in_store::mood::busy);
+    store.set_fault_mode(fake_store::fault_mode::busy);
     EXPECT_TRUE(wait_for_log("directory_lost"));
     store.put("keyed.op", "config", configuration_text(5, "k5"));
     store.put("keyed.op", "config", configuration_text(6, "k6"));
     store.drop_history();
-    store.set_mood(stand_in_store::mood::healthy);
+    store.set_fault_mode(fake_store::fault_mode::healthy);
     wait_for_answer("k6", 200);
     EXPECT_EQ(status_of("k1"), 401U);
 }
@@ -71,7 +72,7 @@
     process->signal(SIGHUP);
     EXPECT_TRUE(wait_for_log("settings_unusable"));
     EXPECT_EQ(status_of("k1"), 200U);
-    settings.write(gateway_text(store));
+    settings.write(gateway_settings_text(store));
     process->signal(SIGHUP);
     EXPECT_TRUE(wait_for_log("settings_reloaded"));
     EXPECT_EQ(status_of("k1"), 200U);
@@ -80,13 +81,13 @@
 // The settings file names another store, and no signal is sent.
 TEST_F(gateway_program, reloads_changed_settings_without_a_signal)
 {
-    stand_in_store other;
+    fake_store other;
     other.put("keyed.op", "config", configuration_text(4, "k4"));
     other.put("keyed.servers", "i-1",
               R"({"service":"app","address":")" +
                   to_string(upstream.address()) +
                   R"(","zone":"d","slots":4,"state":"ready"})");
-    settings.write(gateway_text(other));
+    settings.write(gateway_settings_text(other));
     EXPECT_TRUE(wait_for_log("settings_reloaded"));
     wait_for_answer("k4", 200);
     EXPECT_EQ(process->output().find("settings_unusable"), std::string::npos);
@@ -142,9 +143,9 @@
 
 TEST_F(gateway_program, logs_when_its_lease_ends_and_is_renewed)
 {
-    store.set_mood(stand_in_store::mood::silent);
+    store.set_fault_mode(fake_store::fault_mode::silent);
     EXPECT_TRUE(wait_for_log("lease_ended"));
-    store.set_mood(stand_in_store::mood::healthy);
+    store.set_fault_mode(fake_store::fault_mode::healthy);
     wait_for_answer("k1", 200);
     const auto log = process->output();
     EXPECT_NE(log.find("lease_renewed", log.find("lease_ended")),
--- a/tests/gateway/test_read_coalescer.cpp
+++ b/tests/gateway/test_read_coalescer.cpp
@@ -53,9 +53,9 @@
         (void)read(newest({change("a")}, 5));
     }
 
-    static coalescer_pace timing()
+    static coalescer_timing timing()
     {
-        coalescer_pace timing;
+        coalescer_timing timing;
         timing.max_changes = 3;
         timing.max_calls = 4;
         return timing;
@@ -138,7 +138,7 @@
     constexpr milliseconds call_interval{2};
     constexpr milliseconds wait{900};
     constexpr int waits = 10;
-    coalescer reads{coalescer_pace()};
+    coalescer reads{coalescer_timing()};
     auto now = time_point(std::chrono::hours(1));
     const auto end = now + waits * wait;
     std::multimap<time_point, std::optional<std::uint64_t>> arrivals;
@@ -308,7 +308,7 @@
     explicit lease_simulation(unsigned seed) : random_(seed)
     {
         for (auto& each : relays_)
-            each.reads.emplace(coalescer_pace());
+            each.reads.emplace(coalescer_timing());
     }
 
     /** Returns false if a gateway held a valid lease on an expired version. */
--- a/tests/gateway/test_request_profile.cpp
+++ b/tests/gateway/test_request_profile.cpp
@@ -27,7 +27,7 @@
         model.engine->backups = true;
         configuration.services = {model, {"app", {}}};
         facts.prompt_tokens = 3000;
-        facts.most_output_tokens = 2000;
+        facts.output_token_limit = 2000;
     }
 
     request_profile profile(const std::string& service)
@@ -49,7 +49,7 @@
 
 TEST_F(request_profiles, find_the_engines_of_their_service)
 {
-    EXPECT_EQ(profile("model").needs("d").engine_tokens, 34000U);
+    EXPECT_EQ(profile("model").needs("d").engine_memory_tokens, 34000U);
     EXPECT_TRUE(profile("model").allows_backup());
     EXPECT_EQ(profile("app").engine(), nullptr);
     EXPECT_FALSE(profile("app").allows_backup());
@@ -69,7 +69,7 @@
 {
     EXPECT_TRUE(profile("model").outlives(now + milliseconds(1500), now));
     EXPECT_TRUE(profile("model").outlives(std::nullopt, now));
-    facts.most_output_tokens = 100;
+    facts.output_token_limit = 100;
     EXPECT_FALSE(profile("model").outlives(now + milliseconds(1500), now));
     EXPECT_TRUE(profile("model").outlives(now + milliseconds(500), now));
 }
--- a/tests/gateway/test_start_search.cpp
+++ b/tests/gateway/test_start_search.cpp
@@ -169,7 +169,7 @@
     auto& busy = add("e3", answer_with_queue(9), "model", "127.0.0.3");
     auto& idle = add("e4", answer_with_queue(0), "model", "127.0.0.4");
     for (auto* engine : {&busy, &idle})
-        engine->tells_no_load = false;
+        engine->rejects_load_requests = false;
     for (int i = 0; i < 5; ++i)
         EXPECT_EQ(ask("/gen/x").status(), 200U);
     const auto streams = [](const fake_upstream& engine) {
--- a/tests/gateway/test_upstream_board.cpp
+++ b/tests/gateway/test_upstream_registry.cpp
@@ -1,4 +1,4 @@
-#include "upstream_board.hpp"
+#include "upstream_registry.hpp"
 
 #include <gtest/gtest.h>
 
@@ -24,10 +24,10 @@
     return result;
 }
 
-struct board_fixture : testing::Test {
+struct registry_fixture : testing::Test {
     std::vector<std::string> leaving_ids;
     std::vector<std::string> removed_ids;
-    upstream_board board{
+    upstream_registry board{
         {[this](const std::string& id, std::optional<time_point>) {
              leaving_ids.push_back(id);
          },
@@ -45,13 +45,13 @@
     std::size_t usable() const { return board.available("s").size(); }
 };
 
-using upstream_board_test = board_fixture;
+using upstream_registry_test = registry_fixture;
 
 // After a power loss of all gateways, the directory still lists engines that
 // were reclaimed meanwhile, beside their successors at the same addresses. A
 // gateway that used the old records would be rejected four times and refuse a
 // request that any other engine would have served.
-TEST_F(upstream_board_test, uses_latest_upstream_at_an_address)
+TEST_F(upstream_registry_test, uses_latest_upstream_at_an_address)
 {
     auto predecessor = record("before");
     auto successor = record("after");
@@ -81,7 +81,7 @@
 // After a power loss of all VMs, engines respond again within a second under
 // new ids, while the directory lists their predecessors for three more seconds.
 // A gateway that relied on the directory would be rejected by each engine.
-TEST_F(upstream_board_test, uses_an_engine_reported_by_its_monitor)
+TEST_F(upstream_registry_test, uses_an_engine_reported_by_its_monitor)
 {
     put(record("before"));
     board.take_identity(record("x").address, "after", at(0));
@@ -106,7 +106,7 @@
 }
 
 // The snapshot of the directory was made before the engine started.
-TEST_F(upstream_board_test, keeps_an_engine_newer_than_the_snapshot)
+TEST_F(upstream_registry_test, keeps_an_engine_newer_than_the_snapshot)
 {
     put(record("before"));
     board.take_identity(record("x").address, "after", at(0));
@@ -116,13 +116,13 @@
 
 // An engine that a monitor reports but the directory never lists must be
 // removed, and must not be added again by the next report.
-TEST_F(upstream_board_test, drops_an_engine_that_the_directory_does_not_list)
+TEST_F(upstream_registry_test, drops_an_engine_that_the_directory_does_not_list)
 {
     put(record("before"));
     board.take_identity(record("x").address, "after", at(0));
-    board.end_doubts(at(4900));
+    board.drop_unlisted(at(4900));
     EXPECT_EQ(usable(), 1U);
-    board.end_doubts(at(5000));
+    board.drop_unlisted(at(5000));
     EXPECT_EQ(usable(), 0U);
     put(record("other"), 5100);
     board.take_identity(record("x").address, "after", at(5200));
@@ -131,7 +131,7 @@
 
 // The upstream does not announce that it drains: its entry is removed while it
 // continues to serve and its monitor still reports it. It must get no new work.
-TEST_F(upstream_board_test, ignores_monitor_reports_of_a_dropped_upstream)
+TEST_F(upstream_registry_test, ignores_monitor_reports_of_a_dropped_upstream)
 {
     put(record("a"));
     board.dispatched("a", 100, at(0));
@@ -142,7 +142,7 @@
     EXPECT_EQ(board.available("s").front()->record.id, "next");
 }
 
-TEST_F(upstream_board_test, ignores_identities_for_unknown_addresses)
+TEST_F(upstream_registry_test, ignores_identities_for_unknown_addresses)
 {
     board.take_identity(record("x").address, "after", at(0));
     EXPECT_EQ(board.size(), 0U);
@@ -154,7 +154,7 @@
     EXPECT_EQ(board.find_at(record("x", 80).address)->record.id, "a");
 }
 
-TEST_F(upstream_board_test, does_not_use_a_draining_upstream)
+TEST_F(upstream_registry_test, does_not_use_a_draining_upstream)
 {
     put(record("a"));
     EXPECT_EQ(usable(), 1U);
@@ -170,7 +170,7 @@
 
 // Some upstreams do not announce that they drain: their entry is removed while
 // they continue to serve. The requests that run there must be moved, not lost.
-TEST_F(upstream_board_test, keeps_a_removed_upstream_while_requests_run)
+TEST_F(upstream_registry_test, keeps_a_removed_upstream_while_requests_run)
 {
     put(record("a"));
     board.dispatched("a", 100, at(0));
@@ -185,7 +185,8 @@
 // The store was down for seconds and its entries have expired, although the
 // upstreams may be alive. If all were dropped at once, no request could be
 // served; if all were kept, requests would go to upstreams that have died.
-TEST_F(upstream_board_test, keeps_expired_entries_for_a_while_after_an_outage)
+TEST_F(upstream_registry_test,
+       keeps_expired_entries_for_a_while_after_an_outage)
 {
     put(record("a"));
     put(record("b", 81));
@@ -194,14 +195,14 @@
     EXPECT_EQ(usable(), 2U);
     EXPECT_TRUE(board.find("a")->unconfirmed_until);
     put(record("a"), 500);
-    board.end_doubts(at(1899));
+    board.drop_unlisted(at(1899));
     EXPECT_EQ(usable(), 2U);
-    board.end_doubts(at(1900));
+    board.drop_unlisted(at(1900));
     EXPECT_EQ(usable(), 1U);
     EXPECT_EQ(removed_ids, std::vector<std::string>{"b"});
 }
 
-TEST_F(upstream_board_test, snapshot_drops_missing_upstreams)
+TEST_F(upstream_registry_test, snapshot_drops_missing_upstreams)
 {
     put(record("a"));
     put(record("b", 81));
@@ -212,7 +213,7 @@
 
 // An upstream crashes and restarts under its id. The state of the old process
 // (load, leaving, failure rate) must not be applied to the new one.
-TEST_F(upstream_board_test, restarted_process_has_fresh_state)
+TEST_F(upstream_registry_test, restarted_process_has_fresh_state)
 {
     put(record("a"));
     board.failed("a", at(0));
@@ -228,7 +229,7 @@
     EXPECT_EQ(board.find("a")->failure_rate, 0);
 }
 
-TEST_F(upstream_board_test, load_reports_that_an_engine_leaves)
+TEST_F(upstream_registry_test, load_reports_that_an_engine_leaves)
 {
     put(record("a"));
     engine_load load;
@@ -242,12 +243,12 @@
     EXPECT_EQ(usable(), 0U);
 }
 
-TEST_F(upstream_board_test, counts_own_dispatches_until_a_load_contains_them)
+TEST_F(upstream_registry_test, counts_own_dispatches_until_a_load_contains_them)
 {
     put(record("a"));
     placement_request request;
     request.objective = milliseconds(1000);
-    request.engine_tokens = 10000;
+    request.engine_memory_tokens = 10000;
     request.from_domain = "d";
     engine_load idle;
     idle.memory_total = 10000;
@@ -272,38 +273,38 @@
 // Engines may read prompts four times faster or slower than others. A gateway
 // that assumed one speed would prefer slow engines with short queues, and
 // callers would wait there. Each engine's monitor reports its reading speed.
-TEST_F(upstream_board_test, uses_reading_speed_reported_by_the_monitor)
+TEST_F(upstream_registry_test, uses_reading_speed_reported_by_the_monitor)
 {
     put(record("a"));
     placement_request request;
     request.objective = milliseconds(1000);
-    request.engine_tokens = 10000;
+    request.engine_memory_tokens = 10000;
     request.prompt_tokens = 2800;
     engine_load load;
     load.memory_total = 10000;
-    const auto first_after = [&](double speed) {
+    const auto time_to_first_part = [&](double speed) {
         load.tokens_read_per_ms = speed;
         board.take_load({"10.0.0.1", 80}, load, at(0));
-        return first_part_after(*board.find("a"), request, at(0));
+        return estimated_time_to_first_part(*board.find("a"), request, at(0));
     };
-    EXPECT_EQ(first_after(7), milliseconds(400));
-    EXPECT_EQ(first_after(28), milliseconds(100));
-    EXPECT_EQ(first_after(1.75), milliseconds(1600));
+    EXPECT_EQ(time_to_first_part(7), milliseconds(400));
+    EXPECT_EQ(time_to_first_part(28), milliseconds(100));
+    EXPECT_EQ(time_to_first_part(1.75), milliseconds(1600));
     load.unread = milliseconds(300);
-    EXPECT_EQ(first_after(28), milliseconds(400));
+    EXPECT_EQ(time_to_first_part(28), milliseconds(400));
     // Without a reported speed the default speed is assumed.
-    EXPECT_EQ(first_after(0), milliseconds(700));
+    EXPECT_EQ(time_to_first_part(0), milliseconds(700));
 }
 
 // The monitors of some engines do not respond, so this gateway knows only its
 // own requests there. The estimate must include the other gateways, or such an
 // engine would seem emptier the more gateways there are.
-TEST_F(upstream_board_test, counts_other_gateways_without_a_load)
+TEST_F(upstream_registry_test, counts_other_gateways_without_a_load)
 {
     put(record("a"));
     board.dispatched("a", 1000, at(0));
     placement_request request;
-    request.engine_tokens = 10000;
+    request.engine_memory_tokens = 10000;
     request.prompt_tokens = 1000;
     request.output_tokens = 200;
     const auto taken = [&](unsigned gateways) {
@@ -317,7 +318,7 @@
 // While this VM is cut off, the first request waits for a connection until it
 // times out. Later requests must not wait as well, and the upstream must be
 // tried again soon.
-TEST_F(upstream_board_test, marks_an_upstream_unreachable_for_a_while)
+TEST_F(upstream_registry_test, marks_an_upstream_unreachable_for_a_while)
 {
     put(record("a"));
     const auto unreachable = [&](int ms) {
@@ -332,7 +333,7 @@
     EXPECT_FALSE(unreachable(710));
 }
 
-TEST_F(upstream_board_test, failure_rate_decays_over_time)
+TEST_F(upstream_registry_test, failure_rate_decays_over_time)
 {
     put(record("a"));
     board.failed("a", at(0));
--- a/tests/links/test_link_failures.cpp
+++ b/tests/links/test_link_failures.cpp
@@ -20,7 +20,7 @@
     const stream_end how = request_and_wait(answer, "x");
     EXPECT_FALSE(how.clean);
     EXPECT_EQ(how.failure, link_failure::connect_failed);
-    EXPECT_FALSE(how.request_may_have_left);
+    EXPECT_FALSE(how.request_may_have_run);
     EXPECT_FALSE(client->connected());
 }
 
@@ -39,7 +39,7 @@
         ASSERT_TRUE(answer.wait_end());
         EXPECT_FALSE(answer.wait_end()->clean);
         EXPECT_EQ(answer.wait_end()->failure, link_failure::connection_lost);
-        EXPECT_TRUE(answer.wait_end()->request_may_have_left);
+        EXPECT_TRUE(answer.wait_end()->request_may_have_run);
     }
     client->close();
     wait_for_posted_tasks(client_loop);
@@ -52,7 +52,7 @@
 TEST_F(link_streams, the_keepalive_detects_a_frozen_peer)
 {
     limits.busy_ping_after = milliseconds(20);
-    limits.ping_time = milliseconds(50);
+    limits.ping_timeout = milliseconds(50);
     serve(answer_without_end);
     received_answer answer;
     client->open("/dispatch", "", answer.handlers());
@@ -61,7 +61,7 @@
     server_loop.post([&thaw] { thaw.wait(1); });
     ASSERT_TRUE(answer.wait_end());
     EXPECT_EQ(answer.wait_end()->failure, link_failure::timed_out);
-    EXPECT_TRUE(answer.wait_end()->request_may_have_left);
+    EXPECT_TRUE(answer.wait_end()->request_may_have_run);
     thaw.add();
     wait_for_posted_tasks(server_loop);
 }
@@ -71,7 +71,7 @@
 TEST_F(link_streams, the_server_detects_a_frozen_client)
 {
     limits.busy_ping_after = milliseconds(20);
-    limits.ping_time = milliseconds(50);
+    limits.ping_timeout = milliseconds(50);
     event_count closed;
     serve([&](const auto& stream) {
         stream->on_closed([&] { closed.add(); });
@@ -91,13 +91,13 @@
 // The peer accepts the connection and freezes before the handshake.
 TEST_F(link_streams, a_peer_that_never_authenticates_times_out)
 {
-    limits.handshake_time = milliseconds(50);
+    limits.handshake_timeout = milliseconds(50);
     Poco::Net::ServerSocket silent(any_port());
     client = link_client::create(client_loop, silent.address(), "key", limits);
     received_answer answer;
     const stream_end how = request_and_wait(answer, "x");
     EXPECT_EQ(how.failure, link_failure::timed_out);
-    EXPECT_FALSE(how.request_may_have_left);
+    EXPECT_FALSE(how.request_may_have_run);
 }
 
 TEST_F(link_streams, a_wrong_key_is_refused_before_a_request_is_sent)
@@ -109,7 +109,7 @@
     received_answer answer;
     const stream_end how = request_and_wait(answer, "x");
     EXPECT_EQ(how.failure, link_failure::unauthenticated);
-    EXPECT_FALSE(how.request_may_have_left);
+    EXPECT_FALSE(how.request_may_have_run);
     EXPECT_EQ(handled.count(), 0U);
 }
 
@@ -120,7 +120,7 @@
     received_answer answer;
     const stream_end how = request_and_wait(answer, std::string(101, 'x'));
     EXPECT_EQ(how.failure, link_failure::too_large);
-    EXPECT_FALSE(how.request_may_have_left);
+    EXPECT_FALSE(how.request_may_have_run);
 }
 
 // Client and server are of different releases with different limits. The
@@ -136,7 +136,7 @@
     received_answer answer;
     const stream_end how = request_and_wait(answer, std::string(90000, 'x'));
     EXPECT_EQ(how.failure, link_failure::too_large);
-    EXPECT_FALSE(how.request_may_have_left);
+    EXPECT_FALSE(how.request_may_have_run);
     EXPECT_EQ(handled.count(), 0U);
 }
 
@@ -152,7 +152,7 @@
     received_answer answer;
     const stream_end how = request_and_wait(answer, "x");
     EXPECT_EQ(how.failure, link_failure::too_large);
-    EXPECT_TRUE(how.request_may_have_left);
+    EXPECT_TRUE(how.request_may_have_run);
     EXPECT_TRUE(closed.wait(1));
 }
 
@@ -164,7 +164,7 @@
     client->open("/" + std::string(3000, 'x'), "", answer.handlers());
     ASSERT_TRUE(answer.wait_end());
     EXPECT_EQ(answer.wait_end()->failure, link_failure::reset_by_peer);
-    EXPECT_FALSE(answer.wait_end()->request_may_have_left);
+    EXPECT_FALSE(answer.wait_end()->request_may_have_run);
     EXPECT_EQ(handled.count(), 0U);
 }
 
@@ -179,7 +179,7 @@
     received_answer third;
     const stream_end how = request_and_wait(third, "x");
     EXPECT_EQ(how.failure, link_failure::too_many_streams);
-    EXPECT_FALSE(how.request_may_have_left);
+    EXPECT_FALSE(how.request_may_have_run);
     client->close();
     ASSERT_TRUE(first.wait_end());
     ASSERT_TRUE(second.wait_end());
@@ -206,7 +206,7 @@
     }
     EXPECT_EQ(running.ends(), 1U);
     EXPECT_EQ(late.ends(), 1U);
-    EXPECT_FALSE(late.wait_end()->request_may_have_left);
+    EXPECT_FALSE(late.wait_end()->request_may_have_run);
 }
 
 TEST(link_loop, timers_run_in_the_order_of_their_deadlines)
--- a/tests/links/test_streams.cpp
+++ b/tests/links/test_streams.cpp
@@ -147,7 +147,7 @@
     stream->cancel();
     ASSERT_TRUE(answer.wait_end());
     EXPECT_EQ(answer.wait_end()->failure, link_failure::cancelled);
-    EXPECT_TRUE(answer.wait_end()->request_may_have_left);
+    EXPECT_TRUE(answer.wait_end()->request_may_have_run);
     EXPECT_TRUE(closed.wait(1));
     wait_for_posted_tasks(client_loop);
     wait_for_posted_tasks(server_loop);
--- a/tests/links/test_untrusted_peers.cpp
+++ b/tests/links/test_untrusted_peers.cpp
@@ -60,7 +60,7 @@
 protected:
     void SetUp() override
     {
-        limits.handshake_time = milliseconds(100);
+        limits.handshake_timeout = milliseconds(100);
         serve([this](const auto& stream) {
             handled.add();
             answer_reversed(stream);
@@ -177,7 +177,7 @@
        idle_connections_do_not_lock_out_an_authenticated_peer)
 {
     server.reset();
-    limits.handshake_time = test_timeout;
+    limits.handshake_timeout = test_timeout;
     limits.max_unauthenticated = 4;
     serve([this](const auto& stream) {
         handled.add();
--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -160,18 +160,19 @@
 TEST_F(membership_test, distinguishes_a_cut_off_domain_from_a_lost_upstream)
 {
     make_suspect("vm-0");
-    EXPECT_FALSE(members.is_cut("domain-0"));
+    EXPECT_FALSE(members.is_cut_off("domain-0"));
     now += domain_cut_detector::suspect_window;
     make_suspect("vm-1");
-    EXPECT_FALSE(members.is_cut("domain-0")) << "not at about the same time";
+    EXPECT_FALSE(members.is_cut_off("domain-0"))
+        << "not at about the same time";
     make_suspect("vm-2");
     make_suspect("vm-3");
-    EXPECT_TRUE(members.is_cut("domain-1"));
-    EXPECT_FALSE(members.is_cut("domain-2"));
+    EXPECT_TRUE(members.is_cut_off("domain-1"));
+    EXPECT_FALSE(members.is_cut_off("domain-2"));
     EXPECT_EQ(candidate_ids().size(), 6U) << "suspects are the last resort";
     reply("vm-2");
     reply("vm-2");
-    EXPECT_FALSE(members.is_cut("domain-1"));
+    EXPECT_FALSE(members.is_cut_off("domain-1"));
 }
 
 TEST_F(membership_test, adds_listed_and_forgets_unlisted_upstreams)
--- a/tests/outside/test_http_exchange.cpp
+++ b/tests/outside/test_http_exchange.cpp
@@ -135,7 +135,7 @@
 {
     const scripted_server server(scripted_server::wait_for_close);
     http_limits limits;
-    limits.max_silence = short_limit;
+    limits.response_timeout = short_limit;
     const auto answer = send_request(server.address(), long_limit, limits);
     ASSERT_FALSE(answer);
     EXPECT_EQ(answer.error().failure, http_failure::timed_out);
--- a/tests/outside/test_platform_clients.cpp
+++ b/tests/outside/test_platform_clients.cpp
@@ -37,7 +37,8 @@
     const auto page = log.read(0, 2, no_wait);
     ASSERT_TRUE(page);
     EXPECT_EQ(page->next, 3);
-    EXPECT_EQ(page->records, (std::vector<log_entry>{{0, bytes}, {1, ""}}));
+    EXPECT_EQ(page->records,
+              (std::vector<platform_log_record>{{0, bytes}, {1, ""}}));
 }
 
 TEST(platform_log_client, a_reader_waits_for_the_next_record)
@@ -50,7 +51,7 @@
     EXPECT_EQ(writer.append("a"), 0U);
     reader.join();
     ASSERT_TRUE(page);
-    EXPECT_EQ(page->records, (std::vector<log_entry>{{0, "a"}}));
+    EXPECT_EQ(page->records, (std::vector<platform_log_record>{{0, "a"}}));
 }
 
 TEST(platform_log_client, each_failure_gives_its_type)
--- a/tests/platform/test_spoiled_messages.cpp
+++ b/tests/platform/test_corrupted_messages.cpp
@@ -1,6 +1,6 @@
 #include "http_dialect.hpp"
 #include "keyed_records.hpp"
-#include "record_codec.hpp"
+#include "record_parser.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/tests/platform/test_http_dialect.cpp
+++ b/tests/platform/test_http_dialect.cpp
@@ -38,7 +38,7 @@
     EXPECT_EQ(facts->key, "k1");
     EXPECT_EQ(facts->time_left, milliseconds(39000));
     EXPECT_EQ(facts->prompt_tokens, 1460U);
-    EXPECT_EQ(facts->most_output_tokens, 80U);
+    EXPECT_EQ(facts->output_token_limit, 80U);
     EXPECT_EQ(facts->expected_output_tokens, 70U);
     ASSERT_EQ(facts->prompt_parts.size(), 2U);
     EXPECT_EQ(facts->prompt_parts[1].tokens, 410U);
@@ -100,7 +100,7 @@
 {
     dispatch_facts facts;
     facts.upstream_id = "i-2";
-    facts.goes_on = continuation{{"10.0.0.1", 80}, "h7"};
+    facts.resume_from = continuation{{"10.0.0.1", 80}, "h7"};
     facts.last_event_id = 41;
     facts.backup = ip_endpoint{"10.0.0.2", 81};
     auto head = caller_head();
@@ -123,7 +123,7 @@
     EXPECT_EQ(facts.request_id, "9c41");
     EXPECT_TRUE(facts.sealed);
     EXPECT_FALSE(facts.not_run);
-    EXPECT_EQ(facts.keeps_idle, milliseconds(7000));
+    EXPECT_EQ(facts.keep_alive_timeout, milliseconds(7000));
 }
 
 TEST(http_dialect, reads_a_load)
@@ -136,7 +136,7 @@
     EXPECT_EQ(load->running, 5U);
     EXPECT_EQ(load->starting, 3U);
     EXPECT_EQ(load->queued, 2U);
-    EXPECT_EQ(load->next_tokens, 77U);
+    EXPECT_EQ(load->next_prompt_tokens, 77U);
     EXPECT_EQ(load->memory_used, 410U);
     EXPECT_TRUE(load->leaving);
     EXPECT_EQ(load->leaves_in_ms, 1555U);
@@ -153,11 +153,11 @@
     EXPECT_EQ(copied.result, kind::copied);
     EXPECT_EQ(copied.handle, "h");
     EXPECT_EQ(copied.events_made, 9U);
-    EXPECT_EQ(dialect.read_move({200, "{}"}).result, kind::not_understood);
+    EXPECT_EQ(dialect.read_move({200, "{}"}).result, kind::invalid_reply);
     EXPECT_EQ(dialect.read_move({404, ""}).result, kind::not_running);
     EXPECT_EQ(dialect.read_move({409, ""}).result, kind::under_way);
     EXPECT_EQ(dialect.read_move({503, R"({"handle":"k"})"}).handle, "k");
-    EXPECT_EQ(dialect.read_move({500, ""}).result, kind::not_understood);
+    EXPECT_EQ(dialect.read_move({500, ""}).result, kind::invalid_reply);
     EXPECT_EQ(dialect.move_body("a\"b", {"10.0.0.1", 80}, true),
               R"({"id":"a\"b","to":"10.0.0.1:80","last":true})");
 }
@@ -176,7 +176,7 @@
     for (const auto name :
          {header::request_id, header::time_left_ms, header::prompt_parts,
           header::seal, header::team, header::upstream_id, header::not_run,
-          header::token_counts, header::output_guess, header::goes_on_from,
+          header::token_counts, header::expected_output, header::resume_from,
           header::backup, topic::configuration, topic::upstreams})
         names.push_back('"' + std::string(name) + '"');
     const auto source = std::filesystem::path(CYCLAMENRUN_SOURCE_DIR) / "src";
--- a/tests/platform/test_record_codec.cpp
+++ b/tests/platform/test_record_parser.cpp
@@ -1,5 +1,5 @@
 #include "keyed_records.hpp"
-#include "record_codec.hpp"
+#include "record_parser.hpp"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/tests/product/test_watching.cpp
+++ b/tests/product/test_instrumentation.cpp
@@ -1,9 +1,9 @@
 #include "caller_writer.hpp"
 #include "logging.hpp"
 #include "logging_platform_log.hpp"
-#include "logging_vm_list.hpp"
 #include "metrics.hpp"
 #include "metrics_caller_writer.hpp"
+#include "vm_list_change_logger.hpp"
 
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
@@ -89,7 +89,7 @@
 
 TEST_F(instrumentation_test, changes_of_the_list_of_vms_are_logged)
 {
-    logging_vm_list journal;
+    vm_list_change_logger journal;
     vm first{"vm-1", "127.0.0.1:1", "r", "d", "s", vm_state::live};
     vm second{"vm-2", "127.0.0.1:2", "r", "d", "s", vm_state::live};
     journal.note({1, {first}});
--- a/tests/product/test_logging.cpp
+++ b/tests/product/test_logging.cpp
@@ -1,7 +1,7 @@
 #include "clock.hpp"
-#include "line_budget.hpp"
 #include "line_output.hpp"
 #include "log_event.hpp"
+#include "log_rate_limiter.hpp"
 #include "logging.hpp"
 #include "secret.hpp"
 
@@ -206,9 +206,9 @@
     ::close(ends[1]);
 }
 
-TEST(line_budget, reserves_a_part_for_warnings_and_errors)
+TEST(log_rate_limiter, reserves_a_part_for_warnings_and_errors)
 {
-    line_budget budget(100);
+    log_rate_limiter budget(100);
     const time_point now{std::chrono::hours(1)};
     int infos = 0;
     while (budget.try_consume(log_severity::info, now))
@@ -230,11 +230,11 @@
 
 // No interval of one second may contain more lines than the budget of two
 // seconds: the saved burst and the budget of that second.
-RC_GTEST_PROP(line_budget, holds_over_any_second,
+RC_GTEST_PROP(log_rate_limiter, holds_over_any_second,
               (const std::vector<std::uint8_t>& gaps_ms))
 {
     constexpr int lines_per_s = 20;
-    line_budget budget(lines_per_s);
+    log_rate_limiter budget(lines_per_s);
     time_point now{std::chrono::hours(1)};
     std::deque<time_point> taken;
     for (const auto gap : gaps_ms) {
