--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -83,7 +83,11 @@
         throw std::invalid_argument("seconds: 2 to 120");
 }
 
-/** Starts and restarts pairs of streams; used on the loop's thread only. */
+/**
+ * Runs pairs of streams, one direct and one through cyclamenrun. A new pair
+ * starts after a pause when both streams of a pair have ended, until the
+ * deadline. Used on the loop's thread only.
+ */
 class path_load
 {
 public:
--- a/src/ctl/commands.hpp
+++ b/src/ctl/commands.hpp
@@ -12,8 +12,11 @@
 
 struct ctl_options;
 
-/** The commands of cyclamenrunctl. Each prints its result and returns the exit
- * code of the process. */
+/**
+ * The commands of cyclamenrunctl. Each prints its result and returns the exit
+ * code of the process. `wait`: after the changes, wait until they are in force
+ * in every known process; exit_code::not_in_force if the deadline passes first.
+ */
 exit_code run_apply(const ctl_options& options, const std::string& file,
                     bool wait);
 exit_code run_delete(const ctl_options& options, v1::ResourceKind kind,
--- a/src/libcyclamenrun/gateway/relay_clients.hpp
+++ b/src/libcyclamenrun/gateway/relay_clients.hpp
@@ -55,9 +55,9 @@
      */
     std::vector<std::string> usable_hosts();
     /**
-     * No chosen monitor has responded yet, but the time for their first
-     * reports is not over. The caller waits rather than read the directory
-     * itself.
+     * Returns whether relays are chosen and none of them responds, but this
+     * began so recently that their reports may still be on the way. The gateway
+     * then waits instead of reading the directory itself.
      */
     bool awaits_first_report() const;
     /**
--- a/src/libcyclamenrun/gateway/request_facts.hpp
+++ b/src/libcyclamenrun/gateway/request_facts.hpp
@@ -22,7 +22,7 @@
 struct request_facts {
     std::string id; ///< chosen by the caller, unique for each send
     std::string host;
-    std::string key; ///< empty: none was sent
+    std::string key; ///< team's key as received; empty: none was sent
     std::optional<milliseconds> time_left;
     std::uint32_t prompt_tokens = 0;
     std::uint32_t output_token_limit = 0;
--- a/src/libcyclamenrun/gateway/upstream_registry.hpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.hpp
@@ -24,11 +24,14 @@
     /** The upstream gets no new work; running work continues. */
     bool leaving = false;
     std::optional<time_point> leaves_at;
-    bool removed = false; ///< not in the directory
+    /** Dropped by the directory, or not listed by it in time. The upstream is
+     * kept only until this gateway's requests at it have ended. */
+    bool removed = false;
     /** An upstream that started later uses its address. */
     bool superseded = false;
-    /** Set while only its monitor has reported the upstream. It is removed at
-     * this time unless the directory lists it. */
+    /** Set while only a monitor, and not the directory, has reported the
+     * upstream. The upstream is removed at this time unless the directory lists
+     * it by then. */
     std::optional<time_point> monitor_only_until;
     /** Set if the directory dropped the upstream just after an outage of the
      * directory. It is removed at this time unless the directory lists it. */
@@ -59,15 +62,16 @@
 };
 
 /**
- * The upstreams of all services: which exist, which leave, and how loaded each
- * is. A load is estimated from the latest report of the upstream's host and
- * this gateway's dispatches since. Does no I/O; used by one thread.
+ * The upstreams of all services: which exist, which are leaving, and how loaded
+ * each one is. A load is estimated from the latest report of the upstream's
+ * host and from this gateway's dispatches since that report. Does no I/O; used
+ * by one thread.
  *
  * Of several upstreams at one address only the one that started last can
  * exist: records of its predecessors stay in the directory for seconds, or
  * longer after an outage. Without this rule a gateway that has just started
- * would send a request to four predecessors, be rejected by the successor each
- * time, and refuse the request.
+ * could use all max_sends sends of a request on predecessors, be rejected by
+ * the successor each time, and refuse the request.
  */
 class upstream_registry
 {
@@ -89,7 +93,11 @@
      * records of live upstreams may have expired. */
     void apply(const upstream_change& change, time_point now,
                bool after_outage);
-    /** Applies a full snapshot of the directory; others are removed. */
+    /**
+     * Applies a full snapshot of the directory. Upstreams that are not in it
+     * are removed or, after an outage and unless they are leaving, marked as
+     * unconfirmed. Ones that only a monitor has reported are kept.
+     */
     void replace_all(const std::vector<upstream_change>& all, time_point now,
                      bool after_outage);
     /** Drops upstreams that the directory has not listed in time: unconfirmed
@@ -109,9 +117,12 @@
 
     void dispatched(const std::string& id, std::uint64_t prompt_tokens,
                     time_point now);
-    /** Counts work that will be dispatched there soon. */
+    /** Adds to the upstream's estimated load a request that will soon be
+     * dispatched to it. */
     void expect(const std::string& id, std::uint64_t prompt_tokens,
                 time_point now);
+    /** Records that a dispatched request has ended at the upstream. Drops a
+     * removed upstream when the last one has ended. */
     void settled(const std::string& id);
     void succeeded(const std::string& id, time_point now);
     void failed(const std::string& id, time_point now);
@@ -150,7 +161,8 @@
 
     hooks on_;
     std::map<std::string, upstream_state> upstreams_;
-    /** Upstream id by address: of several records the one started last. */
+    /** Upstream id by address; of several upstreams, the one that started
+     * last. */
     std::unordered_map<std::string, std::string> by_address_;
     /** Ids that the directory has dropped, and until when each is kept. */
     std::unordered_map<std::string, time_point> dropped_;
--- a/src/libcyclamenrun/links/client_stream.cpp
+++ b/src/libcyclamenrun/links/client_stream.cpp
@@ -84,8 +84,9 @@
     unreturned_bytes_ += bytes;
     // A frame larger than the flow control window would never arrive: its
     // first part fills the window and can't be consumed without the rest.
-    // nghttp2 returns window credit in halves of the window, so the credit of
-    // frames larger than half a window is returned before they are complete.
+    // nghttp2 returns credit only once half of the window is consumed, so as
+    // little as half of it may be open when a frame begins. The credit for
+    // frames larger than that is therefore returned before they are complete.
     // Memory is then bounded by max_frame_bytes, not by the window.
     const auto size = decoder_.frame_size();
     if (!size || *size + frame_prefix_bytes <= large_frame_bytes_)
--- a/src/libcyclamenrun/links/link_keepalive.hpp
+++ b/src/libcyclamenrun/links/link_keepalive.hpp
@@ -22,7 +22,7 @@
 public:
     link_keepalive(const link_limits& limits, time_point now);
 
-    /** Records that data was received from the peer, of any kind. */
+    /** Records that data of any kind was received from the peer. */
     void received(time_point now);
     /**
      * Returns the action due at `now`. If it is `ping`, the caller must send
--- a/src/libcyclamenrun/membership/suspicion.hpp
+++ b/src/libcyclamenrun/membership/suspicion.hpp
@@ -11,7 +11,7 @@
 /**
  * Decides from signs of failure whether one upstream is a suspect. A network
  * fault can cause a lost connection, a paused process can miss a heartbeat, and
- * an overloaded one can refuse work. Signs of one kind are therefore not
+ * an overloaded one can fail to answer. Signs of one kind are therefore not
  * enough, except for `missed_heartbeats_to_suspect` heartbeats missed in a row.
  * Two replies in a row clear the suspicion.
  */
@@ -21,7 +21,7 @@
     void on_connection_lost(time_point now);
     void on_connected();
     void on_missed_heartbeat(time_point now);
-    /** Counts a refusal or missing answer that has causes other than load. */
+    /** Records that the agent was lost while it had work of this entry. */
     void on_failure(time_point now);
     void on_reply(time_point now);
 
--- a/src/libcyclamenrun/membership/upstream_view.hpp
+++ b/src/libcyclamenrun/membership/upstream_view.hpp
@@ -35,7 +35,8 @@
     bool ready = true; ///< the upstream itself responds to its agent
 };
 
-/** One entry's state of one upstream, from the list, reports and failures. */
+/** The state of one upstream as one entry knows it, from the list, reports and
+ * failures. */
 class upstream_view
 {
 public:
--- a/src/libcyclamenrun/operators/parsed_log_line.hpp
+++ b/src/libcyclamenrun/operators/parsed_log_line.hpp
@@ -17,7 +17,8 @@
     std::string event;
     std::string
         request_id; ///< empty for an event that is not about one request
-    /** The other fields as text, in the order of the JSON object. */
+    /** The other fields except the severity, as text, in the order of the JSON
+     * object. */
     std::vector<std::pair<std::string, std::string>> fields;
 
     std::string field(std::string_view name) const;
--- a/src/libcyclamenrun/outcomes/link_messages.hpp
+++ b/src/libcyclamenrun/outcomes/link_messages.hpp
@@ -14,8 +14,8 @@
 
 void write_message(const refusal& why, link::Refused& message);
 /**
- * Maps an unknown kind, which a newer peer may send, to outcome_unknown and an
- * unknown reason to internal: these make the weakest claims.
+ * Maps an unknown kind to outcome_unknown, and an unknown reason to internal. A
+ * newer peer may send either; these two values assert the least.
  */
 refusal read_message(const link::Refused& message);
 
--- a/src/libcyclamenrun/settings/gateway_settings.hpp
+++ b/src/libcyclamenrun/settings/gateway_settings.hpp
@@ -22,7 +22,8 @@
     ip_endpoint metrics_listen{"127.0.0.1", 0}; ///< port 0: disabled
     ip_endpoint listen{"0.0.0.0", 8080};
     ip_endpoint ready_listen{"127.0.0.1", 8081};
-    ip_endpoint directory; ///< the platform's store of configurations
+    /** The platform's store of configurations and upstreams. */
+    ip_endpoint directory;
 
     ip_endpoint loads_listen{"0.0.0.0", 0};
     std::uint64_t monitor_port = 0; ///< 0: no monitors are queried
