--- a/tests/configuration/simulated_entry.hpp
+++ b/tests/configuration/simulated_entry.hpp
@@ -79,7 +79,10 @@
         }
     }
 
-    /** Submits a change and runs this entry until the change is answered. */
+    /**
+     * Submits a change and runs this entry until all its changes are answered.
+     * Returns the last answer.
+     */
     outcome<v1::ApplyChangeResponse> apply(const v1::ChangeRecord& change)
     {
         submit(change);
--- a/tests/configuration/test_change_submitter.cpp
+++ b/tests/configuration/test_change_submitter.cpp
@@ -49,8 +49,10 @@
     }
 }
 
-// The log's answer to an append is lost. The entry can't tell whether the
-// record is on the log, so reporting either success or failure could be wrong.
+// An append's request or answer is lost, or its record is appended twice. The
+// entry must read the log before it reports an outcome: after a timeout it
+// can't tell whether the record is on the log, so either outcome could be
+// wrong.
 TEST(change_submitter, resolves_a_lost_answer_by_reading_back)
 {
     for (const auto result :
@@ -89,10 +91,10 @@
     EXPECT_TRUE(entry.apply(team_change("a", 0, 5))->has_accepted());
 }
 
-// The first entry crashes during an operator's call while its record is still
-// in transit. The operator retries through an entry that can't reach the log.
-// If that entry refused the change, the operator would assume it had no effect
-// although the record still arrives.
+// The first entry crashes during an operator's call while the record of the
+// change is still in transit. The operator retries through an entry that can't
+// reach the log. If that entry refused the change, the operator would assume
+// that it had no effect although the record still arrives.
 TEST(change_submitter, reports_unknown_when_the_log_is_unavailable)
 {
     simulated_world world;
--- a/tests/configuration/test_interleavings.cpp
+++ b/tests/configuration/test_interleavings.cpp
@@ -168,7 +168,10 @@
         return false;
     }
 
-    /** Keeps a copy of the entry's snapshot, or appends a part of it later. */
+    /**
+     * Keeps a copy of the entry's snapshot, or appends one record of the kept
+     * copy.
+     */
     void store_or_append_old_snapshot(simulated_entry& entry,
                                       std::uint8_t argument)
     {
--- a/tests/configuration/test_log_tail.cpp
+++ b/tests/configuration/test_log_tail.cpp
@@ -55,8 +55,9 @@
 }
 
 // Records expire during an outage before a reader has read them. If the reader
-// continued at the first retained record it would miss an accepted change for
-// ever. It keeps its state until another entry's snapshot closes the gap.
+// continued at the first retained record, it would never see an accepted
+// change. It must keep its state until a snapshot that covers the expired
+// records closes the gap.
 TEST(log_tail, never_skips_expired_records)
 {
     simulated_world world;
@@ -85,9 +86,10 @@
     EXPECT_TRUE(world.history.violations().empty());
 }
 
-// As above, but the only snapshot on the log lacks the last expired record. It
-// is newer than the reader's state but must not close the gap. A peer's state
-// that covers all expired records does.
+// Records expire before a reader has read them, and the only snapshot on the
+// log lacks the last of them. It is newer than the reader's state but must not
+// close the gap. The reader must stay behind the gap until it restores the
+// state of a peer, which covers all expired records.
 TEST(log_tail, stays_behind_a_gap_that_no_snapshot_covers)
 {
     simulated_world world;
@@ -175,9 +177,9 @@
     EXPECT_TRUE(world.history.violations().empty());
 }
 
-// Entries are replaced one by one while records expire. The first changes are
-// no longer on the log and survive only in snapshots, which have to be renewed
-// by entries that read neither the changes nor the first snapshots.
+// Entries are replaced one by one while records expire, so the first changes
+// survive only in snapshots. They would be lost if entries that have read
+// neither the changes nor the first snapshots did not write new ones.
 TEST(log_tail, keeps_state_while_entries_are_replaced_one_by_one)
 {
     snapshot_settings settings;
@@ -209,8 +211,9 @@
     EXPECT_TRUE(world.history.violations().empty());
 }
 
-// The log answers 30 s late, after the operator's deadline of 10 s. The entry
-// reports an unknown outcome although the change takes effect later.
+// A record reaches the log only after the operator's deadline of 10 s. If the
+// entry reported the change as refused, the operator would assume that it had
+// no effect, although it takes effect later.
 TEST(log_tail, reports_unknown_when_the_log_is_slow)
 {
     simulated_world world;
--- a/tests/decisions/test_admission.cpp
+++ b/tests/decisions/test_admission.cpp
@@ -139,9 +139,9 @@
     }
 }
 
-// Guards against one team that delays another: in order of arrival, a single
-// request of one team would wait for minutes behind a hundred long ones of
-// another team. It has to start as soon as there is room.
+// Guards against one team that delays another: if requests started in order of
+// arrival, a single request of one team would wait for minutes behind a hundred
+// long ones of another team. It has to start as soon as there is room.
 TEST(admission, a_team_with_many_requests_does_not_delay_one_with_few)
 {
     admission_settings settings;
@@ -179,7 +179,7 @@
         ++next;
     EXPECT_EQ(next, 11U);
 
-    // One work item every two seconds for a minute, with a full queue.
+    // One work item completes every 2 s for a minute, with a full queue.
     time_point now = start;
     for (int i = 0; i < 30; ++i) {
         const auto started = controller.admit(now);
@@ -214,7 +214,7 @@
     time_point now = start;
     for (work_id id = 10; id < 14; ++id)
         ASSERT_TRUE(controller.enqueue(work_of(id, "survey"), now));
-    for (int i = 0; i < 3; ++i) { // one in ten seconds
+    for (int i = 0; i < 3; ++i) { // one work item completes every 10 s
         const auto started = controller.admit(now);
         ASSERT_EQ(started.size(), 1U);
         now += 10s;
@@ -258,7 +258,8 @@
     controller.set_external_memory(9'800);
     ASSERT_TRUE(controller.enqueue(work_of(1, "a"), start));
     ASSERT_TRUE(controller.enqueue(work_of(2, "a"), start));
-    EXPECT_EQ(controller.admit(start).size(), 1U); // the first is exempt
+    // A work item that runs alone starts even if it does not fit.
+    EXPECT_EQ(controller.admit(start).size(), 1U);
     controller.tokens_made(1, 1, start);
     EXPECT_TRUE(controller.admit(start).empty());
     controller.set_external_memory(0);
--- a/tests/decisions/test_limits.cpp
+++ b/tests/decisions/test_limits.cpp
@@ -51,12 +51,13 @@
     EXPECT_TRUE(limiter.start("survey", limits, 10, start));
 }
 
-// The length of an answer is not known ahead, so a team may overdraw its token
-// bucket. The retry_after has to be the time that pays off the debt.
+// The length of an answer is not known in advance, so a team may overdraw its
+// token bucket. The retry_after has to be the time until the debt is paid off.
 TEST(team_limiter, a_retry_after_is_when_the_tokens_are_paid_off)
 {
     team_limiter limiter(10);
-    const team_limits limits{0, 100}; // a bucket of ten seconds: 1000
+    // The bucket holds the tokens of 10 s: 1000 tokens.
+    const team_limits limits{0, 100};
     ASSERT_TRUE(limiter.start("survey", limits, 200, start));
     limiter.output("survey", 1'800); // 1000 in debt
     const auto refused = limiter.start("survey", limits, 1, start);
--- a/tests/decisions/test_router.cpp
+++ b/tests/decisions/test_router.cpp
@@ -46,8 +46,9 @@
     return request;
 }
 
-// Guards against a thundering herd: by the last report alone, a burst between
-// two load reports would go to the one runner with the least load.
+// Guards against a thundering herd: if only the last load reports counted, all
+// requests of a burst between two reports would go to the one runner with the
+// least load.
 TEST(router, a_burst_between_two_reports_is_spread)
 {
     router routes({}, 1);
@@ -128,7 +129,8 @@
         request.fingerprint = 4711;
         chosen.insert(*routes.choose(request, candidates, start));
     }
-    EXPECT_LE(chosen.size(), 3U); // the quarantine of that fingerprint
+    // The preferred upstreams of a suspect request are the same at all entries.
+    EXPECT_LE(chosen.size(), 3U);
 }
 
 TEST(router, leaving_excluded_and_full_upstreams_are_not_chosen)
--- a/tests/decisions/test_thundering_herds.cpp
+++ b/tests/decisions/test_thundering_herds.cpp
@@ -389,9 +389,10 @@
     EXPECT_LT(late_by_requests, late_by_reports / 4);
 }
 
-// Guards against a team that floods: one of twenty-one teams sends as much as
-// all others together and the engines are full. In order of arrival, the
-// requests of the other teams wait behind the flood and are late.
+// Guards against a team that floods: one of 21 teams sends as much as all
+// others together, and the engines are full. If starts were granted in order of
+// arrival, the requests of the other teams would wait behind the flood and be
+// late.
 TEST(thundering_herds, a_flooding_team_does_not_delay_others)
 {
     constexpr double flood_per_s = 75;
--- a/tests/faults/fault_world.hpp
+++ b/tests/faults/fault_world.hpp
@@ -30,7 +30,10 @@
     explicit fault_world(work_shape shape);
     ~fault_world();
 
-    /** Injects these faults, in order, when the work reaches step `at`. */
+    /**
+     * Injects these faults when the work first reaches step `at`, each after
+     * its own delay.
+     */
     void schedule_faults(step at, std::vector<timed_fault> faults);
     /** Sends the caller's work and runs the simulation for 60 s. */
     const history& run();
--- a/tests/faults/history.hpp
+++ b/tests/faults/history.hpp
@@ -40,15 +40,16 @@
     /** One HTTP request of the caller. */
     std::string exchange;
     std::string upstream;
-    std::uint64_t run = 0;   ///< identifies one run at an upstream
-    std::uint64_t index = 0; ///< of a token, or the number of tokens
+    std::uint64_t run = 0; ///< identifies one run at an upstream
+    /** Index of a token; at the end, the number of tokens. */
+    std::uint64_t index = 0;
     refusal_kind refused = refusal_kind::not_run;
     refusal_reason reason = refusal_reason::internal;
 };
 
 struct history {
     work_shape shape = work_shape::stream;
-    /** Whether every caller must get its answer: see preserves_answer(). */
+    /** Whether the caller must get its answer; see preserves_answer(). */
     bool answer_is_required = false;
     /** Whether the caller stays, so that each exchange must have an outcome. */
     bool caller_stays = true;
--- a/tests/gateway/test_request_trace.cpp
+++ b/tests/gateway/test_request_trace.cpp
@@ -65,8 +65,8 @@
     EXPECT_THAT(lines.back(), HasSubstr(R"("severity":"warning")"));
 }
 
-// A gateway that is killed never logs the end of its requests. The decisions on
-// a followed request must be in the log before.
+// A gateway that is killed never logs the end of its requests, so each decision
+// on a followed request must be logged at once.
 TEST_F(request_traces, followed_request_logs_each_decision_at_once)
 {
     trace.follow("r-1");
--- a/tests/gateway/test_upstream_registry.cpp
+++ b/tests/gateway/test_upstream_registry.cpp
@@ -70,7 +70,7 @@
         drop("after");
         EXPECT_EQ(usable(), 0U);
     }
-    // The older one restarts under its id and is the newest.
+    // The predecessor restarts under its id, which makes it the latest.
     put(successor);
     predecessor.started_ms = 3;
     put(predecessor);
@@ -105,7 +105,8 @@
     EXPECT_EQ(usable(), 1U);
 }
 
-// The snapshot of the directory was made before the engine started.
+// Guards against dropping a new engine: a snapshot of the directory that was
+// made before the engine started lists only its predecessor.
 TEST_F(upstream_registry_test, keeps_an_engine_newer_than_the_snapshot)
 {
     put(record("before"));
@@ -129,8 +130,9 @@
     EXPECT_EQ(board.available("s").front()->record.id, "other");
 }
 
-// The upstream does not announce that it drains: its entry is removed while it
-// continues to serve and its monitor still reports it. It must get no new work.
+// An upstream drains without announcing it: its record is removed while it
+// continues to serve and its monitor still reports it. The upstream must get no
+// new work.
 TEST_F(upstream_registry_test, ignores_monitor_reports_of_a_dropped_upstream)
 {
     put(record("a"));
@@ -168,7 +170,7 @@
     EXPECT_NE(board.find("a"), nullptr);
 }
 
-// Some upstreams do not announce that they drain: their entry is removed while
+// Some upstreams do not announce that they drain: their record is removed while
 // they continue to serve. The requests that run there must be moved, not lost.
 TEST_F(upstream_registry_test, keeps_a_removed_upstream_while_requests_run)
 {
@@ -182,7 +184,7 @@
     EXPECT_EQ(removed_ids, std::vector<std::string>{"a"});
 }
 
-// The store was down for seconds and its entries have expired, although the
+// The directory was down for seconds and its records have expired, although the
 // upstreams may be alive. If all were dropped at once, no request could be
 // served; if all were kept, requests would go to upstreams that have died.
 TEST_F(upstream_registry_test,
--- a/tests/http/test_http_reader.cpp
+++ b/tests/http/test_http_reader.cpp
@@ -114,8 +114,8 @@
               http_problem::body_too_long);
 }
 
-// An upstream's host may lose power in the middle of an answer without a
-// length. Only an orderly end of the connection completes such an answer.
+// An answer without a length is complete only when its connection ends in an
+// orderly way: the upstream's host may lose power in the middle of the answer.
 TEST(http_reader, completes_a_body_at_the_end_of_the_connection)
 {
     found_message found;
--- a/tests/links/test_link_failures.cpp
+++ b/tests/links/test_link_failures.cpp
@@ -88,7 +88,8 @@
     ASSERT_TRUE(answer.wait_end());
 }
 
-// The peer accepts the connection and freezes before the handshake.
+// The peer accepts the connection and freezes before the handshake. The request
+// must time out instead of waiting for the peer, and be reported as not run.
 TEST_F(link_streams, a_peer_that_never_authenticates_times_out)
 {
     limits.handshake_timeout = milliseconds(50);
@@ -187,8 +188,8 @@
 }
 
 // A process shuts down and its loops end while streams are open. The owner of
-// each stream must be notified of its end, also of a stream that is opened
-// after the end of the loop.
+// each stream must be notified of its end, even if the stream is opened after
+// the loop has ended.
 TEST(link_loop, destruction_ends_every_stream_once)
 {
     link_loop server_loop;
--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -124,8 +124,9 @@
     EXPECT_EQ(candidate_ids().size(), 6U);
 }
 
-// The list still shows a VM as live that has failed. Signs of one kind may come
-// from a network fault or a pause; signs of two kinds make it a suspect.
+// A VM has failed, but the list still shows it as live. Signs of one kind may
+// come from a network fault or a pause, so only signs of two kinds, or several
+// heartbeats missed in a row, make the VM a suspect.
 TEST_F(membership_test, suspects_by_more_than_one_sign_and_clears_suspicion)
 {
     reply("vm-0");
--- a/tests/outside/test_engine_client.cpp
+++ b/tests/outside/test_engine_client.cpp
@@ -70,7 +70,8 @@
 }
 
 // The engine's memory of 120 tokens fits two runs at first, but not both at
-// their full length, so the engine preempts one.
+// their full length, so the engine preempts one. The preempted run must neither
+// lose nor repeat a token.
 TEST_F(engine_client_test, a_preempted_run_still_completes_its_answer)
 {
     collected other;
--- a/tests/outside/test_http_exchange.cpp
+++ b/tests/outside/test_http_exchange.cpp
@@ -163,8 +163,9 @@
     EXPECT_FALSE(later.error().may_have_run);
 }
 
-// Guards against a daemon that takes 10 s to stop: two threads wait under the
-// same cancellation, one call ends, and cancelling no longer wakes the other.
+// Guards against a process that stops late: if the end of one call detached
+// another call from their common cancellation, cancelling would not wake the
+// other call, and its thread would wait until its deadline.
 TEST(http_exchange, one_cancellation_ends_all_calls_under_it)
 {
     std::promise<void> waiting;
--- a/tests/outside/test_platform_clients.cpp
+++ b/tests/outside/test_platform_clients.cpp
@@ -76,8 +76,8 @@
               log_failure::unavailable);
 }
 
-// Guards against reporting a change as failed that is in force: the log's
-// answer was lost after the append had taken effect.
+// Guards against reporting a change as failed although it is in force: the
+// log's answer was lost after the append had taken effect.
 TEST(platform_log_client, a_lost_append_answer_is_an_unknown_outcome)
 {
     const stand_in_process platform("platform", {});
--- a/tests/platform/test_corrupted_messages.cpp
+++ b/tests/platform/test_corrupted_messages.cpp
@@ -93,7 +93,11 @@
     RC_ASSERT(!page || page->records.size() <= 200U);
 }
 
-/** A caller's header fields, each of them corrupted, repeated or missing. */
+/**
+ * The target of a caller's request is corrupted, and each header field is
+ * corrupted or missing. An intact copy of a field may follow. The request must
+ * be refused or give a time left that is not negative.
+ */
 RC_GTEST_PROP(corrupted_messages, of_callers_are_read_or_refused, ())
 {
     http_head head;
--- a/tests/platform/test_record_parser.cpp
+++ b/tests/platform/test_record_parser.cpp
@@ -185,9 +185,9 @@
     EXPECT_TRUE(read_record_batch(whole.substr(0, 16)));
 }
 
-// A value is not valid base64, from a faulty writer or a corrupted answer. The
-// record must have no value, and not the part that was decoded before the
-// error.
+// A faulty writer or a corrupted answer gives a value that is not valid base64.
+// The record must have no value, rather than the part that was decoded before
+// the error.
 TEST(keyed_records, drops_invalid_base64_values)
 {
     for (const auto* value : {"!!!!", "eyJ=aaa", "\\u0001\\u0002"}) {
--- a/tests/processes/test_deployment.cpp
+++ b/tests/processes/test_deployment.cpp
@@ -11,11 +11,10 @@
 using testing_support::deployment;
 using testing_support::stream_end_kind;
 
-// An entry refuses changes with not_ready until it has read the platform's log
-// once, which takes a while on a busy machine. A deployment that applies its
-// resources before that fails with "apply ended with 6". The test reproduces
-// the order by an outage of the log that begins before the entry starts and
-// ends while the deployment waits.
+// Guards against a deployment that applies its resources before the entry has
+// read the platform's log once: the entry would refuse them with not_ready.
+// Here the log is unavailable when the entry starts, and available again while
+// the deployment waits.
 TEST(deployment, waits_until_the_entry_has_read_the_log)
 {
     constexpr milliseconds outage(1000);
--- a/tests/processes/test_generation_faults.cpp
+++ b/tests/processes/test_generation_faults.cpp
@@ -20,7 +20,10 @@
 constexpr auto prompt = "removal dossier, rail shed 4";
 constexpr std::uint64_t length = 300;
 constexpr std::size_t seen_tokens = 40;
-/** Two polls of a busy engine, and a margin. */
+/**
+ * Limit for the end of a stream whose engine is frozen: two polls of a busy
+ * engine, and a margin.
+ */
 constexpr milliseconds engine_loss_limit(5000);
 
 /** Faults of the upstream that runs the generation. */
--- a/tests/processes/test_stops.cpp
+++ b/tests/processes/test_stops.cpp
@@ -234,7 +234,8 @@
 }
 
 // The platform is killed and does not return. Running and new requests must be
-// served. The exit status of an operator's change is only printed.
+// served. The test prints the exit status of an operator's change and does not
+// check it.
 TEST_F(stops, requests_are_served_without_the_platform)
 {
     start();
--- a/tests/settings/test_settings.cpp
+++ b/tests/settings/test_settings.cpp
@@ -116,8 +116,10 @@
 }
 
 /**
- * Guards against a prompt limit above the body limit. The body limit would
- * always apply first, so callers would see a limit other than the one set.
+ * Guards against a prompt limit above the body limit and a default deadline
+ * above the longest one. The body limit would always apply first, so callers
+ * would see a limit other than the one set. A request without a deadline would
+ * get more time than a caller can set.
  */
 TEST(settings, contradictory_settings_are_refused)
 {
--- a/tests/standins/engine/engine_api.cpp
+++ b/tests/standins/engine/engine_api.cpp
@@ -264,7 +264,7 @@
     answer(response, 200, to_string(body));
 }
 
-/** Updates the faults that the body has; 0 clears one. */
+/** Sets the faults that the body names; 0 or false clears a fault. */
 void engine_api::set_fault(server_request& request, server_response& response)
 {
     const auto body = parse_json_object(body_of(request));
--- a/tests/standins/platform/listed_vms.cpp
+++ b/tests/standins/platform/listed_vms.cpp
@@ -38,7 +38,8 @@
         if (versions_.front().list.revision > after || now >= deadline ||
             stopping_)
             return versions_.front().list;
-        // The next version becomes visible by time, without a notification.
+        // The next version becomes visible at its time, without a
+        // notification.
         auto until = deadline;
         if (versions_.size() > 1)
             until = std::min(until, versions_[1].visible);
--- a/tests/standins/platform/platform_api.cpp
+++ b/tests/standins/platform/platform_api.cpp
@@ -207,7 +207,10 @@
            "application/octet-stream");
 }
 
-/** Updates the faults that the body has; others stay as they are. */
+/**
+ * Sets the faults that the body names; the others stay as they are. `retain`
+ * is no fault: it drops the oldest records of a log until that number is left.
+ */
 void platform_api::set_fault(server_request& request, server_response& response)
 {
     const auto body = parse_json_object(body_of(request));
--- a/tests/standins/platform/platform_api.hpp
+++ b/tests/standins/platform/platform_api.hpp
@@ -26,7 +26,10 @@
     std::uint64_t weight_bytes = 1024;
 };
 
-/** Injected faults. Each affected append decrements the append counts. */
+/**
+ * Injected faults. The last two are numbers of appends still to be affected;
+ * each append that reaches the log decrements both.
+ */
 struct platform_faults {
     bool log_out = false;
     bool list_out = false;
--- a/tests/standins/platform/rate_limit.hpp
+++ b/tests/standins/platform/rate_limit.hpp
@@ -8,7 +8,7 @@
 namespace cyclamenrun::stand_in
 {
 
-/** A token bucket with a capacity of one second's rate. */
+/** A token bucket that holds the tokens of one second. */
 class rate_limit
 {
 public:
--- a/tests/standins/runner/runner_api.hpp
+++ b/tests/standins/runner/runner_api.hpp
@@ -15,7 +15,7 @@
 
 /** Faults to inject into the next calls. */
 struct runner_faults {
-    std::uint64_t lose_answers = 0; ///< calls to close unanswered
+    std::uint64_t lose_answers = 0; ///< number of calls to leave unanswered
     std::uint64_t late_ms = 0;      ///< added to the usual delay
     std::uint64_t error_status = 0; ///< 0: off
 };
--- a/tests/standins/token_text.hpp
+++ b/tests/standins/token_text.hpp
@@ -12,8 +12,9 @@
 
 /**
  * Returns the token that the stand-in engine generates at `index`, from 0. It
- * depends only on the prompt and the index, so a test can tell its complete
- * answer from a truncated one, another prompt's, or a mixture of both.
+ * depends only on the prompt and the index, so a test can tell the complete
+ * answer to a prompt from a truncated one, another prompt's, or a mixture of
+ * both.
  */
 inline std::string token_text(std::string_view prompt, std::uint64_t index)
 {
--- a/tests/support/scripted_server.hpp
+++ b/tests/support/scripted_server.hpp
@@ -56,8 +56,9 @@
     }
 
     /**
-     * Sends only `answer`, then reads until the peer closes. Closing with
-     * unread request bytes resets the connection and can lose the answer.
+     * Reads a request's head, sends `answer`, then reads until the peer closes:
+     * closing with unread bytes would reset the connection and could lose the
+     * answer.
      */
     static script reply(const std::string& answer)
     {
--- a/tests/support/tcp_relay.hpp
+++ b/tests/support/tcp_relay.hpp
@@ -57,7 +57,7 @@
         target_ = target;
     }
 
-    /** Closes all connections and rejects new ones until heal(). */
+    /** Closes all connections and, until heal(), each new one at once. */
     void cut()
     {
         const std::lock_guard guard(lock_);
