--- a/src/ctl/change_command.hpp
+++ b/src/ctl/change_command.hpp
@@ -24,8 +24,11 @@
     exit_code put(const v1::Resource& resource);
     exit_code remove(v1::ResourceKind kind, const std::string& name);
 
-    /** Waits until all changes made by this command are in force in every known
-     * process. */
+    /**
+     * Waits until all changes made by this command are in force in every known
+     * process. Returns exit_code::not_in_force if they are not by the session's
+     * deadline, or the exit code of the error if an RPC fails.
+     */
     exit_code wait_in_force() const;
 
 private:
--- a/src/libcyclamenrun/configuration/change_validation.hpp
+++ b/src/libcyclamenrun/configuration/change_validation.hpp
@@ -13,7 +13,7 @@
 
 class configuration_resources;
 
-/** What is wrong with a field of a change. */
+/** The kind of error in a field of a change. */
 enum class change_problem : std::uint8_t {
     missing,
     malformed,
--- a/src/libcyclamenrun/decisions/admission_settings.hpp
+++ b/src/libcyclamenrun/decisions/admission_settings.hpp
@@ -52,7 +52,10 @@
     std::function<std::optional<std::uint32_t>(work_id)> known_length;
 };
 
-/** The measured settings for an objective; see docs/design/admission.md. */
+/**
+ * Returns the default settings, with `overflow_bound` and `short_first` set for
+ * the objective; see docs/design/admission.md.
+ */
 admission_settings default_admission(objective goal);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/reading_speed.cpp
+++ b/src/libcyclamenrun/decisions/reading_speed.cpp
@@ -9,8 +9,8 @@
 namespace
 {
 
-/** Reading time after which a sample's weight is 1/e: about ten prompts of 3500
- * tokens at the prior speed. */
+/** Reading time after which a sample's weight is 1/e. It spans several long
+ * prompts, so that no single prompt dominates the estimate. */
 constexpr double decay_ms = 5000;
 /** Largest plausible factor between the prior and an engine's speed. */
 constexpr double max_factor_from_prior = 50;
--- a/src/libcyclamenrun/decisions/team_limiter.hpp
+++ b/src/libcyclamenrun/decisions/team_limiter.hpp
@@ -23,8 +23,8 @@
  * Entries don't communicate. The balancer spreads callers evenly, so each entry
  * enforces its share of a limit, but allows at least one concurrent request.
  * A token bucket is charged for the prompt at the start and for the output as
- * it is generated. The output's length is not known ahead, so the bucket can
- * go into debt; the team is then refused until the debt is paid off.
+ * it is generated. The output's length is not known in advance, so the bucket
+ * can go into debt; the team is then refused until the debt is paid off.
  *
  * Bounded: beyond `max_teams`, teams with no running request and no debt are
  * dropped; if there are none, a new team is refused.
--- a/src/libcyclamenrun/gateway/upstream_registry.hpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.hpp
@@ -34,7 +34,8 @@
      * it by then. */
     std::optional<time_point> monitor_only_until;
     /** Set if the directory dropped the upstream just after an outage of the
-     * directory. It is removed at this time unless the directory lists it. */
+     * directory. The upstream is removed at this time unless the directory
+     * lists it by then. */
     std::optional<time_point> unconfirmed_until;
     std::optional<engine_load> load;
     time_point load_at{};
--- a/src/libcyclamenrun/links/link_connection.hpp
+++ b/src/libcyclamenrun/links/link_connection.hpp
@@ -105,7 +105,8 @@
     void schedule_check(time_point when);
     /** Schedules the next keepalive check; to be called when busy() changes. */
     void check_keepalive();
-    /** Returns flow control credit of a stream, at most what was used. */
+    /** Returns used flow control credit of a stream to the peer. `bytes` must
+     * not exceed the credit in use. */
     void return_stream_credit(std::int32_t stream, std::size_t bytes);
     void reset_stream(std::int32_t stream, std::uint32_t error_code);
 
--- a/src/libcyclamenrun/membership/membership.hpp
+++ b/src/libcyclamenrun/membership/membership.hpp
@@ -70,7 +70,8 @@
     void on_connected(const std::string& upstream);
     void on_connection_lost(const std::string& upstream, time_point now);
     void on_missed_heartbeat(const std::string& upstream, time_point now);
-    /** Handles a refusal or missing answer that has causes other than load. */
+    /** Records that the agent of the upstream was lost while it had work of
+     * this entry. */
     void on_failure(const std::string& upstream, time_point now);
     /** Handles the report that comes with an answer or heartbeat reply. */
     void on_reply(const std::string& upstream, const agent_report& report,
--- a/src/libcyclamenrun/settings/settings_error.hpp
+++ b/src/libcyclamenrun/settings/settings_error.hpp
@@ -10,7 +10,7 @@
 namespace cyclamenrun
 {
 
-/** What is wrong with a settings file. */
+/** The kind of error in a settings file. */
 enum class settings_problem : std::uint8_t {
     unreadable,    ///< The file, or a file that it names, cannot be read.
     syntax,        ///< The file is not valid TOML.
--- a/tests/faults/fault_kinds.hpp
+++ b/tests/faults/fault_kinds.hpp
@@ -121,7 +121,7 @@
 }
 
 /**
- * Whether every caller must get its answer despite the fault: the stop is
+ * Whether the caller must get its answer despite the fault: the stop is
  * planned, the fault is temporary, or the caller retries at the other entry.
  */
 constexpr bool preserves_answer(fault what, work_shape shape)
