--- a/bench/configuration_command.cpp
+++ b/bench/configuration_command.cpp
@@ -220,7 +220,7 @@
     configuration_store store;
     log_tailer tailer(log, store, {}, steady_now, [] { return 0.5; });
     while (!store.ready() || store.revision() < log.end())
-        tailer.pass(milliseconds(0));
+        tailer.read_once(milliseconds(0));
     double spent = 0;
     std::size_t record_bytes = 0;
     std::size_t delta_bytes = 0;
@@ -230,7 +230,7 @@
         record_bytes += record.size();
         log.append(record);
         const double before = thread_cpu_us();
-        tailer.pass(milliseconds(0));
+        tailer.read_once(milliseconds(0));
         spent += thread_cpu_us() - before;
         delta_bytes += store.delta_after(revision).ByteSizeLong();
     }
@@ -296,7 +296,7 @@
               [&last_id] { return ++last_id; }, clock()))
     {
         writer->on_entries({"entry-0", "entry-1", "entry-2"});
-        tailer.write_snapshots_by(writer);
+        tailer.set_snapshot_writer(writer);
     }
 
     configuration_store store;
@@ -344,7 +344,7 @@
     void read_all()
     {
         for (const auto& entry : entries_)
-            entry->tailer.pass(milliseconds(0));
+            entry->tailer.read_once(milliseconds(0));
     }
 
     fake_log log_;
--- a/bench/path_links.cpp
+++ b/bench/path_links.cpp
@@ -63,10 +63,10 @@
         stream_->wake();
     }
 
-    pulled pull(std::size_t max_bytes)
+    pulled_frames pull(std::size_t max_bytes)
     {
         const std::lock_guard lock(mutex_);
-        pulled next;
+        pulled_frames next;
         std::size_t size = 0;
         while (!waiting_.empty() && size < max_bytes) {
             size += waiting_.front().size();
--- a/src/libcyclamenrun/agent/agent_process.cpp
+++ b/src/libcyclamenrun/agent/agent_process.cpp
@@ -42,7 +42,7 @@
     gate.replay_window_tokens = settings.replay.window_tokens;
     gate.resume_grace = settings.replay.resume_grace;
     gate.drain_linger = settings.drain_linger;
-    gate.tombstone_capacity = settings.tombstones.most;
+    gate.tombstone_capacity = settings.tombstones.capacity;
     gate.tombstone_lifetime = settings.tombstones.lifetime;
     return gate;
 }
@@ -110,7 +110,9 @@
             configuration_.apply(delta);
     };
     hooks.configuration_revision = [this] { return configuration_.revision(); };
-    hooks.configuration_state = [this] { return configuration_.state(); };
+    hooks.configuration_state = [this] {
+        return configuration_.serialized_state();
+    };
     server_ = std::make_unique<agent_server>(
         loop_, Poco::Net::SocketAddress(to_string(settings_.listen)),
         settings_.link_key.reveal(), link_limits{}, *gate_, std::move(hooks),
--- a/src/libcyclamenrun/agent/agent_server.cpp
+++ b/src/libcyclamenrun/agent/agent_server.cpp
@@ -141,7 +141,7 @@
     });
     stream->respond([this, id](std::size_t max_bytes) {
         auto frames = gate_.pull(id, max_bytes, clock_());
-        pulled answer;
+        pulled_frames answer;
         answer.end = frames.end;
         for (const auto& frame : frames.frames)
             answer.frames.push_back(frame.SerializeAsString());
@@ -193,9 +193,9 @@
         return;
     }
     hooks_.apply_configuration(pending.request);
-    entries_.note({pending.request.entry(), process_role::entry,
-                   pending.request.failure_domain()},
-                  pending.request.config_revision(), pending.deadline);
+    entries_.record({pending.request.entry(), process_role::entry,
+                     pending.request.failure_domain()},
+                    pending.request.config_revision(), pending.deadline);
     gate_.merge_marks(
         {pending.request.marks().begin(), pending.request.marks().end()},
         pending.deadline);
--- a/src/libcyclamenrun/configuration/configuration_recovery.hpp
+++ b/src/libcyclamenrun/configuration/configuration_recovery.hpp
@@ -25,8 +25,8 @@
 {
 public:
     /**
-     * Fetches the peer's configuration_store::state(). Returns an empty string
-     * if the peer has no state or does not respond.
+     * Fetches the peer's configuration_store::serialized_state(). Returns an
+     * empty string if the peer has no state or does not respond.
      */
     using query_function = std::function<std::string(const std::string& peer)>;
 
--- a/src/libcyclamenrun/configuration/configuration_revisions.cpp
+++ b/src/libcyclamenrun/configuration/configuration_revisions.cpp
@@ -18,8 +18,8 @@
     return role_names.at(static_cast<std::size_t>(role));
 }
 
-void configuration_revisions::note(const process_identity& identity,
-                                   std::uint64_t revision, time_point now)
+void configuration_revisions::record(const process_identity& identity,
+                                     std::uint64_t revision, time_point now)
 {
     const std::lock_guard lock(mutex_);
     if (rows_.size() >= max_processes && !rows_.contains(identity.process))
@@ -30,7 +30,7 @@
     found.reported_at = now;
 }
 
-void configuration_revisions::forget(const std::string& process)
+void configuration_revisions::remove(const std::string& process)
 {
     const std::lock_guard lock(mutex_);
     rows_.erase(process);
--- a/src/libcyclamenrun/configuration/configuration_revisions.hpp
+++ b/src/libcyclamenrun/configuration/configuration_revisions.hpp
@@ -36,11 +36,11 @@
      * Records a revision that a process reported. An older revision never
      * replaces a newer one.
      */
-    void note(const process_identity& identity, std::uint64_t revision,
-              time_point now);
+    void record(const process_identity& identity, std::uint64_t revision,
+                time_point now);
 
     /** Removes a process that will not report again. */
-    void forget(const std::string& process);
+    void remove(const std::string& process);
 
     std::vector<v1::ProcessRevision> list(time_point now) const;
 
--- a/src/libcyclamenrun/configuration/configuration_store.cpp
+++ b/src/libcyclamenrun/configuration/configuration_store.cpp
@@ -89,7 +89,7 @@
     return true;
 }
 
-std::string configuration_store::state() const
+std::string configuration_store::serialized_state() const
 {
     const std::lock_guard lock(mutex_);
     return ready_ ? state_.snapshot().SerializeAsString() : std::string();
--- a/src/libcyclamenrun/configuration/configuration_store.hpp
+++ b/src/libcyclamenrun/configuration/configuration_store.hpp
@@ -71,8 +71,8 @@
 
     /**
      * Replaces the state with that of a peer, as returned by the peer's
-     * state(), and makes the store ready. Returns false if the peer's state is
-     * not newer or can't be parsed.
+     * serialized_state(), and makes the store ready. Returns false if the
+     * peer's state is not newer or can't be parsed.
      */
     bool restore_from_peer(std::string_view bytes);
 
@@ -86,7 +86,7 @@
      * Returns the serialized state for a peer; an empty string while the store
      * is not ready.
      */
-    std::string state() const;
+    std::string serialized_state() const;
     v1::SnapshotRecord snapshot() const;
     v1::ConfigurationDelta delta_after(std::uint64_t revision) const;
     std::optional<v1::ChangeOutcome>
--- a/src/libcyclamenrun/configuration/log_tail_cursor.cpp
+++ b/src/libcyclamenrun/configuration/log_tail_cursor.cpp
@@ -28,7 +28,7 @@
     return state_ == tail_state::following ? store_.revision() : scan_offset_;
 }
 
-void log_tail_cursor::take(const log_page& page)
+void log_tail_cursor::handle(const log_page& page)
 {
     end_ = page.next;
     update_first_retained(page.first_retained);
@@ -38,7 +38,7 @@
         apply_page(page);
 }
 
-void log_tail_cursor::take(const log_error& error)
+void log_tail_cursor::handle(const log_error& error)
 {
     if (error.failure == log_failure::retained_away)
         update_first_retained(error.first_retained);
--- a/src/libcyclamenrun/configuration/log_tail_cursor.hpp
+++ b/src/libcyclamenrun/configuration/log_tail_cursor.hpp
@@ -43,8 +43,8 @@
 
     /** Returns the offset to read from. */
     std::uint64_t next() const;
-    void take(const log_page& page);
-    void take(const log_error& error);
+    void handle(const log_page& page);
+    void handle(const log_error& error);
 
     tail_state state() const { return state_; }
     std::uint64_t first_retained() const { return first_retained_; }
--- a/src/libcyclamenrun/configuration/log_tailer.cpp
+++ b/src/libcyclamenrun/configuration/log_tailer.cpp
@@ -40,7 +40,7 @@
     stop();
 }
 
-void log_tailer::write_snapshots_by(std::shared_ptr<snapshot_writer> writer)
+void log_tailer::set_snapshot_writer(std::shared_ptr<snapshot_writer> writer)
 {
     writer_ = std::move(writer);
     cursor_.on_snapshot(
@@ -74,13 +74,13 @@
         // for new records: if none arrived, it would stay unready for the
         // whole wait.
         const milliseconds pause =
-            pass(end_seen_ ? settings_.read_wait : milliseconds(0));
+            read_once(end_seen_ ? settings_.read_wait : milliseconds(0));
         lock.lock();
         stop_signal_.wait_for(lock, pause, [this] { return stopping_; });
     }
 }
 
-milliseconds log_tailer::pass(milliseconds wait)
+milliseconds log_tailer::read_once(milliseconds wait)
 {
     const time_point read_started_at = clock_();
     const auto page = log_.read(cursor_.next(), settings_.page_records, wait);
@@ -107,7 +107,7 @@
 void log_tailer::on_page(const log_page& page)
 {
     record_first_end(page.next);
-    cursor_.take(page);
+    cursor_.handle(page);
     if (writer_)
         writer_->poll(cursor_, clock_());
     const std::lock_guard lock(mutex_);
@@ -121,7 +121,7 @@
 
 milliseconds log_tailer::on_error(const log_error& error)
 {
-    cursor_.take(error);
+    cursor_.handle(error);
     const std::lock_guard lock(mutex_);
     status_.state = cursor_.state();
     status_.first_retained = cursor_.first_retained();
--- a/src/libcyclamenrun/configuration/log_tailer.hpp
+++ b/src/libcyclamenrun/configuration/log_tailer.hpp
@@ -57,14 +57,14 @@
      * Sets the entry's snapshot writer, which is polled after each successful
      * read and informed of each snapshot on the log.
      */
-    void write_snapshots_by(std::shared_ptr<snapshot_writer> writer);
+    void set_snapshot_writer(std::shared_ptr<snapshot_writer> writer);
 
     /**
      * Called on the tailer's thread after a failed read, and after a read that
      * leaves the reader behind a gap. May block.
      */
     using read_problem_hook = std::function<void(const tail_status&)>;
-    void on_trouble(read_problem_hook hook)
+    void on_read_problem(read_problem_hook hook)
     {
         read_problem_hook_ = std::move(hook);
     }
@@ -80,7 +80,7 @@
      * Performs one read as the thread does, waiting up to `wait` for a record.
      * Returns the delay before the next read.
      */
-    milliseconds pass(milliseconds wait);
+    milliseconds read_once(milliseconds wait);
 
     tail_status status() const;
 
--- a/src/libcyclamenrun/entry/entry_core.cpp
+++ b/src/libcyclamenrun/entry/entry_core.cpp
@@ -259,7 +259,7 @@
     const std::scoped_lock lock(listed_mutex_);
     for (const auto& id : listed_) {
         if (!listed.contains(id))
-            revisions_.forget(id);
+            revisions_.remove(id);
     }
     listed_ = std::move(listed);
 }
@@ -307,7 +307,7 @@
         if (!answer || !response.ParseFromString(*answer))
             continue;
         for (const auto& row : response.processes())
-            revisions_.note(
+            revisions_.record(
                 {row.process(), process_role::entry, row.failure_domain()},
                 row.revision(), clock_() - milliseconds(row.heard_ms_ago()));
     }
@@ -373,8 +373,9 @@
     });
     const auto agent = routes_.members().find(upstream);
     if (agent)
-        revisions_.note({upstream, process_role::agent, agent->failure_domain},
-                        reply.config_revision(), now);
+        revisions_.record(
+            {upstream, process_role::agent, agent->failure_domain},
+            reply.config_revision(), now);
 }
 
 void entry_core::on_link_failure(const std::string& upstream,
--- a/src/libcyclamenrun/entry/entry_process.cpp
+++ b/src/libcyclamenrun/entry/entry_process.cpp
@@ -58,8 +58,8 @@
     core.routes.seed = random_u64();
     core.relay.max_buffered_bytes = settings.limits.answer_bytes;
     core.limits.max_prompt_bytes = settings.limits.prompt_bytes;
-    core.limits.default_deadline = settings.deadlines.by_default;
-    core.limits.max_deadline = settings.deadlines.longest;
+    core.limits.default_deadline = settings.deadlines.default_value;
+    core.limits.max_deadline = settings.deadlines.max_value;
     core.retry_share = settings.routing.retry_share;
     core.heartbeat_interval = settings.routing.heartbeat_interval;
     core.ticket_lifetime = settings.ticket_lifetime;
@@ -179,14 +179,14 @@
     tailer_ =
         std::make_unique<log_tailer>(*logging_tail_log_, store, tail_settings{},
                                      steady_now, uniform_random());
-    tailer_->write_snapshots_by(snapshots_);
+    tailer_->set_snapshot_writer(snapshots_);
     enable_peer_recovery();
     tailer_->start();
     vm_list_ = std::make_unique<vm_list_watcher>(
         platform,
         [this, list_log = std::make_shared<vm_list_change_logger>()](
             const vm_list& list) {
-            list_log->note(list);
+            list_log->log_changes(list);
             core_->on_vm_list(list);
             snapshots_->on_entries(core_->routes().members().entries());
         },
@@ -207,7 +207,7 @@
                               steady_now() + peer_answer_timeout)
                 .value_or(std::string());
         });
-    tailer_->on_trouble([this](const tail_status& tail) {
+    tailer_->on_read_problem([this](const tail_status& tail) {
         const auto now = steady_now();
         auto peers = core_->revisions().list(now);
         std::erase_if(peers, [](const v1::ProcessRevision& peer) {
--- a/src/libcyclamenrun/gateway/answer_relay.cpp
+++ b/src/libcyclamenrun/gateway/answer_relay.cpp
@@ -79,7 +79,7 @@
     result.late_pause = record_part(now);
     if (!std::exchange(begun_, true))
         writer_->begin(without_connection_fields(head_));
-    writer_->piece(bytes);
+    writer_->write_piece(bytes);
     return result;
 }
 
--- a/src/libcyclamenrun/gateway/gateway_process.cpp
+++ b/src/libcyclamenrun/gateway/gateway_process.cpp
@@ -231,7 +231,7 @@
     };
     hooks.limits = [this] { return limits(); };
     hooks.stopping = [this] { return context_->stopping; };
-    hooks.unreadable = [](http_problem problem) {
+    hooks.on_rejected = [](http_problem problem) {
         log_event(log_severity::warning, log_event_name::caller_refused,
                   {{log_key::reason, name_of(problem)}});
     };
--- a/src/libcyclamenrun/http/answer_writer.hpp
+++ b/src/libcyclamenrun/http/answer_writer.hpp
@@ -23,7 +23,7 @@
     virtual void whole(http_head head, std::string_view body) = 0;
     /** Writes the head of an answer whose body follows in pieces. */
     virtual void begin(http_head head) = 0;
-    virtual void piece(std::string_view bytes) = 0;
+    virtual void write_piece(std::string_view bytes) = 0;
     /** Ends the body of an answer that begin() started. */
     virtual void finish() = 0;
     /** Resets the connection, so that the caller sees a truncated answer. */
--- a/src/libcyclamenrun/http/datagram_socket.cpp
+++ b/src/libcyclamenrun/http/datagram_socket.cpp
@@ -18,7 +18,7 @@
 
 datagram_socket::datagram_socket(std::shared_ptr<link_reactor> reactor,
                                  const ip_endpoint& address,
-                                 received on_received)
+                                 receive_handler on_received)
     : reactor_(std::move(reactor)),
       socket_(Poco::Net::SocketAddress(address.host, address.port), true),
       on_received_(std::move(on_received))
--- a/src/libcyclamenrun/http/datagram_socket.hpp
+++ b/src/libcyclamenrun/http/datagram_socket.hpp
@@ -19,12 +19,12 @@
       public std::enable_shared_from_this<datagram_socket>
 {
 public:
-    using received =
+    using receive_handler =
         std::function<void(const ip_endpoint& from, std::string_view bytes)>;
 
     /** Binds the socket. Throws Poco::Exception on failure. */
     datagram_socket(std::shared_ptr<link_reactor> reactor,
-                    const ip_endpoint& address, received on_received);
+                    const ip_endpoint& address, receive_handler on_received);
 
     ip_endpoint address() const;
     void start();
@@ -40,7 +40,7 @@
 
     std::shared_ptr<link_reactor> reactor_;
     Poco::Net::DatagramSocket socket_;
-    received on_received_;
+    receive_handler on_received_;
     link_reactor::watch_id watch_ = 0;
     bool open_ = false;
 };
--- a/src/libcyclamenrun/http/http_client.cpp
+++ b/src/libcyclamenrun/http/http_client.cpp
@@ -41,7 +41,7 @@
 }
 
 void http_client::call(http_head head, const std::string& body,
-                       time_point deadline, answered on_answer)
+                       time_point deadline, answer_handler on_answer)
 {
     head.fields.insert(head.fields.begin(), {"Host", to_string(peer_)});
     const auto framing =
--- a/src/libcyclamenrun/http/http_client.hpp
+++ b/src/libcyclamenrun/http/http_client.hpp
@@ -38,7 +38,7 @@
 class http_client : public std::enable_shared_from_this<http_client>
 {
 public:
-    using answered = std::function<void(call_outcome)>;
+    using answer_handler = std::function<void(call_outcome)>;
 
     http_client(std::shared_ptr<link_reactor> reactor, ip_endpoint peer);
     ~http_client();
@@ -47,7 +47,7 @@
 
     /** Starts a call. No other call may be pending. */
     void call(http_head head, const std::string& body, time_point deadline,
-              answered on_answer);
+              answer_handler on_answer);
     bool busy() const { return static_cast<bool>(on_answer_); }
     void close();
 
@@ -65,7 +65,7 @@
     std::shared_ptr<http_client> self_;
     std::string request_;
     http_reply reply_;
-    answered on_answer_;
+    answer_handler on_answer_;
     std::uint64_t call_number_ = 0;
     bool peer_keep_alive_ = true;
 };
--- a/src/libcyclamenrun/http/http_session.cpp
+++ b/src/libcyclamenrun/http/http_session.cpp
@@ -59,7 +59,7 @@
         if (current())
             session_->begin(std::move(head));
     }
-    void piece(std::string_view bytes) override
+    void write_piece(std::string_view bytes) override
     {
         if (current())
             session_->piece(bytes);
@@ -181,8 +181,8 @@
 
 void http_session::reject(http_problem problem)
 {
-    if (hooks_->unreadable)
-        hooks_->unreadable(problem);
+    if (hooks_->on_rejected)
+        hooks_->on_rejected(problem);
     // Closes the connection, since the start of the next request is unknown.
     request_keep_alive_ = false;
     serving_ = true;
--- a/src/libcyclamenrun/http/http_session.hpp
+++ b/src/libcyclamenrun/http/http_session.hpp
@@ -40,7 +40,7 @@
     /** While it returns true, connections close after the current answer. */
     std::function<bool()> stopping;
     /** Called for each request that is rejected. */
-    std::function<void(http_problem)> unreadable;
+    std::function<void(http_problem)> on_rejected;
 };
 
 /**
--- a/src/libcyclamenrun/http/tcp_acceptor.cpp
+++ b/src/libcyclamenrun/http/tcp_acceptor.cpp
@@ -30,7 +30,7 @@
 } // namespace
 
 tcp_acceptor::tcp_acceptor(std::shared_ptr<link_reactor> reactor,
-                           const ip_endpoint& address, accepted on_accept)
+                           const ip_endpoint& address, accept_handler on_accept)
     : reactor_(std::move(reactor)), on_accept_(std::move(on_accept))
 {
     socket_.bind(Poco::Net::SocketAddress(address.host, address.port), true);
--- a/src/libcyclamenrun/http/tcp_acceptor.hpp
+++ b/src/libcyclamenrun/http/tcp_acceptor.hpp
@@ -17,11 +17,12 @@
                            public std::enable_shared_from_this<tcp_acceptor>
 {
 public:
-    using accepted = std::function<void(const Poco::Net::StreamSocket& socket)>;
+    using accept_handler =
+        std::function<void(const Poco::Net::StreamSocket& socket)>;
 
     /** Binds and listens. Throws Poco::Exception on failure. */
     tcp_acceptor(std::shared_ptr<link_reactor> reactor,
-                 const ip_endpoint& address, accepted on_accept);
+                 const ip_endpoint& address, accept_handler on_accept);
 
     /** The bound address, with the port that the system chose for port 0. */
     ip_endpoint address() const;
@@ -41,7 +42,7 @@
 
     std::shared_ptr<link_reactor> reactor_;
     Poco::Net::ServerSocket socket_;
-    accepted on_accept_;
+    accept_handler on_accept_;
     link_reactor::watch_id watch_ = 0;
     bool accepting_ = false;
 };
--- a/src/libcyclamenrun/links/server_stream.cpp
+++ b/src/libcyclamenrun/links/server_stream.cpp
@@ -28,7 +28,7 @@
 void server_stream::respond_once(std::string frame)
 {
     respond([frame = std::move(frame)](std::size_t) mutable {
-        pulled last;
+        pulled_frames last;
         last.frames.push_back(std::move(frame));
         last.end = true;
         return last;
@@ -96,7 +96,7 @@
 {
     pending_.clear();
     pending_offset_ = 0;
-    pulled next = pull_(room);
+    pulled_frames next = pull_(room);
     for (const std::string& frame : next.frames) {
         if (frame.size() > max_frame_bytes)
             return false;
--- a/src/libcyclamenrun/links/server_stream.hpp
+++ b/src/libcyclamenrun/links/server_stream.hpp
@@ -20,7 +20,7 @@
  * Frames of an answer that are ready. With no frames and `end` false, the
  * stream pulls again after wake().
  */
-struct pulled {
+struct pulled_frames {
     std::vector<std::string> frames;
     bool end = false;
 };
@@ -30,7 +30,7 @@
  * the loop's thread when the peer can receive, so that a slow peer applies
  * back pressure to the source of the answer. Must not block.
  */
-using pull_function = std::function<pulled(std::size_t max_bytes)>;
+using pull_function = std::function<pulled_frames(std::size_t max_bytes)>;
 
 /**
  * A request from a peer and the answer to it. Thread-safe; the callbacks are
--- a/src/libcyclamenrun/orders/order_claims.cpp
+++ b/src/libcyclamenrun/orders/order_claims.cpp
@@ -35,10 +35,10 @@
         if (!page && page.error().failure != log_failure::retained_away)
             return tl::unexpected(claim_failure::log_failed);
         if (!page) {
-            cursor_.take(page.error());
+            cursor_.handle(page.error());
             continue;
         }
-        cursor_.take(*page);
+        cursor_.handle(*page);
         if (!end)
             end = page->next;
         if (cursor_.state() == tail_state::following &&
--- a/src/libcyclamenrun/orders/order_runner.cpp
+++ b/src/libcyclamenrun/orders/order_runner.cpp
@@ -33,7 +33,7 @@
 {
 }
 
-order_runner_state order_runner::pass()
+order_runner_state order_runner::run_step()
 {
     const auto order = queue_.next(clock_());
     if (!order)
--- a/src/libcyclamenrun/orders/order_runner.hpp
+++ b/src/libcyclamenrun/orders/order_runner.hpp
@@ -41,9 +41,9 @@
                  clock_function clock);
 
     /** Takes one step, which may block on the log or on the engine. */
-    order_runner_state pass();
+    order_runner_state run_step();
 
-    /** When to call pass() next; time_point::max() if there is no need. */
+    /** When to call run_step() next; time_point::max() if there is no need. */
     time_point wake_at() const;
 
     std::uint64_t fencing_number() const { return lease_.fencing_number(); }
--- a/src/libcyclamenrun/orders/order_worker.cpp
+++ b/src/libcyclamenrun/orders/order_worker.cpp
@@ -97,7 +97,7 @@
         apply_changes();
         auto wake_at = time_point::max();
         if (!queue_.is_complete()) {
-            const auto state = runner_.pass();
+            const auto state = runner_.run_step();
             const std::scoped_lock lock(mutex_);
             state_ = state;
             fencing_number_ = runner_.fencing_number();
--- a/src/libcyclamenrun/outside/vm_list_change_logger.cpp
+++ b/src/libcyclamenrun/outside/vm_list_change_logger.cpp
@@ -19,7 +19,7 @@
 
 } // namespace
 
-void vm_list_change_logger::note(const vm_list& list)
+void vm_list_change_logger::log_changes(const vm_list& list)
 {
     std::map<std::string, vm> current;
     for (const auto& each : list.vms) {
--- a/src/libcyclamenrun/outside/vm_list_change_logger.hpp
+++ b/src/libcyclamenrun/outside/vm_list_change_logger.hpp
@@ -17,7 +17,7 @@
 {
 public:
     /** Logs changes since the last list; for the first, the number of VMs. */
-    void note(const vm_list& list);
+    void log_changes(const vm_list& list);
 
 private:
     void log_change(const vm& current);
--- a/src/libcyclamenrun/settings/agent_settings.cpp
+++ b/src/libcyclamenrun/settings/agent_settings.cpp
@@ -87,7 +87,7 @@
          day_ms, "ms",
          "Time for which the id of a request that was refused as not run is "
          "kept; must be longer than a link can delay a dispatch."},
-        {"tombstones.most", &tombstones.most, optional, 1000, 10e6, "ids",
+        {"tombstones.most", &tombstones.capacity, optional, 1000, 10e6, "ids",
          "Maximum number of tombstones kept at the same time."},
     };
 }
--- a/src/libcyclamenrun/settings/agent_settings.hpp
+++ b/src/libcyclamenrun/settings/agent_settings.hpp
@@ -34,7 +34,7 @@
 /** Tombstones of requests that must never start. */
 struct tombstone_settings {
     milliseconds lifetime{600000};
-    std::uint64_t most = 65536;
+    std::uint64_t capacity = 65536;
 };
 
 /** Settings of `cyclamenrun-agent`; its name is the upstream's id. */
--- a/src/libcyclamenrun/settings/entry_settings.cpp
+++ b/src/libcyclamenrun/settings/entry_settings.cpp
@@ -87,10 +87,10 @@
     auto& deadlines = settings.deadlines;
     auto& drain = settings.drain;
     return {
-        {"deadlines.default_ms", &deadlines.by_default, optional, 100, day_ms,
-         "ms",
+        {"deadlines.default_ms", &deadlines.default_value, optional, 100,
+         day_ms, "ms",
          "Deadline of a request that sets none, unless its service sets one."},
-        {"deadlines.longest_ms", &deadlines.longest, optional, 100, day_ms,
+        {"deadlines.longest_ms", &deadlines.max_value, optional, 100, day_ms,
          "ms", "Longest deadline that a request may set."},
         {"tickets.lifetime_ms", &settings.ticket_lifetime, optional, 1000,
          day_ms, "ms", "Time for which a ticket is valid."},
@@ -109,7 +109,7 @@
     if (settings.limits.prompt_bytes > settings.limits.body_bytes)
         errors.push_back({settings_problem::contradictory, file, 0,
                           "limits.prompt_bytes", "at most limits.body_bytes"});
-    if (settings.deadlines.by_default > settings.deadlines.longest)
+    if (settings.deadlines.default_value > settings.deadlines.max_value)
         errors.push_back({settings_problem::contradictory, file, 0,
                           "deadlines.default_ms",
                           "at most deadlines.longest_ms"});
--- a/src/libcyclamenrun/settings/entry_settings.hpp
+++ b/src/libcyclamenrun/settings/entry_settings.hpp
@@ -33,8 +33,8 @@
 };
 
 struct entry_deadlines {
-    milliseconds by_default{600000};
-    milliseconds longest{3600000};
+    milliseconds default_value{600000};
+    milliseconds max_value{3600000};
 };
 
 struct entry_drain {
--- a/src/libcyclamenrun/settings/settings_error.cpp
+++ b/src/libcyclamenrun/settings/settings_error.cpp
@@ -29,8 +29,8 @@
         text += ": " + error.key;
     text += ": ";
     text += name_of(error.problem);
-    if (!error.allowed.empty())
-        text += ": " + error.allowed;
+    if (!error.detail.empty())
+        text += ": " + error.detail;
     return text;
 }
 
--- a/src/libcyclamenrun/settings/settings_error.hpp
+++ b/src/libcyclamenrun/settings/settings_error.hpp
@@ -29,12 +29,12 @@
     std::string file;
     std::uint32_t line = 0; ///< from 1; 0: the whole file
     std::string key;        ///< dotted path; empty: not about one key
-    std::string allowed;    ///< values that are allowed, or the cause
+    std::string detail;     ///< values that are allowed, or the cause
 
     bool operator==(const settings_error&) const = default;
 };
 
-/** Formats an error as `FILE:LINE: KEY: problem: allowed values`. */
+/** Formats an error as `FILE:LINE: KEY: problem: detail`. */
 std::string to_string(const settings_error& error);
 
 /** All errors of a file, so that an operator can correct them in one pass. */
--- a/tests/configuration/simulated_entry.hpp
+++ b/tests/configuration/simulated_entry.hpp
@@ -40,13 +40,13 @@
               world.log, store, name, settings,
               [&world] { return ++world.last_snapshot_id; }, world.now))
     {
-        tailer_.write_snapshots_by(writer_);
+        tailer_.set_snapshot_writer(writer_);
     }
 
     /** Performs one read of the log. */
     void read_log()
     {
-        tailer_.pass(milliseconds(0));
+        tailer_.read_once(milliseconds(0));
         record_state();
     }
 
@@ -58,7 +58,7 @@
 
     void restore_from(const simulated_entry& peer)
     {
-        store.restore_from_peer(peer.store.state());
+        store.restore_from_peer(peer.store.serialized_state());
         record_state();
     }
 
--- a/tests/configuration/test_log_tail.cpp
+++ b/tests/configuration/test_log_tail.cpp
@@ -137,7 +137,7 @@
     peers[1].set_process("agent");
     peers[1].set_revision(agent.revision());
     configuration_recovery recovery(other.store, [&](const std::string& peer) {
-        return peer == "agent" ? agent.state() : std::string();
+        return peer == "agent" ? agent.serialized_state() : std::string();
     });
     other.read_log();
     EXPECT_FALSE(recovery.poll(other.status(), peers, world.now));
--- a/tests/configuration/test_order_lease.cpp
+++ b/tests/configuration/test_order_lease.cpp
@@ -93,7 +93,7 @@
     {
         if (clock() < suspended_until_)
             return order_runner_state::claiming;
-        const auto state = runner_.pass();
+        const auto state = runner_.run_step();
         if (state == order_runner_state::acted)
             add_desired_order();
         return state;
--- a/tests/gateway/test_answer_relay.cpp
+++ b/tests/gateway/test_answer_relay.cpp
@@ -19,7 +19,7 @@
 public:
     MOCK_METHOD(void, whole, (http_head, std::string_view), (override));
     MOCK_METHOD(void, begin, (http_head), (override));
-    MOCK_METHOD(void, piece, (std::string_view), (override));
+    MOCK_METHOD(void, write_piece, (std::string_view), (override));
     MOCK_METHOD(void, finish, (), (override));
     MOCK_METHOD(void, abort, (), (override));
     MOCK_METHOD(std::size_t, unsent_bytes, (), (const, override));
@@ -93,7 +93,7 @@
     EXPECT_FALSE(relay.handle_body(large, arrived)->relayed);
     const InSequence in_order;
     EXPECT_CALL(*writer, begin(_));
-    EXPECT_CALL(*writer, piece(std::string_view(large + "y")));
+    EXPECT_CALL(*writer, write_piece(std::string_view(large + "y")));
     EXPECT_TRUE(relay.handle_body("y", arrived)->relayed);
     EXPECT_TRUE(relay.relaying());
 }
@@ -103,7 +103,7 @@
     auto relay = relay_of(answer_shape::event_stream);
     relay.handle_head(head_of(200), sealed_facts());
     EXPECT_CALL(*writer, begin(_));
-    EXPECT_CALL(*writer, piece(_)).Times(2);
+    EXPECT_CALL(*writer, write_piece(_)).Times(2);
     const auto first =
         relay.handle_body("id: 1\ndata: a\n\n", arrived + milliseconds(101));
     EXPECT_EQ(first->late_pause, milliseconds(101));
--- a/tests/links/link_streams.hpp
+++ b/tests/links/link_streams.hpp
@@ -50,8 +50,8 @@
 {
     stream->respond([first = true](std::size_t) mutable {
         if (!std::exchange(first, false))
-            return pulled{};
-        return pulled{{"first"}, false};
+            return pulled_frames{};
+        return pulled_frames{{"first"}, false};
     });
 }
 
--- a/tests/links/test_streams.cpp
+++ b/tests/links/test_streams.cpp
@@ -20,7 +20,7 @@
 {
     serve([](const auto& stream) {
         stream->respond([stream, count = 0](std::size_t) mutable {
-            return pulled{{stream->request()}, ++count == 5};
+            return pulled_frames{{stream->request()}, ++count == 5};
         });
     });
     std::vector<received_answer> answers(1000);
@@ -45,7 +45,8 @@
         stream->respond([&](std::size_t) {
             const std::lock_guard lock(mutex);
             pulls.add();
-            return ready.empty() ? pulled{} : pulled{{ready}, true};
+            return ready.empty() ? pulled_frames{}
+                                 : pulled_frames{{ready}, true};
         });
     });
     received_answer answer;
@@ -76,7 +77,7 @@
         }
         stream->respond([&](std::size_t) {
             made += 1000;
-            return pulled{{frame}, false};
+            return pulled_frames{{frame}, false};
         });
     });
     received_answer slow[20];
@@ -112,7 +113,7 @@
     const std::string large(10 * limits.stream_window, 'x');
     serve([&](const auto& stream) {
         stream->respond([&, count = 0](std::size_t) mutable {
-            return pulled{{large}, ++count == 3};
+            return pulled_frames{{large}, ++count == 3};
         });
     });
     received_answer answer;
