--- a/src/libcyclamenrun/daemon/state_dump_sections.cpp
+++ b/src/libcyclamenrun/daemon/state_dump_sections.cpp
@@ -60,7 +60,7 @@
         "metrics", [&recorded_metrics, now = std::move(now)](Object& object) {
             const auto at = now();
             for (const auto& row : metric_table()) {
-                const auto summary = recorded_metrics.summary(row.what, at);
+                const auto summary = recorded_metrics.summary(row.id, at);
                 if (summary.count != 0)
                     object.set(std::string(row.name), to_json(row, summary));
             }
--- a/src/libcyclamenrun/gateway/copy_turn_search.cpp
+++ b/src/libcyclamenrun/gateway/copy_turn_search.cpp
@@ -48,7 +48,7 @@
         requested_.push_back({engine});
     for (const auto& engine : more) {
         monitor_link::turn_hooks on;
-        on.given = [weak = weak_from_this(), id = engine.id] {
+        on.granted = [weak = weak_from_this(), id = engine.id] {
             if (const auto self = weak.lock())
                 self->handle_grant(id);
         };
--- a/src/libcyclamenrun/gateway/directory_feed.hpp
+++ b/src/libcyclamenrun/gateway/directory_feed.hpp
@@ -61,13 +61,13 @@
 class directory_feed
 {
 public:
-    using answered = std::function<void(
+    using answer_handler = std::function<void(
         tl::expected<directory_page<Item>, directory_problem>)>;
     /**
      * Called with the items read so far while more pages follow. Returning
      * false ends the read, and `on_answer` is not called.
      */
-    using page_read = std::function<bool(const std::vector<Item>& so_far)>;
+    using page_handler = std::function<bool(const std::vector<Item>& so_far)>;
 
     directory_feed() = default;
     directory_feed(const directory_feed&) = delete;
@@ -79,15 +79,15 @@
      * exist. A long answer comes in pages, and each page has as much time as
      * the first.
      */
-    virtual void read_newest(time_point deadline, answered on_answer,
-                             page_read on_page = {}) = 0;
+    virtual void read_newest(time_point deadline, answer_handler on_answer,
+                             page_handler on_page = {}) = 0;
     /**
      * Reads the records from an offset on, waiting up to `wait` for the first
      * one. Records that can't be parsed are left out but counted in the offset;
      * an upstream whose record can't be parsed is reported as removed.
      */
     virtual void read_from(std::uint64_t offset, milliseconds wait,
-                           time_point deadline, answered on_answer) = 0;
+                           time_point deadline, answer_handler on_answer) = 0;
 };
 
 using configuration_feed = directory_feed<gateway_configuration>;
--- a/src/libcyclamenrun/gateway/directory_watch.cpp
+++ b/src/libcyclamenrun/gateway/directory_watch.cpp
@@ -117,7 +117,7 @@
     on.wait = [this, wait = settings.configuration_wait] {
         return context_.board.size() == 0 ? std::max(wait, idle_wait) : wait;
     };
-    on.current = [this](boot_time sent_at) {
+    on.confirmed = [this](boot_time sent_at) {
         context_.lease.renew(sent_at);
         log_lease_change();
     };
--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -137,7 +137,7 @@
 
 bool exchange::needs_start_grant() const
 {
-    return uses_monitors() && !context_.monitors->silent();
+    return uses_monitors() && !context_.monitors->no_monitor_responds();
 }
 
 bool exchange::uses_monitors() const
@@ -351,7 +351,7 @@
 
 void exchange::handle_head(http_head&& head, const response_facts& facts)
 {
-    context_.board.reached(attempt_->upstream().id);
+    context_.board.connection_succeeded(attempt_->upstream().id);
     // A resumed generation does not read its prompt, so its time is not
     // typical.
     if (!resume_from_)
@@ -419,7 +419,7 @@
     if (*result != attempt_result::turned_away)
         context_.board.failed(id, context_.reactor->now());
     if (is_misdirected(answer_.status()))
-        context_.board.misplaced(id);
+        context_.board.mark_superseded(id);
     end_attempt(*result);
 }
 
@@ -436,7 +436,7 @@
         return;
     }
     if (loss == attempt_loss::not_sent)
-        context_.board.unreached(id, context_.reactor->now());
+        context_.board.connection_failed(id, context_.reactor->now());
     else
         context_.board.failed(id, context_.reactor->now());
     const auto* state = context_.board.find(id);
@@ -578,8 +578,8 @@
             return std::nullopt;
         // Counted at once, so that the next move of a generation of this
         // engine accounts for the memory.
-        context_.board.expect(to->record.id, facts_.prompt_tokens,
-                              context_.reactor->now());
+        context_.board.expect_dispatch(to->record.id, facts_.prompt_tokens,
+                                       context_.reactor->now());
         return to->record;
     };
     on.candidates = [this](const upstream_record& source,
--- a/src/libcyclamenrun/gateway/feed_follower.hpp
+++ b/src/libcyclamenrun/gateway/feed_follower.hpp
@@ -48,7 +48,7 @@
          * The directory has answered a call sent at `sent_at`: every record
          * that it held then is known here.
          */
-        std::function<void(boot_time sent_at)> current;
+        std::function<void(boot_time sent_at)> confirmed;
         std::function<void(directory_problem)> lost;
         /** Called for each failed call, also while the directory is lost. */
         std::function<void(directory_problem)> failed;
@@ -124,8 +124,8 @@
         const auto sent_at = result->sent_at.value_or(sent_at_);
         relayed_ = result->relayed;
         deliver_items(std::move(*result));
-        if (on_.current)
-            on_.current(sent_at);
+        if (on_.confirmed)
+            on_.confirmed(sent_at);
         read_at(relayed_ ? steady_now() : read_started_at_ + pause());
     }
 
--- a/src/libcyclamenrun/gateway/gateway_process.cpp
+++ b/src/libcyclamenrun/gateway/gateway_process.cpp
@@ -128,10 +128,10 @@
         return;
     monitor_link::hooks on;
     on.load = [this](const ip_endpoint& engine, const engine_load& load) {
-        context_->board.take_load(engine, load, context_->reactor->now());
+        context_->board.update_load(engine, load, context_->reactor->now());
     };
     on.identity = [this](const ip_endpoint& engine, const std::string& id) {
-        context_->board.take_identity(engine, id, context_->reactor->now());
+        context_->board.update_identity(engine, id, context_->reactor->now());
     };
     on.health_target = [this] {
         return context_->routes ? context_->routes->engine_health_target()
@@ -155,7 +155,7 @@
     relay_clients::hooks on;
     on.candidates = [this] { return relay_candidates(); };
     on.responds = [this](const std::string& host) {
-        return context_->monitors->hears(host);
+        return context_->monitors->is_responding(host);
     };
     on.gateways = [this] { return context_->budget.gateway_count(); };
     relays_ = std::make_shared<relay_clients>(loop_->reactor(), settings_.name,
@@ -183,7 +183,7 @@
     for (const auto& name : context_->routes->engine_services()) {
         for (const auto* engine : context_->board.available(name)) {
             const auto& host = engine->record.address.host;
-            if (!context_->monitors->misses(host))
+            if (!context_->monitors->has_timed_out(host))
                 candidates.push_back({host, engine->record.failure_domain});
         }
     }
--- a/src/libcyclamenrun/gateway/generation_mover.cpp
+++ b/src/libcyclamenrun/gateway/generation_mover.cpp
@@ -58,7 +58,7 @@
     source_ended_ = false;
     on_.step(move_step::source_turn_wanted, source);
     monitor_link::turn_hooks on;
-    on.given = [weak = weak_from_this(), source] {
+    on.granted = [weak = weak_from_this(), source] {
         if (const auto self = weak.lock())
             self->handle_source_turn(source);
     };
--- a/src/libcyclamenrun/gateway/load_probe.cpp
+++ b/src/libcyclamenrun/gateway/load_probe.cpp
@@ -54,8 +54,8 @@
         return context_.dialect->read_load(reply);
     });
     if (load)
-        context_.board.take_load(engine.address, *load,
-                                 context_.reactor->now());
+        context_.board.update_load(engine.address, *load,
+                                   context_.reactor->now());
     if (--pending_replies_ == 0)
         finish();
 }
--- a/src/libcyclamenrun/gateway/monitor_link.cpp
+++ b/src/libcyclamenrun/gateway/monitor_link.cpp
@@ -111,9 +111,10 @@
     const auto timeout =
         std::max(monitor_timeout,
                  max_missed_loads * load_publish_interval(monitor.gateways));
-    if (monitor.lost || reactor_->now() - monitor.last_response_at < timeout)
+    if (monitor.timed_out ||
+        reactor_->now() - monitor.last_response_at < timeout)
         return;
-    monitor.lost = true;
+    monitor.timed_out = true;
     // A host that never responded may have no monitor.
     if (monitor.has_responded)
         log_event(log_severity::warning, log_event_name::monitor_lost,
@@ -130,7 +131,7 @@
         reactor_->now() - found->second.last_response_at);
     found->second.last_response_at = reactor_->now();
     const bool known = std::exchange(found->second.has_responded, true);
-    if (std::exchange(found->second.lost, false) && known)
+    if (std::exchange(found->second.timed_out, false) && known)
         log_event(log_severity::info, log_event_name::monitor_regained,
                   {{log_key::address, host}, {log_key::duration_ms, outage}});
 }
@@ -144,7 +145,7 @@
 void monitor_link::send_turn_request(const std::string& id)
 {
     const auto found = turns_.find(id);
-    if (found == turns_.end() || !found->second.on.given)
+    if (found == turns_.end() || !found->second.on.granted)
         return;
     if (reactor_->now() - found->second.last_response_at >=
         turn_response_timeout) {
@@ -170,8 +171,8 @@
     if (found == turns_.end())
         return;
     const auto on = std::exchange(found->second.on, {});
-    if (on.given)
-        on.given();
+    if (on.granted)
+        on.granted();
 }
 
 void monitor_link::refuse_turn(const std::string& id)
@@ -227,20 +228,20 @@
     send(host, request);
 }
 
-bool monitor_link::hears(const std::string& host) const
+bool monitor_link::is_responding(const std::string& host) const
 {
     const auto found = monitors_.find(host);
     return found != monitors_.end() && found->second.has_responded &&
-           !found->second.lost;
+           !found->second.timed_out;
 }
 
-bool monitor_link::misses(const std::string& host) const
+bool monitor_link::has_timed_out(const std::string& host) const
 {
     const auto found = monitors_.find(host);
-    return found != monitors_.end() && found->second.lost;
+    return found != monitors_.end() && found->second.timed_out;
 }
 
-bool monitor_link::silent() const
+bool monitor_link::no_monitor_responds() const
 {
     return reactor_->now() - last_response_at_ > all_monitors_timeout;
 }
@@ -256,7 +257,7 @@
         return;
     }
     // Copied because the hook may call unwatch_start().
-    const auto granted = found->second.given;
+    const auto granted = found->second.granted;
     granted(host, {notice.slots_taken(), notice.memory_taken()});
 }
 
@@ -323,7 +324,7 @@
     // count is the closest to the total.
     unsigned largest = 0;
     for (const auto& [name, monitor] : monitors_) {
-        if (!monitor.lost)
+        if (!monitor.timed_out)
             largest = std::max(largest, monitor.gateways);
     }
     on_.gateways(largest);
--- a/src/libcyclamenrun/gateway/monitor_link.hpp
+++ b/src/libcyclamenrun/gateway/monitor_link.hpp
@@ -77,7 +77,7 @@
     struct turn_hooks {
         /** Called also if the monitor does not respond, since a copy that
          * shares the link is better than none. */
-        std::function<void()> given;
+        std::function<void()> granted;
         /** Called for a copy into an engine that leaves or has no room. */
         std::function<void()> refused;
     };
@@ -90,7 +90,7 @@
     struct start_hooks {
         /** The generation may start at the engine on that host. */
         std::function<void(const std::string& host, const engine_occupancy&)>
-            given;
+            granted;
         /** The monitor responds, but does not grant the start yet. */
         std::function<void(const std::string& host, start_denial)> waits;
     };
@@ -105,11 +105,11 @@
     void end_start(const std::string& host, const std::string& id);
 
     /** True if the monitor on that host has responded and has not timed out. */
-    bool hears(const std::string& host) const;
+    bool is_responding(const std::string& host) const;
     /** True if the monitor on that host has timed out. */
-    bool misses(const std::string& host) const;
+    bool has_timed_out(const std::string& host) const;
     /** True if no monitor has responded for seconds. */
-    bool silent() const;
+    bool no_monitor_responds() const;
 
 private:
     struct pending_turn {
@@ -123,7 +123,7 @@
     struct monitor_state {
         time_point last_response_at; ///< initially the time of the subscription
         bool has_responded = false;
-        bool lost = false;     ///< has timed out
+        bool timed_out = false;
         unsigned gateways = 0; ///< number of gateways known to the monitor
     };
 
--- a/src/libcyclamenrun/gateway/relayed_feed.hpp
+++ b/src/libcyclamenrun/gateway/relayed_feed.hpp
@@ -33,8 +33,8 @@
       public std::enable_shared_from_this<relayed_feed<Item>>
 {
 public:
-    using typename directory_feed<Item>::answered;
-    using typename directory_feed<Item>::page_read;
+    using typename directory_feed<Item>::answer_handler;
+    using typename directory_feed<Item>::page_handler;
     using page = directory_page<Item>;
 
     struct hooks {
@@ -63,14 +63,14 @@
     {
     }
 
-    void read_newest(time_point deadline, answered on_answer,
-                     page_read = {}) override
+    void read_newest(time_point deadline, answer_handler on_answer,
+                     page_handler = {}) override
     {
         begin({std::nullopt, milliseconds(0), deadline, std::move(on_answer)});
     }
 
     void read_from(std::uint64_t offset, milliseconds wait, time_point deadline,
-                   answered on_answer) override
+                   answer_handler on_answer) override
     {
         begin({offset, wait, deadline, std::move(on_answer)});
     }
@@ -101,7 +101,7 @@
         std::optional<std::uint64_t> from;
         milliseconds wait;
         time_point deadline;
-        answered on_answer;
+        answer_handler on_answer;
         std::vector<std::string> hosts = {};
         std::size_t tried = 0;
         /** A monitor reported that the directory is unavailable. */
@@ -263,7 +263,7 @@
      * together and each read all pages would share the directory's bandwidth
      * for so long that none of them finishes in time.
      */
-    page_read first_page_handler(const std::shared_ptr<call>& pending)
+    page_handler first_page_handler(const std::shared_ptr<call>& pending)
     {
         if (!on_.partial || pending->tried > 0 || pending->relays_deadline)
             return {};
--- a/src/libcyclamenrun/gateway/start_search.cpp
+++ b/src/libcyclamenrun/gateway/start_search.cpp
@@ -44,8 +44,8 @@
 void start_search::start()
 {
     monitor_link::start_hooks on;
-    on.given = [weak = weak_from_this()](const std::string& host,
-                                         const engine_occupancy& place) {
+    on.granted = [weak = weak_from_this()](const std::string& host,
+                                           const engine_occupancy& place) {
         if (const auto self = weak.lock())
             self->handle_grant(host, place);
     };
--- a/src/libcyclamenrun/gateway/upstream_registry.cpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.cpp
@@ -234,8 +234,8 @@
         dropped_[id] = now + dropped_retention;
 }
 
-void upstream_registry::take_identity(const ip_endpoint& address,
-                                      const std::string& id, time_point now)
+void upstream_registry::update_identity(const ip_endpoint& address,
+                                        const std::string& id, time_point now)
 {
     const auto listed = by_address_.find(to_string(address));
     if (listed == by_address_.end() || listed->second == id)
@@ -287,8 +287,8 @@
         on_.gone(id);
 }
 
-void upstream_registry::take_load(const ip_endpoint& address,
-                                  const engine_load& load, time_point now)
+void upstream_registry::update_load(const ip_endpoint& address,
+                                    const engine_load& load, time_point now)
 {
     const auto id = by_address_.find(to_string(address));
     if (id == by_address_.end())
@@ -307,8 +307,9 @@
     mark_leaving(upstream, leaves_at);
 }
 
-void upstream_registry::expect(const std::string& id,
-                               std::uint64_t prompt_tokens, time_point now)
+void upstream_registry::expect_dispatch(const std::string& id,
+                                        std::uint64_t prompt_tokens,
+                                        time_point now)
 {
     const auto found = upstreams_.find(id);
     if (found == upstreams_.end())
@@ -322,7 +323,7 @@
 void upstream_registry::dispatched(const std::string& id,
                                    std::uint64_t prompt_tokens, time_point now)
 {
-    expect(id, prompt_tokens, now);
+    expect_dispatch(id, prompt_tokens, now);
     const auto found = upstreams_.find(id);
     if (found != upstreams_.end())
         ++found->second.own_running;
@@ -350,19 +351,19 @@
         update_failure_rate(found->second, 1.0, now);
 }
 
-void upstream_registry::unreached(const std::string& id, time_point now)
+void upstream_registry::connection_failed(const std::string& id, time_point now)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         found->second.unreachable_until = now + unreachable_retry_delay;
 }
 
-void upstream_registry::reached(const std::string& id)
+void upstream_registry::connection_succeeded(const std::string& id)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         found->second.unreachable_until = {};
 }
 
-void upstream_registry::misplaced(const std::string& id)
+void upstream_registry::mark_superseded(const std::string& id)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         found->second.superseded = true;
--- a/src/libcyclamenrun/gateway/upstream_registry.hpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.hpp
@@ -111,28 +111,28 @@
      * predecessor would be rejected. Ignores ids that the directory dropped
      * recently.
      */
-    void take_identity(const ip_endpoint& address, const std::string& id,
-                       time_point now);
-    void take_load(const ip_endpoint& address, const engine_load& load,
-                   time_point now);
+    void update_identity(const ip_endpoint& address, const std::string& id,
+                         time_point now);
+    void update_load(const ip_endpoint& address, const engine_load& load,
+                     time_point now);
 
     void dispatched(const std::string& id, std::uint64_t prompt_tokens,
                     time_point now);
     /** Adds to the upstream's estimated load a request that will soon be
      * dispatched to it. */
-    void expect(const std::string& id, std::uint64_t prompt_tokens,
-                time_point now);
+    void expect_dispatch(const std::string& id, std::uint64_t prompt_tokens,
+                         time_point now);
     /** Records that a dispatched request has ended at the upstream. Drops a
      * removed upstream when the last one has ended. */
     void settled(const std::string& id);
     void succeeded(const std::string& id, time_point now);
     void failed(const std::string& id, time_point now);
     /** No connection could be made within the timeout. */
-    void unreached(const std::string& id, time_point now);
-    void reached(const std::string& id);
+    void connection_failed(const std::string& id, time_point now);
+    void connection_succeeded(const std::string& id);
     /** Another process responds at the upstream's address: the upstream gets no
      * new work until the directory updates its record. */
-    void misplaced(const std::string& id);
+    void mark_superseded(const std::string& id);
 
     const upstream_state* find(const std::string& id) const;
     /** The latest known upstream at an address, or null. */
--- a/src/libcyclamenrun/observability/exported_metric.hpp
+++ b/src/libcyclamenrun/observability/exported_metric.hpp
@@ -55,7 +55,7 @@
 std::string_view name_of(exported_kind kind);
 
 struct exported_metric_row {
-    exported_metric what;
+    exported_metric id;
     std::string_view name;
     exported_kind kind;
     /** Comma-separated label names; empty for a metric without labels. */
--- a/src/libcyclamenrun/observability/log_event.cpp
+++ b/src/libcyclamenrun/observability/log_event.cpp
@@ -187,7 +187,7 @@
     target().start(settings, std::move(writer));
     FLAGS_logtostderr = false;
     FLAGS_stderrthreshold = google::NUM_SEVERITIES;
-    FLAGS_minloglevel = static_cast<int>(settings.least);
+    FLAGS_minloglevel = static_cast<int>(settings.min_severity);
     google::RemoveLogSink(&messages);
     google::AddLogSink(&messages);
     if (google::IsGoogleLoggingInitialized())
--- a/src/libcyclamenrun/observability/logging.hpp
+++ b/src/libcyclamenrun/observability/logging.hpp
@@ -14,7 +14,7 @@
 /** Settings of a process's log. */
 struct log_settings {
     std::string process; ///< name of the process, written on each line
-    log_severity least = log_severity::info;
+    log_severity min_severity = log_severity::info;
     double lines_per_s = default_log_lines_per_s;
 
     /** More than twice the peak of a gateway in the largest supported
--- a/src/libcyclamenrun/observability/metric.hpp
+++ b/src/libcyclamenrun/observability/metric.hpp
@@ -23,7 +23,7 @@
 };
 
 struct metric_row {
-    metric what;
+    metric id;
     std::string_view name;
     std::string_view unit;
     std::string_view doc;
--- a/src/libcyclamenrun/settings/process_settings.cpp
+++ b/src/libcyclamenrun/settings/process_settings.cpp
@@ -22,7 +22,7 @@
          "Region of this VM."},
         {"failure_domain", &settings.failure_domain, required, 1,
          max_name_bytes, "", "Failure domain of this VM."},
-        {"log_level", &settings.log.least, optional, 0, 0, "",
+        {"log_level", &settings.log.min_severity, optional, 0, 0, "",
          "Lowest severity that is logged."},
         {"log_lines_per_s", &settings.log.lines_per_s, optional, 1, 1e6, "1/s",
          "Maximum number of lines logged per second; refusals and failures "
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -19,8 +19,8 @@
 class pushed_feed : public directory_feed<Item>
 {
 public:
-    using typename directory_feed<Item>::answered;
-    using typename directory_feed<Item>::page_read;
+    using typename directory_feed<Item>::answer_handler;
+    using typename directory_feed<Item>::page_handler;
 
     explicit pushed_feed(std::shared_ptr<link_reactor> reactor)
         : reactor_(std::move(reactor))
@@ -36,12 +36,13 @@
         });
     }
 
-    void read_newest(time_point, answered on_answer, page_read) override
+    void read_newest(time_point, answer_handler on_answer,
+                     page_handler) override
     {
         on_answer(directory_page<Item>{items_, items_.size()});
     }
     void read_from(std::uint64_t offset, milliseconds, time_point,
-                   answered on_answer) override
+                   answer_handler on_answer) override
     {
         from_ = offset;
         waiting_ = std::move(on_answer);
@@ -66,7 +67,7 @@
     std::shared_ptr<link_reactor> reactor_;
     std::vector<Item> items_;
     std::uint64_t from_ = 0;
-    answered waiting_;
+    answer_handler waiting_;
 };
 
 /** A response as a caller has read it. */
--- a/tests/gateway/test_feed_follower.cpp
+++ b/tests/gateway/test_feed_follower.cpp
@@ -28,12 +28,13 @@
     {
     }
 
-    void read_newest(time_point, answered on_answer, page_read) override
+    void read_newest(time_point, answer_handler on_answer,
+                     page_handler) override
     {
         play({true, 0}, on_answer);
     }
     void read_from(std::uint64_t offset, milliseconds, time_point,
-                   answered on_answer) override
+                   answer_handler on_answer) override
     {
         play({false, offset}, on_answer);
     }
@@ -48,7 +49,7 @@
     }
 
 private:
-    void play(const call& what, const answered& on_answer)
+    void play(const call& what, const answer_handler& on_answer)
     {
         std::optional<answer> next;
         {
@@ -101,7 +102,7 @@
             record.items.insert(record.items.end(), items.begin(), items.end());
             record.complete_sets += whole ? 1 : 0;
         };
-        on.current = [&](boot_time) { ++record.current; };
+        on.confirmed = [&](boot_time) { ++record.current; };
         on.lost = [&](directory_problem) { ++record.lost; };
         on.regained = [&](duration) { ++record.regained; };
         const auto follower = std::make_shared<feed_follower<int>>(
@@ -170,19 +171,20 @@
     class held_feed final : public directory_feed<int>
     {
     public:
-        void read_newest(time_point, answered on_answer, page_read) override
+        void read_newest(time_point, answer_handler on_answer,
+                         page_handler) override
         {
             on_answer(page({1}, 5));
         }
         void read_from(std::uint64_t offset, milliseconds, time_point,
-                       answered on_answer) override
+                       answer_handler on_answer) override
         {
             requested_offsets.push_back(offset);
             pending_answer = std::move(on_answer);
         }
 
         std::vector<std::uint64_t> requested_offsets;
-        answered pending_answer;
+        answer_handler pending_answer;
     };
 
     held_follower()
@@ -192,7 +194,7 @@
             items.insert(items.end(), taken.begin(), taken.end());
         };
         on.pause = [this] { return pause; };
-        on.current = [this](boot_time sent_at) {
+        on.confirmed = [this](boot_time sent_at) {
             confirmed.push_back(sent_at);
         };
         follower = std::make_shared<feed_follower<int>>(
--- a/tests/gateway/test_monitor.cpp
+++ b/tests/gateway/test_monitor.cpp
@@ -77,7 +77,7 @@
     {
         loop_->post([this, id, tokens, into] {
             monitor_link::turn_hooks on;
-            on.given = [this, id] { reports.add("turn " + id); };
+            on.granted = [this, id] { reports.add("turn " + id); };
             on.refused = [this, id] { reports.add("no turn " + id); };
             link_->request_turn({"127.0.0.1", id, tokens, into}, std::move(on));
         });
--- a/tests/gateway/test_monitor_process.cpp
+++ b/tests/gateway/test_monitor_process.cpp
@@ -34,15 +34,16 @@
             ++*ended_safely_;
     }
 
-    using typename directory_feed<Item>::answered;
-    using typename directory_feed<Item>::page_read;
+    using typename directory_feed<Item>::answer_handler;
+    using typename directory_feed<Item>::page_handler;
 
-    void read_newest(time_point /*deadline*/, answered /*on_answer*/,
-                     page_read /*on_page*/) override
+    void read_newest(time_point /*deadline*/, answer_handler /*on_answer*/,
+                     page_handler /*on_page*/) override
     {
     }
     void read_from(std::uint64_t /*offset*/, milliseconds /*wait*/,
-                   time_point /*deadline*/, answered /*on_answer*/) override
+                   time_point /*deadline*/,
+                   answer_handler /*on_answer*/) override
     {
     }
 
--- a/tests/gateway/test_upstream_registry.cpp
+++ b/tests/gateway/test_upstream_registry.cpp
@@ -62,7 +62,7 @@
         ASSERT_EQ(usable(), 1U);
         EXPECT_EQ(board.available("s").front()->record.id, "after");
         // A load from that address belongs to the newer upstream.
-        board.take_load(successor.address, {}, at(0));
+        board.update_load(successor.address, {}, at(0));
         EXPECT_TRUE(board.find("after")->load);
         EXPECT_FALSE(board.find("before")->load);
         drop("before");
@@ -84,7 +84,7 @@
 TEST_F(upstream_registry_test, uses_an_engine_reported_by_its_monitor)
 {
     put(record("before"));
-    board.take_identity(record("x").address, "after", at(0));
+    board.update_identity(record("x").address, "after", at(0));
     ASSERT_EQ(usable(), 1U);
     const auto& reported = board.available("s").front()->record;
     EXPECT_EQ(reported.id, "after");
@@ -110,7 +110,7 @@
 TEST_F(upstream_registry_test, keeps_an_engine_newer_than_the_snapshot)
 {
     put(record("before"));
-    board.take_identity(record("x").address, "after", at(0));
+    board.update_identity(record("x").address, "after", at(0));
     board.replace_all({{"before", record("before")}}, at(100), false);
     EXPECT_EQ(board.available("s").front()->record.id, "after");
 }
@@ -120,13 +120,13 @@
 TEST_F(upstream_registry_test, drops_an_engine_that_the_directory_does_not_list)
 {
     put(record("before"));
-    board.take_identity(record("x").address, "after", at(0));
+    board.update_identity(record("x").address, "after", at(0));
     board.drop_unlisted(at(4900));
     EXPECT_EQ(usable(), 1U);
     board.drop_unlisted(at(5000));
     EXPECT_EQ(usable(), 0U);
     put(record("other"), 5100);
-    board.take_identity(record("x").address, "after", at(5200));
+    board.update_identity(record("x").address, "after", at(5200));
     EXPECT_EQ(board.available("s").front()->record.id, "other");
 }
 
@@ -139,19 +139,19 @@
     board.dispatched("a", 100, at(0));
     drop("a");
     put(record("next"));
-    board.take_identity(record("x").address, "a", at(10));
+    board.update_identity(record("x").address, "a", at(10));
     ASSERT_EQ(usable(), 1U);
     EXPECT_EQ(board.available("s").front()->record.id, "next");
 }
 
 TEST_F(upstream_registry_test, ignores_identities_for_unknown_addresses)
 {
-    board.take_identity(record("x").address, "after", at(0));
+    board.update_identity(record("x").address, "after", at(0));
     EXPECT_EQ(board.size(), 0U);
     put(record("a", 80));
     put(record("b", 81));
     // "b" has another address, so the monitor's report does not apply to it.
-    board.take_identity(record("x", 80).address, "b", at(0));
+    board.update_identity(record("x", 80).address, "b", at(0));
     EXPECT_EQ(usable(), 2U);
     EXPECT_EQ(board.find_at(record("x", 80).address)->record.id, "a");
 }
@@ -221,7 +221,7 @@
     board.failed("a", at(0));
     engine_load load;
     load.leaving = true;
-    board.take_load({"10.0.0.1", 80}, load, at(0));
+    board.update_load({"10.0.0.1", 80}, load, at(0));
     EXPECT_EQ(usable(), 0U);
     auto restarted = record("a");
     restarted.started_ms = 2;
@@ -237,7 +237,7 @@
     engine_load load;
     load.leaving = true;
     load.leaves_in_ms = 700;
-    board.take_load({"10.0.0.1", 80}, load, at(0));
+    board.update_load({"10.0.0.1", 80}, load, at(0));
     EXPECT_EQ(leaving_ids, std::vector<std::string>{"a"});
     EXPECT_EQ(board.find("a")->leaves_at, at(700));
     // The directory is behind the engine's own report.
@@ -254,21 +254,21 @@
     request.from_domain = "d";
     engine_load idle;
     idle.memory_total = 10000;
-    board.take_load({"10.0.0.1", 80}, idle, at(0));
+    board.update_load({"10.0.0.1", 80}, idle, at(0));
     board.dispatched("a", 3500, at(10));
     const auto wait = [&](int ms) {
         return placement_of(*board.find("a"), request, at(ms)).wait;
     };
     EXPECT_DOUBLE_EQ(wait(10), 0.5);
     // Measured before the dispatch could reach the engine.
-    board.take_load({"10.0.0.1", 80}, idle, at(20));
+    board.update_load({"10.0.0.1", 80}, idle, at(20));
     EXPECT_DOUBLE_EQ(wait(20), 0.5);
     auto busy = idle;
     busy.running = 1;
     busy.unread = milliseconds(250);
-    board.take_load({"10.0.0.1", 80}, busy, at(120));
+    board.update_load({"10.0.0.1", 80}, busy, at(120));
     EXPECT_DOUBLE_EQ(wait(120), 0.25);
-    board.take_load({"10.0.0.1", 80}, idle, at(900));
+    board.update_load({"10.0.0.1", 80}, idle, at(900));
     EXPECT_DOUBLE_EQ(wait(900), 0);
 }
 
@@ -286,7 +286,7 @@
     load.memory_total = 10000;
     const auto time_to_first_part = [&](double speed) {
         load.tokens_read_per_ms = speed;
-        board.take_load({"10.0.0.1", 80}, load, at(0));
+        board.update_load({"10.0.0.1", 80}, load, at(0));
         return estimated_time_to_first_part(*board.find("a"), request, at(0));
     };
     EXPECT_EQ(time_to_first_part(7), milliseconds(400));
@@ -327,11 +327,11 @@
         return placement_of(*board.find("a"), {}, at(ms)).unreachable;
     };
     EXPECT_FALSE(unreachable(0));
-    board.unreached("a", at(0));
+    board.connection_failed("a", at(0));
     EXPECT_TRUE(unreachable(599));
     EXPECT_FALSE(unreachable(600));
-    board.unreached("a", at(700));
-    board.reached("a");
+    board.connection_failed("a", at(700));
+    board.connection_succeeded("a");
     EXPECT_FALSE(unreachable(710));
 }
 
