--- a/src/libcyclamenrun/entry/caller_writer.hpp
+++ b/src/libcyclamenrun/entry/caller_writer.hpp
@@ -24,7 +24,7 @@
     virtual bool answer(const write_answer& answer) = 0;
     virtual bool refuse(const refusal& why) = 0;
     /** True if the caller has closed its connection. */
-    virtual bool gone() = 0;
+    virtual bool is_disconnected() = 0;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/entry/http_caller_writer.cpp
+++ b/src/libcyclamenrun/entry/http_caller_writer.cpp
@@ -85,7 +85,7 @@
     return send_body(http_status(why.reason), "application/json", body);
 }
 
-bool http_caller_writer::gone()
+bool http_caller_writer::is_disconnected()
 {
     try {
         auto& socket =
--- a/src/libcyclamenrun/entry/http_caller_writer.hpp
+++ b/src/libcyclamenrun/entry/http_caller_writer.hpp
@@ -41,7 +41,7 @@
     bool end(const write_end& end) override;
     bool answer(const write_answer& answer) override;
     bool refuse(const refusal& why) override;
-    bool gone() override;
+    bool is_disconnected() override;
 
 private:
     bool send_body(int status, const std::string& content_type,
--- a/src/libcyclamenrun/entry/metrics_caller_writer.cpp
+++ b/src/libcyclamenrun/entry/metrics_caller_writer.cpp
@@ -46,9 +46,9 @@
     return writer_.refuse(why);
 }
 
-bool metrics_caller_writer::gone()
+bool metrics_caller_writer::is_disconnected()
 {
-    return writer_.gone();
+    return writer_.is_disconnected();
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/entry/metrics_caller_writer.hpp
+++ b/src/libcyclamenrun/entry/metrics_caller_writer.hpp
@@ -23,7 +23,7 @@
     bool end(const write_end& end) override;
     bool answer(const write_answer& answer) override;
     bool refuse(const refusal& why) override;
-    bool gone() override;
+    bool is_disconnected() override;
 
 private:
     caller_writer& writer_;
--- a/src/libcyclamenrun/entry/relay_runner.cpp
+++ b/src/libcyclamenrun/entry/relay_runner.cpp
@@ -59,7 +59,7 @@
             std::min(relay.next_event(), clock_() + caller_check_interval);
         if (const auto event = state.mailbox->take(wake_at)) {
             handle_event(state, *event);
-        } else if (writer.gone()) {
+        } else if (writer.is_disconnected()) {
             state.result.caller_disconnected = true;
             perform(state, relay.on_caller_disconnected(clock_()));
         }
--- a/src/libcyclamenrun/gateway/answer_relay.cpp
+++ b/src/libcyclamenrun/gateway/answer_relay.cpp
@@ -24,8 +24,8 @@
 
 } // namespace
 
-void answer_relay::expect(const gateway_route& route,
-                          std::optional<std::uint64_t> last_event_id)
+void answer_relay::set_route(const gateway_route& route,
+                             std::optional<std::uint64_t> last_event_id)
 {
     is_stream_ = route.shape == answer_shape::event_stream;
     first_target_ = route.objective;
--- a/src/libcyclamenrun/gateway/answer_relay.hpp
+++ b/src/libcyclamenrun/gateway/answer_relay.hpp
@@ -42,8 +42,8 @@
      * Sets the shape of the answer and its latency targets (zero: no target)
      * once the request is admitted.
      */
-    void expect(const gateway_route& route,
-                std::optional<std::uint64_t> last_event_id);
+    void set_route(const gateway_route& route,
+                   std::optional<std::uint64_t> last_event_id);
 
     /**
      * Prepares for another response, from a new run or from the engine to which
--- a/src/libcyclamenrun/gateway/copy_turn_search.cpp
+++ b/src/libcyclamenrun/gateway/copy_turn_search.cpp
@@ -126,7 +126,7 @@
     for (const auto& each : requested_) {
         // The directory may report that the engine leaves before its monitor
         // does.
-        const auto* state = context_.board.find(each.engine.id);
+        const auto* state = context_.upstreams.find(each.engine.id);
         if (!each.granted || state == nullptr || state->leaving)
             continue;
         const double cost = on_.cost(each.engine);
--- a/src/libcyclamenrun/gateway/directory_watch.cpp
+++ b/src/libcyclamenrun/gateway/directory_watch.cpp
@@ -115,7 +115,8 @@
         apply_configurations(std::move(versions));
     };
     on.wait = [this, wait = settings.configuration_wait] {
-        return context_.board.size() == 0 ? std::max(wait, idle_wait) : wait;
+        return context_.upstreams.size() == 0 ? std::max(wait, idle_wait)
+                                              : wait;
     };
     on.current = [this](boot_time sent_at) {
         context_.lease.renew(sent_at);
@@ -169,7 +170,7 @@
 
 void directory_watch::tick()
 {
-    context_.board.drop_unlisted(context_.reactor->now());
+    context_.upstreams.drop_unlisted(context_.reactor->now());
     log_lease_change();
 }
 
@@ -209,13 +210,13 @@
     const auto now = context_.reactor->now();
     const bool unconfirmed = now < unconfirmed_until_;
     if (whole)
-        context_.board.replace_all(changes, now, unconfirmed);
+        context_.upstreams.replace_all(changes, now, unconfirmed);
     else
         for (const auto& change : changes)
-            context_.board.apply(change, now, unconfirmed);
+            context_.upstreams.apply(change, now, unconfirmed);
     if (!std::exchange(upstreams_known_, true))
         log_event(log_severity::info, log_event_name::vm_list_read,
-                  {{log_key::count, context_.board.size()}});
+                  {{log_key::count, context_.upstreams.size()}});
 }
 
 void directory_watch::lost(std::string_view feed, directory_problem problem)
--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -83,9 +83,9 @@
     }
     admitted_ = *admitted;
     profile_ = request_profile(routes_, admitted_, facts_);
-    answer_.expect(*admitted_.route, facts_.last_event_id);
+    answer_.set_route(*admitted_.route, facts_.last_event_id);
     recorder_.admitted(admitted_, routes_->version(), configuration_age_,
-                       since(request_.arrived, admitted_.answer_by), facts_);
+                       since(request_.arrived, admitted_.deadline), facts_);
     // The stream would be cut here; another process can complete it.
     const bool outlasts_this_process =
         context_.stop_at && profile_.is_unresumable_stream() &&
@@ -95,7 +95,7 @@
         refuse(gateway_refusal::stopping);
         return;
     }
-    context_.reactor->post_at(admitted_.answer_by, [weak = weak_from_this()] {
+    context_.reactor->post_at(admitted_.deadline, [weak = weak_from_this()] {
         if (const auto self = weak.lock())
             self->expire();
     });
@@ -145,14 +145,15 @@
     return profile_.engine() != nullptr && context_.monitors;
 }
 
-placement_request exchange::needs() const
+placement_request exchange::make_placement_request() const
 {
-    return needs(context_.failure_domain);
+    return make_placement_request(context_.failure_domain);
 }
 
-placement_request exchange::needs(const std::string& from_domain) const
+placement_request
+exchange::make_placement_request(const std::string& from_domain) const
 {
-    auto request = profile_.needs(from_domain);
+    auto request = profile_.make_placement_request(from_domain);
     request.gateways = context_.budget.gateway_count();
     return request;
 }
@@ -164,13 +165,14 @@
                            std::size_t count) {
         auto excluded = tried_;
         excluded.insert(excluded.end(), exclude.begin(), exclude.end());
-        return context_.choice.start_candidates(service_, needs(), excluded,
-                                                count, context_.reactor->now());
+        return context_.choice.start_candidates(
+            service_, make_placement_request(), excluded, count,
+            context_.reactor->now());
     };
     on.cost = [this](const upstream_record& engine,
                      const engine_occupancy& place) {
-        return context_.choice.start_cost(engine, place, needs(),
-                                          context_.reactor->now());
+        return context_.choice.start_cost(
+            engine, place, make_placement_request(), context_.reactor->now());
     };
     on.found = [this, asked_at = context_.reactor->now()](
                    const upstream_record& engine) {
@@ -209,7 +211,8 @@
 void exchange::probe_loads()
 {
     auto engines = context_.choice.start_candidates(
-        service_, needs(), tried_, probed_engines, context_.reactor->now());
+        service_, make_placement_request(), tried_, probed_engines,
+        context_.reactor->now());
     probe_ = std::make_shared<load_probe>(
         context_, std::move(engines), [weak = weak_from_this()] {
             const auto self = weak.lock();
@@ -228,12 +231,13 @@
     const auto now = context_.reactor->now();
     const auto probe = std::exchange(probe_, nullptr);
     if (probe) {
-        auto placed =
-            context_.choice.for_request_among(probe->engines(), needs(), now);
+        auto placed = context_.choice.for_request_among(
+            probe->engines(), make_placement_request(), now);
         if (placed)
             return placed;
     }
-    return context_.choice.for_request(service_, needs(), tried_, now);
+    return context_.choice.for_request(service_, make_placement_request(),
+                                       tried_, now);
 }
 
 void exchange::dispatch_by_estimates()
@@ -242,7 +246,7 @@
     if (placed) {
         recorder_.placed(*placed);
         const auto left =
-            time_left(admitted_.answer_by, context_.reactor->now());
+            time_left(admitted_.deadline, context_.reactor->now());
         // The deadline would pass in the queue of the best upstream. The
         // caller should retry when the rest of the queue takes half of the time
         // that the request has left now.
@@ -266,9 +270,9 @@
     if (!profile_.allows_backup() ||
         !context_.backups.wanted(context_.reactor->now()))
         return;
-    backup_ =
-        context_.choice.for_backup(service_, needs(upstream.failure_domain),
-                                   upstream.id, context_.reactor->now());
+    backup_ = context_.choice.for_backup(
+        service_, make_placement_request(upstream.failure_domain), upstream.id,
+        context_.reactor->now());
     if (!backup_)
         return;
     recorder_.backed_up(service_, backup_->id);
@@ -279,7 +283,7 @@
                       const std::optional<continuation>& resume_from)
 {
     dispatch_facts facts;
-    facts.time_left = time_left(admitted_.answer_by, context_.reactor->now());
+    facts.time_left = time_left(admitted_.deadline, context_.reactor->now());
     facts.upstream_id = upstream.id;
     if (admitted_.team != nullptr)
         facts.team = admitted_.team->name;
@@ -309,7 +313,7 @@
     // far more than the millisecond for a new connection.
     what.new_connection = admitted_.route->shape == answer_shape::event_stream;
     if (what.new_connection)
-        what.patience = stream_timeouts;
+        what.timeouts = stream_timeouts;
     what.has_no_response_body = request_.head.method == "HEAD";
     attempt_began_ = context_.reactor->now();
     what.connect_deadline = attempt_began_ + profile_.connect_timeout();
@@ -318,7 +322,7 @@
     answer_.prepare_next_response();
     ++sends_;
     // A resumed generation does not read its prompt again.
-    context_.board.dispatched(
+    context_.upstreams.dispatched(
         upstream.id, resume_from ? 0 : facts_.prompt_tokens, attempt_began_);
     const auto self = shared_from_this();
     upstream_attempt::hooks on;
@@ -338,7 +342,7 @@
 void exchange::release_attempt()
 {
     if (attempt_) {
-        context_.board.settled(attempt_->upstream().id);
+        context_.upstreams.settled(attempt_->upstream().id);
         // The engine itself reports generations that have begun.
         if (uses_monitors() && !answer_.begun())
             context_.monitors->end_start(attempt_->upstream().address.host,
@@ -351,11 +355,11 @@
 
 void exchange::handle_head(http_head&& head, const response_facts& facts)
 {
-    context_.board.reached(attempt_->upstream().id);
+    context_.upstreams.reached(attempt_->upstream().id);
     // A resumed generation does not read its prompt, so its time is not
     // typical.
     if (!resume_from_)
-        context_.answer_times.add(
+        context_.route_response_times.add(
             admitted_.route->name,
             since(attempt_began_, context_.reactor->now()));
     answer_.handle_head(std::move(head), facts);
@@ -372,12 +376,12 @@
     }
     if (!progress->relayed)
         return;
-    recorder_.late(*progress, tried_.back(), answer_.events());
+    recorder_.record_late_part(*progress, tried_.back(), answer_.events());
     pause_if_caller_is_slow();
     // A generation that had not begun when its engine was reported to leave
     // can be moved once its first event has arrived.
     const auto* state =
-        attempt_ ? context_.board.find(attempt_->upstream().id) : nullptr;
+        attempt_ ? context_.upstreams.find(attempt_->upstream().id) : nullptr;
     if (state != nullptr && state->leaving)
         upstream_leaving(state->record.id, state->leaves_at);
 }
@@ -400,7 +404,7 @@
     const auto id = attempt_->upstream().id;
     release_attempt();
     if (answer_.relaying()) {
-        context_.board.succeeded(id, context_.reactor->now());
+        context_.upstreams.succeeded(id, context_.reactor->now());
         record_attempt("complete", "deliver");
         answer_.finish(context_.reactor->now());
         end(request_outcome::answered, answer_.status());
@@ -408,7 +412,7 @@
     }
     auto result = classify_response(answer_.status(), answer_.facts());
     if (!result && !answer_.begun()) {
-        context_.board.succeeded(id, context_.reactor->now());
+        context_.upstreams.succeeded(id, context_.reactor->now());
         record_attempt("complete", "deliver");
         deliver();
         return;
@@ -417,9 +421,9 @@
     if (!result)
         result = attempt_result::failed;
     if (*result != attempt_result::turned_away)
-        context_.board.failed(id, context_.reactor->now());
+        context_.upstreams.failed(id, context_.reactor->now());
     if (is_misdirected(answer_.status()))
-        context_.board.misplaced(id);
+        context_.upstreams.misplaced(id);
     end_attempt(*result);
 }
 
@@ -436,10 +440,10 @@
         return;
     }
     if (loss == attempt_loss::not_sent)
-        context_.board.unreached(id, context_.reactor->now());
+        context_.upstreams.unreached(id, context_.reactor->now());
     else
-        context_.board.failed(id, context_.reactor->now());
-    const auto* state = context_.board.find(id);
+        context_.upstreams.failed(id, context_.reactor->now());
+    const auto* state = context_.upstreams.find(id);
     if (answer_.begun() && state != nullptr && !state->leaving)
         context_.crash_seen(id);
     if (loss == attempt_loss::broken && resume_at_backup())
@@ -451,9 +455,9 @@
 void exchange::arm_response_timeout()
 {
     const auto& route = *admitted_.route;
-    const auto limit =
-        attempt_response_timeout(current_state(), route.objective,
-                                 context_.answer_times.usual_bound(route.name));
+    const auto limit = attempt_response_timeout(
+        current_state(), route.objective,
+        context_.route_response_times.usual_bound(route.name));
     if (!limit)
         return;
     context_.reactor->post_at(
@@ -475,17 +479,17 @@
 {
     const auto now = context_.reactor->now();
     const auto id = attempt_->upstream().id;
-    const auto* state = context_.board.find(id);
+    const auto* state = context_.upstreams.find(id);
     // A request in an engine's queue would lose its position.
     const bool queues =
         state != nullptr && state->load && state->load->queued > 0;
-    const bool has_time =
-        now + admitted_.route->objective < admitted_.answer_by;
+    const bool has_time = now + admitted_.route->objective < admitted_.deadline;
     if (over_ || !awaits_response() || queues || !has_time ||
         context_.budget.left(service_, now) < 1 ||
-        !context_.choice.for_request(service_, needs(), tried_, now))
+        !context_.choice.for_request(service_, make_placement_request(), tried_,
+                                     now))
         return;
-    context_.board.failed(id, now);
+    context_.upstreams.failed(id, now);
     attempt_->cancel();
     release_attempt();
     end_attempt(attempt_result::lost);
@@ -499,7 +503,7 @@
     state.max_attempts = route.max_attempts;
     state.runs = runs_ + (resume_from_ ? 1 : 0);
     state.sends = sends_;
-    state.is_past_deadline = context_.reactor->now() >= admitted_.answer_by;
+    state.is_past_deadline = context_.reactor->now() >= admitted_.deadline;
     state.answer_begun = answer_.begun() && !route.resumable;
     return state;
 }
@@ -572,27 +576,28 @@
             const upstream_record& source,
             const std::string& refused_by) -> std::optional<upstream_record> {
         const auto to = context_.choice.for_move(
-            service_, needs(source.failure_domain), {source.id, refused_by},
-            context_.reactor->now());
+            service_, make_placement_request(source.failure_domain),
+            {source.id, refused_by}, context_.reactor->now());
         if (!to)
             return std::nullopt;
         // Counted at once, so that the next move of a generation of this
         // engine accounts for the memory.
-        context_.board.expect(to->record.id, facts_.prompt_tokens,
-                              context_.reactor->now());
+        context_.upstreams.expect(to->record.id, facts_.prompt_tokens,
+                                  context_.reactor->now());
         return to->record;
     };
     on.candidates = [this](const upstream_record& source,
                            const std::vector<std::string>& exclude,
                            std::size_t count) {
         return context_.choice.copy_candidates(
-            service_, needs(source.failure_domain), exclude, count,
-            context_.reactor->now());
+            service_, make_placement_request(source.failure_domain), exclude,
+            count, context_.reactor->now());
     };
     on.cost = [this](const upstream_record& source,
                      const upstream_record& engine) {
-        return context_.choice.copy_cost(engine, needs(source.failure_domain),
-                                         context_.reactor->now());
+        return context_.choice.copy_cost(
+            engine, make_placement_request(source.failure_domain),
+            context_.reactor->now());
     };
     on.drop_source = [this] {
         if (attempt_)
@@ -639,7 +644,7 @@
 {
     context_.budget.forced(service_, context_.reactor->now());
     send(upstream, from);
-    const auto* state = context_.board.find(upstream.id);
+    const auto* state = context_.upstreams.find(upstream.id);
     if (state != nullptr && state->leaving)
         upstream_leaving(upstream.id, state->leaves_at);
 }
@@ -649,7 +654,7 @@
     // The engine that stopped the generation may still hold its memory.
     const auto from = *resume_from_;
     for (const auto& id : tried_) {
-        const auto* state = context_.board.find(id);
+        const auto* state = context_.upstreams.find(id);
         if (id == tried_.back() || state == nullptr ||
             state->record.address != from.source)
             continue;
@@ -664,13 +669,13 @@
 bool exchange::resume_at_backup()
 {
     const auto backup = std::exchange(backup_, std::nullopt);
-    if (!backup || context_.reactor->now() >= admitted_.answer_by)
+    if (!backup || context_.reactor->now() >= admitted_.deadline)
         return false;
-    const auto* state = context_.board.find(backup->id);
+    const auto* state = context_.upstreams.find(backup->id);
     if (state == nullptr || state->record != *backup)
         return false;
     record_attempt("lost", "from_backup");
-    recorder_.continued(service_, backup->id);
+    recorder_.resumed_from_backup(service_, backup->id);
     resume_at(*backup, {backup->address, facts_.id});
     return true;
 }
@@ -679,7 +684,8 @@
 
 void exchange::deliver()
 {
-    recorder_.late(answer_.deliver(context_.reactor->now()), tried_.back(), 0);
+    recorder_.record_late_part(answer_.deliver(context_.reactor->now()),
+                               tried_.back(), 0);
     end(answer_.status() >= 500 ? request_outcome::upstream_error
                                 : request_outcome::answered,
         answer_.status());
@@ -721,12 +727,13 @@
         return;
     // The upstream may never respond; later requests should avoid it.
     if (awaits_response())
-        context_.board.failed(attempt_->upstream().id, context_.reactor->now());
+        context_.upstreams.failed(attempt_->upstream().id,
+                                  context_.reactor->now());
     refuse(attempt_ || sends_ > 0 ? gateway_refusal::expired
                                   : gateway_refusal::expired_unsent);
 }
 
-void exchange::caller_left()
+void exchange::on_caller_disconnected()
 {
     if (over_)
         return;
@@ -736,13 +743,13 @@
                       since(request_.arrived, context_.reactor->now()) >
                           admitted_.route->objective;
     if (late)
-        recorder_.late();
+        recorder_.record_missed_objective();
     answer_.drop_writer();
     end(request_outcome::caller_left, answer_.status());
 }
 
-request_summary exchange::report(request_outcome outcome, unsigned status,
-                                 std::string_view reason) const
+request_summary exchange::summarize(request_outcome outcome, unsigned status,
+                                    std::string_view reason) const
 {
     request_summary report;
     report.outcome = outcome;
@@ -768,7 +775,7 @@
 void exchange::end(request_outcome outcome, unsigned status,
                    std::string_view reason)
 {
-    recorder_.ended(facts_.id, report(outcome, status, reason));
+    recorder_.ended(facts_.id, summarize(outcome, status, reason));
     over_ = true;
     const auto self = std::exchange(self_, nullptr);
     context_.running.erase(this);
--- a/src/libcyclamenrun/gateway/exchange.hpp
+++ b/src/libcyclamenrun/gateway/exchange.hpp
@@ -27,8 +27,8 @@
  * generation to another engine when its engine leaves.
  *
  * Keeps itself alive until the answer is final. The owner of the caller's
- * connection must call caller_left() when the caller disconnects, and no member
- * after that.
+ * connection must call on_caller_disconnected() when the caller disconnects,
+ * and no member after that.
  */
 class exchange : public std::enable_shared_from_this<exchange>
 {
@@ -40,7 +40,7 @@
     ~exchange();
 
     void start();
-    void caller_left();
+    void on_caller_disconnected();
     /** Handles an upstream that leaves; `leaves_at` is empty if unknown. */
     void upstream_leaving(const std::string& upstream_id,
                           std::optional<time_point> leaves_at);
@@ -51,8 +51,9 @@
     // Choice of an upstream.
     void dispatch();
     /** Placement request, for bytes sent from this VM or `from_domain`. */
-    placement_request needs() const;
-    placement_request needs(const std::string& from_domain) const;
+    placement_request make_placement_request() const;
+    placement_request
+    make_placement_request(const std::string& from_domain) const;
     /** False once the request may have run or its answer has begun. */
     bool may_refuse() const;
     /** True if monitors must grant the start. */
@@ -105,8 +106,8 @@
     void expire();
     void end(request_outcome outcome, unsigned status,
              std::string_view reason = {});
-    request_summary report(request_outcome outcome, unsigned status,
-                           std::string_view reason) const;
+    request_summary summarize(request_outcome outcome, unsigned status,
+                              std::string_view reason) const;
 
     gateway_context& context_;
     /** Keeps the exchange alive between attempts, until the answer is final. */
--- a/src/libcyclamenrun/gateway/gateway_context.cpp
+++ b/src/libcyclamenrun/gateway/gateway_context.cpp
@@ -14,8 +14,9 @@
     const retry_budget_settings& retries,
     std::optional<milliseconds> lease_term, std::uint64_t seed)
     : reactor(std::move(shared_reactor)), dialect(std::move(wire_dialect)),
-      connections(reactor), callers(reactor), board(std::move(upstream_hooks)),
-      budget(retries), lease(lease_term), random(seed), choice(board, random)
+      connections(reactor), engine_client_pool(reactor),
+      upstreams(std::move(upstream_hooks)), budget(retries), lease(lease_term),
+      random(seed), choice(upstreams, random)
 {
 }
 
--- a/src/libcyclamenrun/gateway/gateway_context.hpp
+++ b/src/libcyclamenrun/gateway/gateway_context.hpp
@@ -49,10 +49,10 @@
     bool log_every_step = false;
 
     upstream_connections connections;
-    engine_clients callers;
-    upstream_registry board;
+    engine_clients engine_client_pool;
+    upstream_registry upstreams;
     shared_retry_budget budget;
-    response_times answer_times;
+    response_times route_response_times;
     configuration_lease lease;
     backup_policy backups;
     /** Null until a configuration is known; replaced, never modified. */
--- a/src/libcyclamenrun/gateway/gateway_process.cpp
+++ b/src/libcyclamenrun/gateway/gateway_process.cpp
@@ -80,7 +80,7 @@
         relays_.reset();
         for (auto* running :
              std::vector(context_->running.begin(), context_->running.end()))
-            running->shared_from_this()->caller_left();
+            running->shared_from_this()->on_caller_disconnected();
     });
     // Ends the loop's threads before the members that they use are destroyed.
     loop_.reset();
@@ -100,18 +100,19 @@
 void gateway_process::start(gateway_platform platform)
 {
     const auto& reactor = loop_->reactor();
-    upstream_registry::hooks board;
-    board.leaving = [this](const std::string& id,
-                           std::optional<time_point> leaves_at) {
+    upstream_registry::hooks upstream_hooks;
+    upstream_hooks.leaving = [this](const std::string& id,
+                                    std::optional<time_point> leaves_at) {
         upstream_leaving(id, leaves_at);
     };
-    board.gone = [this](const std::string& id) {
+    upstream_hooks.gone = [this](const std::string& id) {
         context_->connections.forget(id);
-        context_->callers.forget(id);
+        context_->engine_client_pool.remove(id);
     };
     context_ = std::make_unique<gateway_context>(
-        reactor, platform.dialect, std::move(board), budget_settings(settings_),
-        lease_term(settings_), std::random_device{}());
+        reactor, platform.dialect, std::move(upstream_hooks),
+        budget_settings(settings_), lease_term(settings_),
+        std::random_device{}());
     context_->failure_domain = settings_.failure_domain;
     context_->log_every_step = settings_.log_every_step;
     directory_ =
@@ -128,10 +129,10 @@
         return;
     monitor_link::hooks on;
     on.load = [this](const ip_endpoint& engine, const engine_load& load) {
-        context_->board.take_load(engine, load, context_->reactor->now());
+        context_->upstreams.take_load(engine, load, context_->reactor->now());
     };
     on.identity = [this](const ip_endpoint& engine, const std::string& id) {
-        context_->board.take_identity(engine, id, context_->reactor->now());
+        context_->upstreams.take_identity(engine, id, context_->reactor->now());
     };
     on.health_target = [this] {
         return context_->routes ? context_->routes->engine_health_target()
@@ -169,7 +170,7 @@
     if (!context_->routes || !relays_)
         return hosts;
     for (const auto& name : context_->routes->engine_services())
-        hosts.merge(context_->board.hosts_in_use(name));
+        hosts.merge(context_->upstreams.hosts_in_use(name));
     for (auto& host : relays_->chosen_hosts())
         hosts.insert(std::move(host));
     return hosts;
@@ -181,7 +182,7 @@
     if (!context_->routes)
         return candidates;
     for (const auto& name : context_->routes->engine_services()) {
-        for (const auto* engine : context_->board.available(name)) {
+        for (const auto* engine : context_->upstreams.available(name)) {
             const auto& host = engine->record.address.host;
             if (!context_->monitors->misses(host))
                 candidates.push_back({host, engine->record.failure_domain});
@@ -226,7 +227,7 @@
         served->start();
         return [weak = std::weak_ptr(served)] {
             if (const auto exchange = weak.lock())
-                exchange->caller_left();
+                exchange->on_caller_disconnected();
         };
     };
     hooks.limits = [this] { return limits(); };
@@ -248,7 +249,7 @@
         head.status = state || ready() ? 200 : 503;
         head.fields.push_back({"Content-Type", "application/json"});
         writer->whole(std::move(head), state ? state_text() : "");
-        return session_hooks::caller_left();
+        return session_hooks::disconnect_handler();
     };
     hooks.limits = [] { return session_limits(); };
     return hooks;
@@ -269,7 +270,7 @@
            ",\"configuration_age_ms\":" +
            std::to_string(age ? age->count() : -1) +
            ",\"relayed\":" + (directory_->relayed() ? "true" : "false") +
-           ",\"upstreams\":" + std::to_string(context_->board.size()) +
+           ",\"upstreams\":" + std::to_string(context_->upstreams.size()) +
            ",\"running\":" + std::to_string(context_->running.size()) +
            ",\"connections\":" + std::to_string(caller_server_->connections()) +
            ",\"idle_upstream_connections\":" +
@@ -289,8 +290,8 @@
     metrics.set(exported_metric::running, {}, context_->running.size());
     metrics.set(exported_metric::connections, {},
                 caller_server_->connections());
-    for (const auto& service : context_->board.services()) {
-        const auto estimated = context_->board.totals(service, now);
+    for (const auto& service : context_->upstreams.services()) {
+        const auto estimated = context_->upstreams.totals(service, now);
         metrics.set(exported_metric::upstreams, {service}, estimated.upstreams);
         metrics.set(exported_metric::free_slots, {service},
                     estimated.free_slots);
--- a/src/libcyclamenrun/gateway/generation_move.cpp
+++ b/src/libcyclamenrun/gateway/generation_move.cpp
@@ -37,7 +37,7 @@
 {
     stop_ordered_ = stop_first;
     const auto& dialect = *context_.dialect;
-    context_.callers.idle_client(source_)->call(
+    context_.engine_client_pool.idle_client(source_)->call(
         dialect.move_call(),
         dialect.move_body(request_id_, destination_.address, stop_first),
         deadline_, [self = shared_from_this()](call_outcome outcome) {
@@ -103,7 +103,7 @@
     on_ = {};
     if (handle_.empty())
         return;
-    context_.callers.idle_client(source_)->call(
+    context_.engine_client_pool.idle_client(source_)->call(
         context_.dialect->free_copy_call(handle_), {}, deadline_,
         [](const call_outcome&) {
             // Engines expire copies that are not freed.
--- a/src/libcyclamenrun/gateway/load_probe.cpp
+++ b/src/libcyclamenrun/gateway/load_probe.cpp
@@ -38,7 +38,7 @@
 
 void load_probe::query(const upstream_record& engine)
 {
-    context_.callers.idle_client(engine)->call(
+    context_.engine_client_pool.idle_client(engine)->call(
         context_.dialect->load_call(), {},
         context_.reactor->now() + call_timeout,
         [weak = weak_from_this(), engine](const call_outcome& outcome) {
@@ -54,8 +54,8 @@
         return context_.dialect->read_load(reply);
     });
     if (load)
-        context_.board.take_load(engine.address, *load,
-                                 context_.reactor->now());
+        context_.upstreams.take_load(engine.address, *load,
+                                     context_.reactor->now());
     if (--pending_replies_ == 0)
         finish();
 }
--- a/src/libcyclamenrun/gateway/metrics_listener.cpp
+++ b/src/libcyclamenrun/gateway/metrics_listener.cpp
@@ -25,7 +25,7 @@
     hooks.serve = [this](const caller_request& request,
                          const std::shared_ptr<answer_writer>& writer) {
         answer(request, *writer);
-        return session_hooks::caller_left();
+        return session_hooks::disconnect_handler();
     };
     hooks.limits = [] { return session_limits(); };
     try {
--- a/src/libcyclamenrun/gateway/request_admission.cpp
+++ b/src/libcyclamenrun/gateway/request_admission.cpp
@@ -37,7 +37,7 @@
         if (admitted.team == nullptr)
             return tl::unexpected(gateway_refusal::unknown_key);
     }
-    admitted.answer_by = answer_deadline(facts, *admitted.route, arrived);
+    admitted.deadline = answer_deadline(facts, *admitted.route, arrived);
     return admitted;
 }
 
--- a/src/libcyclamenrun/gateway/request_admission.hpp
+++ b/src/libcyclamenrun/gateway/request_admission.hpp
@@ -21,7 +21,7 @@
      * Earliest of the caller's deadline, the route's deadline and the default
      * answer timeout.
      */
-    time_point answer_by;
+    time_point deadline;
 };
 
 /** Upper bound of the time to answer; also the default. */
--- a/src/libcyclamenrun/gateway/request_profile.cpp
+++ b/src/libcyclamenrun/gateway/request_profile.cpp
@@ -49,7 +49,8 @@
     return service != nullptr && service->engine ? &*service->engine : nullptr;
 }
 
-placement_request request_profile::needs(const std::string& from_domain) const
+placement_request
+request_profile::make_placement_request(const std::string& from_domain) const
 {
     placement_request request;
     request.prompt_tokens = prompt_tokens_;
--- a/src/libcyclamenrun/gateway/request_profile.hpp
+++ b/src/libcyclamenrun/gateway/request_profile.hpp
@@ -33,7 +33,8 @@
     /** Properties of the serving engines; null: a plain service. */
     const engine_traits* engine() const;
     /** `from_domain`: failure domain of the request's bytes or memory. */
-    placement_request needs(const std::string& from_domain) const;
+    placement_request
+    make_placement_request(const std::string& from_domain) const;
     /** The start request to the monitors. */
     start_request make_start_request(const std::string& id,
                                      time_point arrived) const;
--- a/src/libcyclamenrun/gateway/request_recorder.cpp
+++ b/src/libcyclamenrun/gateway/request_recorder.cpp
@@ -65,8 +65,9 @@
                    {log_key::next, next}});
 }
 
-void request_recorder::late(const answer_relay::progress& progress,
-                            const std::string& upstream, std::uint64_t events)
+void request_recorder::record_late_part(const answer_relay::progress& progress,
+                                        const std::string& upstream,
+                                        std::uint64_t events)
 {
     if (!progress.late_pause)
         return;
@@ -108,8 +109,8 @@
                    {log_key::reason, result}});
 }
 
-void request_recorder::continued(const std::string& service,
-                                 const std::string& upstream)
+void request_recorder::resumed_from_backup(const std::string& service,
+                                           const std::string& upstream)
 {
     metrics_.count(exported_metric::moves, {service, "from_backup"});
     trace_.record(log_event_name::generation_continued,
--- a/src/libcyclamenrun/gateway/request_recorder.hpp
+++ b/src/libcyclamenrun/gateway/request_recorder.hpp
@@ -47,17 +47,18 @@
     void attempt_ended(const attempt& ended, std::string_view result,
                        std::string_view next);
 
-    void late(const answer_relay::progress& progress,
-              const std::string& upstream, std::uint64_t events);
+    void record_late_part(const answer_relay::progress& progress,
+                          const std::string& upstream, std::uint64_t events);
     /** No part of the answer arrived within the route's objective. */
-    void late() { trace_.mark_late(); }
+    void record_missed_objective() { trace_.mark_late(); }
 
     void backed_up(const std::string& service, const std::string& upstream);
     void move_step_taken(move_step step, const std::string& upstream);
     /** Without a failure the generation continues at `to`. */
     void move_tried(const std::string& service, const std::string& from,
                     const std::string& to, std::optional<move_failure> failure);
-    void continued(const std::string& service, const std::string& upstream);
+    void resumed_from_backup(const std::string& service,
+                             const std::string& upstream);
 
     void ended(const std::string& request_id, const request_summary& report);
 
--- a/src/libcyclamenrun/gateway/start_search.cpp
+++ b/src/libcyclamenrun/gateway/start_search.cpp
@@ -101,7 +101,7 @@
 void start_search::drop_unusable()
 {
     std::erase_if(requested_, [&](const requested_engine& each) {
-        const auto* state = context_.board.find(each.engine.id);
+        const auto* state = context_.upstreams.find(each.engine.id);
         return state == nullptr || state->leaving;
     });
 }
@@ -173,7 +173,7 @@
 bool start_search::may_use(const requested_engine& engine) const
 {
     // The directory may report that the engine leaves before its monitor does.
-    const auto* state = context_.board.find(engine.engine.id);
+    const auto* state = context_.upstreams.find(engine.engine.id);
     return engine.place && state != nullptr && !state->leaving &&
            state->record == engine.engine;
 }
@@ -189,7 +189,7 @@
     found->responded = true;
     found->place = place;
     // The engine may have restarted since the start request.
-    const auto* there = context_.board.find_at(found->engine.address);
+    const auto* there = context_.upstreams.find_at(found->engine.address);
     if (there != nullptr)
         found->engine = there->record;
     if (all_responded()) {
--- a/src/libcyclamenrun/gateway/upstream_attempt.cpp
+++ b/src/libcyclamenrun/gateway/upstream_attempt.cpp
@@ -53,7 +53,7 @@
 {
     connection_ =
         request_.new_connection
-            ? connections_.open(request_.upstream, request_.patience)
+            ? connections_.open(request_.upstream, request_.timeouts)
             : connections_.acquire(request_.upstream, reactor_->now());
     if (!connection_) {
         reactor_->post([self = shared_from_this()] {
--- a/src/libcyclamenrun/gateway/upstream_attempt.hpp
+++ b/src/libcyclamenrun/gateway/upstream_attempt.hpp
@@ -44,7 +44,7 @@
         std::string id; ///< request id, to match the response
         std::string text;
         bool new_connection = false;       ///< do not reuse an idle connection
-        connection_timeouts patience;      ///< used for a new connection
+        connection_timeouts timeouts;      ///< used for a new connection
         bool has_no_response_body = false; ///< the request is a HEAD request
         time_point connect_deadline;
     };
--- a/src/libcyclamenrun/gateway/upstream_choice.cpp
+++ b/src/libcyclamenrun/gateway/upstream_choice.cpp
@@ -46,7 +46,7 @@
 upstream_choice::candidates(const std::string& service,
                             const std::vector<std::string>& excluded) const
 {
-    auto all = board_.available(service);
+    auto all = upstreams_.available(service);
     std::erase_if(all, [&](const upstream_state* upstream) {
         return std::find(excluded.begin(), excluded.end(),
                          upstream->record.id) != excluded.end();
@@ -95,7 +95,7 @@
 {
     std::vector<const upstream_state*> known;
     for (const auto& engine : engines) {
-        const auto* state = board_.find(engine.id);
+        const auto* state = upstreams_.find(engine.id);
         if (state != nullptr && !state->leaving && !state->superseded &&
             has_fresh_load(*state, now))
             known.push_back(state);
@@ -150,7 +150,7 @@
                                    const placement_request& request,
                                    time_point now) const
 {
-    const auto* state = board_.find(engine.id);
+    const auto* state = upstreams_.find(engine.id);
     placement_candidate reported = state == nullptr
                                        ? placement_candidate()
                                        : placement_of(*state, request, now);
@@ -168,7 +168,7 @@
                                   const placement_request& request,
                                   time_point now) const
 {
-    const auto* state = board_.find(engine.id);
+    const auto* state = upstreams_.find(engine.id);
     return placement_cost(state == nullptr ? placement_candidate()
                                            : placement_of(*state, request, now),
                           copy_weights);
--- a/src/libcyclamenrun/gateway/upstream_choice.hpp
+++ b/src/libcyclamenrun/gateway/upstream_choice.hpp
@@ -30,8 +30,8 @@
 class upstream_choice
 {
 public:
-    upstream_choice(const upstream_registry& board, std::mt19937_64& random)
-        : board_(board), random_(random)
+    upstream_choice(const upstream_registry& upstreams, std::mt19937_64& random)
+        : upstreams_(upstreams), random_(random)
     {
     }
 
@@ -100,7 +100,7 @@
            const placement_request& request, const placement_weights& weights,
            time_point now);
 
-    const upstream_registry& board_;
+    const upstream_registry& upstreams_;
     std::mt19937_64& random_;
 };
 
--- a/src/libcyclamenrun/http/http_session.hpp
+++ b/src/libcyclamenrun/http/http_session.hpp
@@ -33,8 +33,9 @@
  * disconnects before its answer is complete.
  */
 struct session_hooks {
-    using caller_left = std::function<void()>;
-    std::function<caller_left(caller_request, std::shared_ptr<answer_writer>)>
+    using disconnect_handler = std::function<void()>;
+    std::function<disconnect_handler(caller_request,
+                                     std::shared_ptr<answer_writer>)>
         serve;
     std::function<session_limits()> limits;
     /** While it returns true, connections close after the current answer. */
@@ -98,7 +99,7 @@
     bool closing_ = false;
     bool head_only_ = false;
     std::uint64_t answer_number_ = 0; ///< outdated writers are ignored
-    session_hooks::caller_left on_disconnect_;
+    session_hooks::disconnect_handler on_disconnect_;
     std::function<void()> on_drained_;
     time_point deadline_;
     std::optional<time_point> timer_at_; ///< of the timer in effect
--- a/src/libcyclamenrun/operators/request_timeline.cpp
+++ b/src/libcyclamenrun/operators/request_timeline.cpp
@@ -82,7 +82,7 @@
 
 } // namespace
 
-void request_timeline::take(const std::string& line)
+void request_timeline::add_line(const std::string& line)
 {
     auto record = parse_log_line(line);
     if (!record)
--- a/src/libcyclamenrun/operators/request_timeline.hpp
+++ b/src/libcyclamenrun/operators/request_timeline.hpp
@@ -26,7 +26,7 @@
     }
 
     /** Adds one line of a log; lines may be added in any order. */
-    void take(const std::string& line);
+    void add_line(const std::string& line);
 
     /** Whether no line has the id of the request. */
     bool empty() const { return steps_.empty(); }
--- a/tests/gateway/test_answer_relay.cpp
+++ b/tests/gateway/test_answer_relay.cpp
@@ -50,7 +50,7 @@
         route.objective = milliseconds(100);
         route.gap_target = milliseconds(50);
         answer_relay relay(writer, arrived);
-        relay.expect(route, std::nullopt);
+        relay.set_route(route, std::nullopt);
         return relay;
     }
 
--- a/tests/gateway/test_copy_turn_search.cpp
+++ b/tests/gateway/test_copy_turn_search.cpp
@@ -90,7 +90,9 @@
         record.address = {host, 80};
         record.slots = 8;
         engines.push_back(record);
-        on_loop([&] { context->board.apply({record.id, record}, {}, false); });
+        on_loop([&] {
+            context->upstreams.apply({record.id, record}, {}, false);
+        });
         monitors.push_back(
             std::make_unique<scripted_monitor>(host, port, std::move(play)));
         return *monitors.back();
@@ -216,7 +218,7 @@
     on_loop([this] {
         auto leaving = engines.front();
         leaving.draining = true;
-        context->board.apply({leaving.id, leaving}, {}, false);
+        context->upstreams.apply({leaving.id, leaving}, {}, false);
     });
     begin();
     EXPECT_EQ(wait_for_result(), "on-127.0.0.3");
--- a/tests/gateway/test_explaining.cpp
+++ b/tests/gateway/test_explaining.cpp
@@ -30,7 +30,7 @@
         request_timeline timeline(id);
         std::istringstream log(process->output());
         for (std::string line; std::getline(log, line);)
-            timeline.take("collector 10.1.0.19 " + line);
+            timeline.add_line("collector 10.1.0.19 " + line);
         if (timeline.empty())
             return "no line has the id " + id;
         std::ostringstream text;
@@ -112,7 +112,7 @@
     request_timeline timeline("a");
     for (const auto* line : {"", "{", "plain text", "{\"time\":1}", "[]",
                              "\xff\xfe{\"event\":\"x\"}"})
-        timeline.take(line);
+        timeline.add_line(line);
     EXPECT_TRUE(timeline.empty());
 }
 
@@ -127,11 +127,11 @@
                R"("revision":)" +
                what + "}";
     };
-    timeline.take(applied("01.000", "1"));
-    timeline.take(applied("03.000", "2"));
-    timeline.take(R"({"time":"2026-01-01T00:00:04.000Z","process":"g",)"
-                  R"("event":"request_finished","request_id":"a",)"
-                  R"("duration_ms":2500})");
+    timeline.add_line(applied("01.000", "1"));
+    timeline.add_line(applied("03.000", "2"));
+    timeline.add_line(R"({"time":"2026-01-01T00:00:04.000Z","process":"g",)"
+                      R"("event":"request_finished","request_id":"a",)"
+                      R"("duration_ms":2500})");
     std::ostringstream text;
     timeline.print(text);
     EXPECT_THAT(text.str(),
@@ -151,9 +151,9 @@
                R"(.000Z","severity":"info","process":")" + process +
                R"(","event":")" + event + R"(","request_id":"a"})";
     };
-    timeline.take(line("2", "g", "request_finished"));
-    timeline.take(line("1", "h", "attempt_placed"));
-    timeline.take(line("0", "g", "request_admitted"));
+    timeline.add_line(line("2", "g", "request_finished"));
+    timeline.add_line(line("1", "h", "attempt_placed"));
+    timeline.add_line(line("0", "g", "request_admitted"));
     std::ostringstream text;
     timeline.print(text);
     EXPECT_THAT(text.str(), ContainsRegex("0   g request_admitted\n"
--- a/tests/gateway/test_gateway_routes.cpp
+++ b/tests/gateway/test_gateway_routes.cpp
@@ -84,7 +84,7 @@
     ASSERT_TRUE(admitted);
     EXPECT_EQ(admitted->team->name, "north");
     EXPECT_EQ(admitted->route->name, "a");
-    EXPECT_EQ(admitted->answer_by, time_point(milliseconds(1500)));
+    EXPECT_EQ(admitted->deadline, time_point(milliseconds(1500)));
 }
 
 TEST(request_admission, uses_the_earlier_deadline)
@@ -92,7 +92,7 @@
     auto changed = configuration();
     changed.routes[1].timeout = milliseconds(200);
     const gateway_routes routes(std::move(changed));
-    EXPECT_EQ(admit({}, routes)->answer_by, time_point(milliseconds(1200)));
+    EXPECT_EQ(admit({}, routes)->deadline, time_point(milliseconds(1200)));
 }
 
 // Guards against decisions by a missing or outdated configuration: after a
--- a/tests/gateway/test_request_profile.cpp
+++ b/tests/gateway/test_request_profile.cpp
@@ -49,7 +49,8 @@
 
 TEST_F(request_profiles, find_the_engines_of_their_service)
 {
-    EXPECT_EQ(profile("model").needs("d").engine_memory_tokens, 34000U);
+    EXPECT_EQ(profile("model").make_placement_request("d").engine_memory_tokens,
+              34000U);
     EXPECT_TRUE(profile("model").allows_backup());
     EXPECT_EQ(profile("app").engine(), nullptr);
     EXPECT_FALSE(profile("app").allows_backup());
--- a/tests/product/test_instrumentation.cpp
+++ b/tests/product/test_instrumentation.cpp
@@ -54,7 +54,7 @@
     MOCK_METHOD(bool, end, (const write_end&), (override));
     MOCK_METHOD(bool, answer, (const write_answer&), (override));
     MOCK_METHOD(bool, refuse, (const refusal&), (override));
-    MOCK_METHOD(bool, gone, (), (override));
+    MOCK_METHOD(bool, is_disconnected, (), (override));
 };
 
 /**
