--- a/bench/bench_agent.cpp
+++ b/bench/bench_agent.cpp
@@ -83,7 +83,7 @@
     if (!admission_)
         return result;
     for (const auto id : result.tokens)
-        admission_->tokens_made(id, 1, now);
+        admission_->record_output_tokens(id, 1, now);
     for (const auto id : result.finished)
         admission_->finished(id, true, now);
     return result;
@@ -105,7 +105,7 @@
                                        time_point now)
 {
     if (admission_)
-        admission_->engine_load(hint, now);
+        admission_->update_engine_load(hint, now);
 }
 
 engine_load_hint bench_agent::engine_load() const
--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -102,7 +102,7 @@
 {
     route_table_settings settings;
     settings.members.entry = "entry-1";
-    settings.members.subset.size = subset;
+    settings.members.subset.min_size = subset;
     settings.members.subset.max_size = subset;
     auto routes = std::make_shared<route_table>(settings);
     routes->members().on_list(agents_of_one_service(agents), start);
@@ -136,7 +136,7 @@
     }
     desk.on_configuration(view);
     for (const auto* team : view.resources.teams()) {
-        if (desk.start(*team, 100, start))
+        if (desk.admit(*team, 100, start))
             desk.finish(team->name());
     }
     return held;
@@ -161,7 +161,7 @@
     hooks.start = [](const admitted_work&) {};
     hooks.stop = [](work_id) {};
     hooks.wake = [](reader_id) {};
-    hooks.news = [] {};
+    hooks.state_changed = [] {};
     auto probed_gate = std::make_shared<gate>(settings, hooks);
     probed_gate->engine_ready(0, start);
     return probed_gate;
@@ -219,7 +219,7 @@
         auto dispatch = generation(i);
         *dispatch.mutable_ticket() =
             authority.mint({"vm-1", 1, "team", "service", 600'000});
-        result->enter(dispatch, i, start);
+        result->record_use(dispatch, i, start);
     }
     return result;
 }
--- a/bench/decision_cost_command.cpp
+++ b/bench/decision_cost_command.cpp
@@ -95,7 +95,7 @@
         const time_point now = begin + i * 1ms;
         const auto chosen = routes.choose(request, candidates, now);
         routes.dispatched(candidates[*chosen].upstream, request, now);
-        routes.settled(candidates[*chosen].upstream, now);
+        routes.completed(candidates[*chosen].upstream, now);
     }
     return microseconds_each(processor_time() - from, rounds);
 }
@@ -139,7 +139,7 @@
         std::ignore = queue.enqueue(std::move(work_items[next++]), now);
         for (const work_id id : queue.admit(now)) {
             running.push_back(id);
-            queue.tokens_made(id, 1 + id % 300, now);
+            queue.record_output_tokens(id, 1 + id % 300, now);
         }
         if (running.empty())
             continue;
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -317,7 +317,7 @@
         at(client.deadline, [this, id] { give_up(id); });
     client.entry = pick_entry();
     client.last_request = now_;
-    entries_[client.entry]->retries().request(
+    entries_[client.entry]->retries().record_request(
         settings_.site.teams[requests_[id].team].name);
     route(id);
 }
@@ -410,7 +410,7 @@
 {
     caller& client = callers_[id];
     bench_entry& entry = *entries_[client.entry];
-    entry.routes().settled(agents_[client.runner]->name, now_);
+    entry.routes().completed(agents_[client.runner]->name, now_);
     client.excluded.push_back(agents_[client.runner]->name);
     client.current_phase = caller::phase::not_dispatched;
     client.runner = SIZE_MAX;
@@ -459,8 +459,8 @@
         return;
     if (client.current_phase == caller::phase::dispatched) {
         agents_[client.runner]->cancel(id, now_);
-        entries_[client.entry]->routes().settled(agents_[client.runner]->name,
-                                                 now_);
+        entries_[client.entry]->routes().completed(agents_[client.runner]->name,
+                                                   now_);
     }
     if (is_measured(client))
         ++measures_.gave_up;
@@ -557,8 +557,8 @@
 {
     caller& client = callers_[id];
     client.current_phase = caller::phase::done;
-    entries_[client.entry]->routes().settled(agents_[client.runner]->name,
-                                             now_);
+    entries_[client.entry]->routes().completed(agents_[client.runner]->name,
+                                               now_);
     if (in_window(now_)) {
         ++measures_.answers_in_window;
         measures_.tokens_in_window += client.delivered;
@@ -622,8 +622,8 @@
         retry_elsewhere(id, std::nullopt);
         return;
     }
-    entries_[client.entry]->routes().settled(agents_[client.runner]->name,
-                                             now_);
+    entries_[client.entry]->routes().completed(agents_[client.runner]->name,
+                                               now_);
     if (client.poison && client.losses < max_poison_attempts) {
         resend_poison(id);
         return;
--- a/fuzz/fuzz_monitor_datagrams.cpp
+++ b/fuzz/fuzz_monitor_datagrams.cpp
@@ -30,9 +30,9 @@
     {
         now_ += milliseconds(1 + request.turn_tokens() % 100);
         if (!request.turn_wanted().empty())
-            (void)turns_.ask({request.turn_wanted(), request.gateway(),
-                              request.turn_tokens()},
-                             now_);
+            (void)turns_.request_turn({request.turn_wanted(), request.gateway(),
+                                       request.turn_tokens()},
+                                      now_);
         turns_.end(request.turn_ended());
         if (request.has_start_wanted())
             handle_start_request(request.start_wanted());
@@ -48,7 +48,7 @@
         status.memory_total = notice.load().memory_total();
         now_ += milliseconds(50);
         starts_.update_status(status, notice.load().leaving(), now_);
-        const auto granted = starts_.give(now_);
+        const auto granted = starts_.grant_starts(now_);
         check(granted.empty() || !starts_.leaving());
         check(!starts_.leaving() || !starts_.has_room_for_copy(0));
     }
@@ -59,7 +59,7 @@
         const auto next = starts_.next_event(now_);
         check(!next || *next > now_);
         const auto holder = turns_.holder(now_);
-        check(!holder || turns_.ask(*holder, now_));
+        check(!holder || turns_.request_turn(*holder, now_));
     }
 
 private:
@@ -74,7 +74,7 @@
         request.first_due =
             now_ + milliseconds(wanted.first_due_ms() % (1 << 30));
         starts_.set_slots(wanted.slots());
-        starts_.ask(request, now_);
+        starts_.request_start(request, now_);
         (void)starts_.is_passed_over(request, now_);
     }
 
--- a/src/libcyclamenrun/agent/agent_process.cpp
+++ b/src/libcyclamenrun/agent/agent_process.cpp
@@ -89,7 +89,7 @@
     hooks.start = [this](const admitted_work& order) { driver_->start(order); };
     hooks.stop = [this](work_id work) { driver_->stop(work); };
     hooks.wake = [this](reader_id reader) { server_->wake(reader); };
-    hooks.news = [this] { server_->on_state_changed(); };
+    hooks.state_changed = [this] { server_->on_state_changed(); };
     gate_ = std::make_unique<gate>(gate_settings_of(settings_, incarnation_),
                                    std::move(hooks));
     add_dump_sections();
@@ -162,9 +162,9 @@
         view ? view->resources.service(settings_.service) : nullptr;
     if (service == nullptr)
         return;
-    gate_->pursue(service->objective() == v1::OBJECTIVE_TOKEN_LATENCY
-                      ? objective::token_latency
-                      : objective::stall_time);
+    gate_->apply_objective(service->objective() == v1::OBJECTIVE_TOKEN_LATENCY
+                               ? objective::token_latency
+                               : objective::stall_time);
 }
 
 std::string agent_process::address() const
--- a/src/libcyclamenrun/agent/upstream_driver.cpp
+++ b/src/libcyclamenrun/agent/upstream_driver.cpp
@@ -123,7 +123,7 @@
     }
     // Guards against a stop() that came before the run was added to active_
     // and so had no effect. The gate does not need the run any more then.
-    if (!gate_->wanted(order.work)) {
+    if (!gate_->should_run(order.work)) {
         remove_run(order.work);
         return;
     }
@@ -228,7 +228,7 @@
 {
     // A lost engine can make the request a suspect; a failure of only this run
     // does not. The engine is polled at once to tell the two cases apart.
-    if (may_be_engine_loss(error.failure) && gate_->wanted(order.work) &&
+    if (may_be_engine_loss(error.failure) && gate_->should_run(order.work) &&
         !poll_engine()) {
         handle_engine_loss();
         return;
--- a/src/libcyclamenrun/decisions/admission.cpp
+++ b/src/libcyclamenrun/decisions/admission.cpp
@@ -76,7 +76,7 @@
     queue.drain.advance(now, !queue.waiting.empty());
     if (queue.work_items++ == 0)
         queue.account = &shares_.open(work.team, work.team_weight);
-    queue.expected_tokens = expected_tokens(work);
+    queue.last_expected_tokens = expected_tokens(work);
     if (work.suspect)
         suspects_.push_back(work.id);
     else
@@ -100,7 +100,7 @@
 
 double admission::expected_tokens(const waiting_work& work)
 {
-    if (!work.sized || !settings_.parts.prediction)
+    if (!work.uses_memory || !settings_.parts.prediction)
         return 0.0;
     return static_cast<double>(
         lengths_.curve(work.service, work.team)
@@ -125,7 +125,7 @@
         return not_run(refusal_reason::deadline_passed);
     const double usable =
         usable_memory_share * static_cast<double>(settings_.memory_tokens);
-    if (work.sized && work.prompt_tokens >= usable)
+    if (work.uses_memory && work.prompt_tokens >= usable)
         return not_run(refusal_reason::too_large, "prompt exceeds the memory");
     return std::nullopt;
 }
@@ -227,7 +227,7 @@
     double least = std::numeric_limits<double>::max();
     for (team_queue* queue : waiting_queues_) {
         const double key = queue->account->counter +
-                           settings_.short_first * queue->expected_tokens;
+                           settings_.short_first * queue->last_expected_tokens;
         if (key >= least)
             continue;
         least = key;
@@ -253,7 +253,7 @@
         return false;
     if (blocked_by_suspect(next))
         return false;
-    if (!next.work.sized)
+    if (!next.work.uses_memory)
         return true;
     if (prefill_tokens_ > 0 && prefill_tokens_ + uncached_tokens(next.work) >
                                    settings_.max_prefill_tokens)
@@ -304,7 +304,7 @@
 
 void admission::add_to(memory_projection& projection, const record& item)
 {
-    if (!item.work.sized)
+    if (!item.work.uses_memory)
         return;
     const memory_projection::answer answer{
         private_tokens(item), item.output_tokens, item.work.max_output_tokens};
@@ -331,7 +331,7 @@
     running_records_.push_back(&next);
     ++running_;
     running_suspects_ += next.work.suspect ? 1 : 0;
-    if (!next.work.sized) {
+    if (!next.work.uses_memory) {
         shares_.charge(*next.queue->account, 1.0);
         return;
     }
@@ -339,7 +339,7 @@
                    prompt_token_cost * next.work.prompt_tokens);
     next.prefill_tokens = uncached_tokens(next.work);
     prefill_tokens_ += next.prefill_tokens;
-    cache_.used(next.work.prefix_blocks);
+    cache_.record_use(next.work.prefix_blocks);
     private_tokens_ += private_tokens(next);
     if (settings_.parts.prefix)
         prefixes_.acquire(next.work.prefix_blocks);
@@ -350,7 +350,7 @@
     if (!settings_.parts.prefix)
         return work.prompt_tokens;
     return work.prompt_tokens -
-           cache_.held(work.prefix_blocks) * settings_.block_tokens;
+           cache_.count_cached(work.prefix_blocks) * settings_.block_tokens;
 }
 
 std::uint64_t admission::private_tokens(const record& item) const
@@ -362,16 +362,17 @@
            item.work.prefix_blocks.size() * settings_.block_tokens;
 }
 
-void admission::tokens_made(work_id id, std::uint32_t count, time_point)
+void admission::record_output_tokens(work_id id, std::uint32_t count,
+                                     time_point)
 {
     const auto found = records_.find(id);
     if (found == records_.end() || !found->second.started || count == 0)
         return;
     record& item = found->second;
-    if (item.output_tokens == 0 && item.work.sized)
+    if (item.output_tokens == 0 && item.work.uses_memory)
         prefill_tokens_ -= item.prefill_tokens;
     item.output_tokens += count;
-    private_tokens_ += item.work.sized ? count : 0;
+    private_tokens_ += item.work.uses_memory ? count : 0;
     shares_.charge(*item.queue->account, count);
 }
 
@@ -396,7 +397,7 @@
     advance(now);
     if (item.started) {
         stop(item);
-        if (item.work.sized)
+        if (item.work.uses_memory)
             lengths_.learn(item.work.service, item.work.team,
                            item.output_tokens, complete);
     } else {
@@ -434,7 +435,7 @@
     running_records_.pop_back();
     --running_;
     running_suspects_ -= item.work.suspect ? 1 : 0;
-    if (!item.work.sized)
+    if (!item.work.uses_memory)
         return;
     if (item.output_tokens == 0)
         prefill_tokens_ -= item.prefill_tokens;
@@ -453,7 +454,7 @@
     return ids;
 }
 
-void admission::pursue(objective goal)
+void admission::apply_objective(objective goal)
 {
     const auto defaults = default_admission(goal);
     settings_.goal = goal;
@@ -472,7 +473,7 @@
     external_tokens_ = tokens;
 }
 
-void admission::engine_load(const engine_load_hint& hint, time_point)
+void admission::update_engine_load(const engine_load_hint& hint, time_point)
 {
     const auto own_count = static_cast<double>(
         private_tokens_ + prefixes_.size() * settings_.block_tokens +
--- a/src/libcyclamenrun/decisions/admission.hpp
+++ b/src/libcyclamenrun/decisions/admission.hpp
@@ -32,8 +32,8 @@
     std::uint32_t max_output_tokens = 0;
     std::vector<std::uint64_t> prefix_blocks; ///< chained hashes
     time_point deadline{};
-    bool suspect = false; ///< may only run alone
-    bool sized = true;    ///< false: a plain call; takes a slot, no memory
+    bool suspect = false;    ///< may only run alone
+    bool uses_memory = true; ///< false: a plain call; takes a slot, no memory
 };
 
 /** Load reported by the engine. It lags, so it only corrects own counts. */
@@ -72,7 +72,7 @@
     /** Starts the work items that may run; returns them in start order. */
     std::vector<work_id> admit(time_point now);
 
-    void tokens_made(work_id id, std::uint32_t count, time_point now);
+    void record_output_tokens(work_id id, std::uint32_t count, time_point now);
     /**
      * Removes a work item that ended. If it was running, its length updates
      * the length predictor, as a lower bound if it is not complete.
@@ -87,14 +87,14 @@
     int priority(work_id id) const;
 
     /** Switches to the default settings of another objective. */
-    void pursue(objective goal);
+    void apply_objective(objective goal);
 
     /**
      * Sets the engine memory used by work outside this process, in tokens.
      * It counts as taken.
      */
     void set_external_memory(std::uint64_t tokens);
-    void engine_load(const engine_load_hint& hint, time_point now);
+    void update_engine_load(const engine_load_hint& hint, time_point now);
 
     std::uint32_t running() const { return running_; }
     std::uint32_t queued() const { return queued_; }
@@ -116,7 +116,8 @@
         std::uint32_t work_items = 0;           ///< waiting and running
         std::deque<work_id> waiting;
         std::uint64_t prompt_tokens = 0; ///< of waiting work items
-        double expected_tokens = 0; ///< expected output of the one queued last
+        /// Expected output of the work item queued last.
+        double last_expected_tokens = 0;
         drain_rate drain;
         /// The latest return time given to a refused caller.
         time_point last_retry_at{};
--- a/src/libcyclamenrun/decisions/backup_policy.hpp
+++ b/src/libcyclamenrun/decisions/backup_policy.hpp
@@ -23,13 +23,13 @@
     /** A stream broke at an engine whose removal was not announced. */
     void crash_seen(time_point now) { last_crash_ = now; }
 
-    bool wanted(time_point now) const
+    bool should_back_up(time_point now) const
     {
-        return last_crash_ && now < *last_crash_ + series;
+        return last_crash_ && now < *last_crash_ + crash_window;
     }
 
     /** Time after a crash in which further crashes are likely. */
-    static constexpr milliseconds series{60000};
+    static constexpr milliseconds crash_window{60000};
 
 private:
     std::optional<time_point> last_crash_;
--- a/src/libcyclamenrun/decisions/copy_turns.cpp
+++ b/src/libcyclamenrun/decisions/copy_turns.cpp
@@ -5,7 +5,7 @@
 namespace cyclamenrun
 {
 
-bool copy_turns::ask(const turn& requested, time_point now)
+bool copy_turns::request_turn(const turn& requested, time_point now)
 {
     drop_expired(now);
     const auto found = std::find_if(
--- a/src/libcyclamenrun/decisions/copy_turns.hpp
+++ b/src/libcyclamenrun/decisions/copy_turns.hpp
@@ -36,7 +36,7 @@
      * Returns true if the generation has the turn. Else it waits, and the
      * request has to be repeated.
      */
-    bool ask(const turn& requested, time_point now);
+    bool request_turn(const turn& requested, time_point now);
     void end(const std::string& id);
     /** The generation that has the turn. */
     std::optional<turn> holder(time_point now);
--- a/src/libcyclamenrun/decisions/engine_load_estimate.cpp
+++ b/src/libcyclamenrun/decisions/engine_load_estimate.cpp
@@ -117,7 +117,7 @@
            std::max(not_started, granted_.size());
 }
 
-engine_occupancy engine_load_estimate::place() const
+engine_occupancy engine_load_estimate::occupancy() const
 {
     return {taken_slots(), static_cast<std::uint64_t>(planned_memory())};
 }
@@ -128,7 +128,7 @@
         std::llround(static_cast<double>(tokens) / speed_.tokens_per_ms()));
 }
 
-milliseconds engine_load_estimate::unread(time_point now) const
+milliseconds engine_load_estimate::reading_backlog(time_point now) const
 {
     // A gateway that reaches no monitor sends requests without a start grant.
     const std::size_t not_started = status_.starting + status_.queued;
--- a/src/libcyclamenrun/decisions/engine_load_estimate.hpp
+++ b/src/libcyclamenrun/decisions/engine_load_estimate.hpp
@@ -69,9 +69,9 @@
     /** Slots of the generations that run, wait or have a start grant. */
     std::size_t taken_slots() const;
     /** Slots and memory in use, start grants included. */
-    engine_occupancy place() const;
+    engine_occupancy occupancy() const;
     /** Time that the engine needs to read the prompts not yet read. */
-    milliseconds unread(time_point now) const;
+    milliseconds reading_backlog(time_point now) const;
     double tokens_read_per_ms() const { return speed_.tokens_per_ms(); }
     /** Time that the engine needs to read `tokens` of a prompt. */
     milliseconds reading_time(std::uint64_t tokens) const;
--- a/src/libcyclamenrun/decisions/load_view.cpp
+++ b/src/libcyclamenrun/decisions/load_view.cpp
@@ -13,7 +13,7 @@
 
 } // namespace
 
-void load_view::report(const load_report& latest, time_point now)
+void load_view::update_report(const load_report& latest, time_point now)
 {
     const bool same_incarnation =
         reported_ && report_.incarnation == latest.incarnation;
@@ -42,7 +42,7 @@
     dispatches_.pop_front();
 }
 
-void load_view::settled()
+void load_view::completed()
 {
     if (outstanding_ > 0)
         --outstanding_;
--- a/src/libcyclamenrun/decisions/load_view.hpp
+++ b/src/libcyclamenrun/decisions/load_view.hpp
@@ -22,10 +22,10 @@
 class load_view
 {
 public:
-    void report(const load_report& latest, time_point now);
+    void update_report(const load_report& latest, time_point now);
     void dispatched(std::uint64_t tokens, time_point now);
     /** Records that a dispatch has completed, with any result. */
-    void settled();
+    void completed();
 
     bool leaving() const { return report_.leaving; }
     bool reported() const { return reported_; }
--- a/src/libcyclamenrun/decisions/prefix_cache_view.cpp
+++ b/src/libcyclamenrun/decisions/prefix_cache_view.cpp
@@ -8,7 +8,7 @@
 {
 }
 
-void prefix_cache_view::used(std::span<const std::uint64_t> blocks)
+void prefix_cache_view::record_use(std::span<const std::uint64_t> blocks)
 {
     // From the last block to the first: a block without its predecessors is
     // of no use, so the first block must be dropped last.
@@ -42,7 +42,8 @@
     index_.clear();
 }
 
-std::size_t prefix_cache_view::held(std::span<const std::uint64_t> blocks) const
+std::size_t
+prefix_cache_view::count_cached(std::span<const std::uint64_t> blocks) const
 {
     std::size_t count = 0;
     while (count < blocks.size() && index_.contains(blocks[count]))
--- a/src/libcyclamenrun/decisions/prefix_cache_view.hpp
+++ b/src/libcyclamenrun/decisions/prefix_cache_view.hpp
@@ -22,12 +22,12 @@
     explicit prefix_cache_view(std::size_t max_blocks);
 
     /** Records that the engine runs a work item with these blocks. */
-    void used(std::span<const std::uint64_t> blocks);
+    void record_use(std::span<const std::uint64_t> blocks);
     void evicted(std::uint64_t block);
     void clear();
 
     /** Number of leading blocks that are cached. */
-    std::size_t held(std::span<const std::uint64_t> blocks) const;
+    std::size_t count_cached(std::span<const std::uint64_t> blocks) const;
     std::size_t size() const { return order_.size(); }
 
 private:
--- a/src/libcyclamenrun/decisions/retry_budget.cpp
+++ b/src/libcyclamenrun/decisions/retry_budget.cpp
@@ -20,7 +20,7 @@
     return tokens_.emplace(team, burst_).first->second;
 }
 
-void retry_budget::request(const std::string& team)
+void retry_budget::record_request(const std::string& team)
 {
     double& tokens = tokens_of(team);
     tokens = std::min(tokens + share_, burst_);
--- a/src/libcyclamenrun/decisions/retry_budget.hpp
+++ b/src/libcyclamenrun/decisions/retry_budget.hpp
@@ -19,7 +19,7 @@
 public:
     retry_budget(double share, double burst, std::size_t max_teams);
 
-    void request(const std::string& team);
+    void record_request(const std::string& team);
     /** Spends one retry; false if the budget is exhausted. */
     bool try_retry(const std::string& team);
 
--- a/src/libcyclamenrun/decisions/shared_retry_budget.cpp
+++ b/src/libcyclamenrun/decisions/shared_retry_budget.cpp
@@ -30,12 +30,14 @@
         .first->second;
 }
 
-void shared_retry_budget::request(const std::string& service, time_point now)
+void shared_retry_budget::record_request(const std::string& service,
+                                         time_point now)
 {
     counts_of(service).requests.add(now);
 }
 
-double shared_retry_budget::left(const std::string& service, time_point now)
+double shared_retry_budget::remaining(const std::string& service,
+                                      time_point now)
 {
     auto& counts = counts_of(service);
     const double earned =
@@ -46,13 +48,14 @@
 
 bool shared_retry_budget::try_retry(const std::string& service, time_point now)
 {
-    if (left(service, now) < 1)
+    if (remaining(service, now) < 1)
         return false;
     counts_of(service).retries.add(now);
     return true;
 }
 
-void shared_retry_budget::forced(const std::string& service, time_point now)
+void shared_retry_budget::record_forced_retry(const std::string& service,
+                                              time_point now)
 {
     counts_of(service).retries.add(now);
 }
--- a/src/libcyclamenrun/decisions/shared_retry_budget.hpp
+++ b/src/libcyclamenrun/decisions/shared_retry_budget.hpp
@@ -40,13 +40,13 @@
         gateway_count_ = count > 0 ? count : 1;
     }
 
-    void request(const std::string& service, time_point now);
+    void record_request(const std::string& service, time_point now);
     /** Spends one retry; false if the budget is exhausted. */
     bool try_retry(const std::string& service, time_point now);
     /** Retries left in the budget; negative if it is overdrawn. */
-    double left(const std::string& service, time_point now);
+    double remaining(const std::string& service, time_point now);
     /** Counts a retry that must be made, such as a move of a generation. */
-    void forced(const std::string& service, time_point now);
+    void record_forced_retry(const std::string& service, time_point now);
 
 private:
     struct service_counts {
--- a/src/libcyclamenrun/decisions/start_queue.cpp
+++ b/src/libcyclamenrun/decisions/start_queue.cpp
@@ -29,10 +29,10 @@
                                 time_point now)
 {
     leaving_ = leaving;
-    outlook_.update_status(status, now);
+    load_estimate_.update_status(status, now);
 }
 
-void start_queue::ask(const start_request& request, time_point now)
+void start_queue::request_start(const start_request& request, time_point now)
 {
     const auto found = std::find_if(waiting_.begin(), waiting_.end(),
                                     [&](const waiting_start& each) {
@@ -49,18 +49,18 @@
     std::erase_if(waiting_, [&](const waiting_start& each) {
         return each.request.id == id;
     });
-    outlook_.drop_grant(id);
+    load_estimate_.drop_grant(id);
 }
 
 bool start_queue::is_late(const start_request& request, time_point now) const
 {
-    return now + outlook_.reading_time(request.prompt_tokens) >
+    return now + load_estimate_.reading_time(request.prompt_tokens) >
            request.first_due;
 }
 
 void start_queue::sort(time_point now)
 {
-    const auto held = outlook_.memory_by_team();
+    const auto held = load_estimate_.memory_by_team();
     for (auto& each : waiting_) {
         each.late = is_late(each.request, now);
         each.team_memory = memory_of(held, each.request.team);
@@ -78,7 +78,7 @@
 {
     if (!is_late(request, now))
         return false;
-    const auto held = outlook_.memory_by_team();
+    const auto held = load_estimate_.memory_by_team();
     const auto own_memory = memory_of(held, request.team);
     return std::any_of(
         waiting_.begin(), waiting_.end(), [&](const waiting_start& each) {
@@ -88,27 +88,27 @@
 
 bool start_queue::can_read_more(time_point now) const
 {
-    return outlook_.unread(now) <= grant_lead_time &&
-           outlook_.taken_slots() < slots_;
+    return load_estimate_.reading_backlog(now) <= grant_lead_time &&
+           load_estimate_.taken_slots() < slots_;
 }
 
-std::vector<start_request> start_queue::give(time_point now)
+std::vector<start_request> start_queue::grant_starts(time_point now)
 {
     std::erase_if(waiting_, [&](const waiting_start& each) {
         return each.requested_at + start_request_timeout <= now;
     });
     std::vector<start_request> granted;
-    if (leaving_ || !outlook_.known())
+    if (leaving_ || !load_estimate_.known())
         return granted;
     while (!waiting_.empty() && can_read_more(now)) {
         sort(now);
         const auto next = std::find_if(
             waiting_.begin(), waiting_.end(), [&](const waiting_start& each) {
-                return outlook_.has_memory_for(each.request);
+                return load_estimate_.has_memory_for(each.request);
             });
         if (next == waiting_.end())
             break;
-        outlook_.grant(next->request, now);
+        load_estimate_.grant(next->request, now);
         granted.push_back(std::move(next->request));
         waiting_.erase(next);
     }
@@ -117,17 +117,17 @@
 
 bool start_queue::has_room_for_copy(std::uint64_t tokens) const
 {
-    if (leaving_ || !outlook_.known())
+    if (leaving_ || !load_estimate_.known())
         return !leaving_;
     // 0: the number of slots is not known yet.
-    const bool slot = slots_ == 0 || outlook_.taken_slots() < slots_;
-    return slot &&
-           outlook_.place().memory_taken + tokens <= outlook_.memory_total();
+    const bool slot = slots_ == 0 || load_estimate_.taken_slots() < slots_;
+    return slot && load_estimate_.occupancy().memory_taken + tokens <=
+                       load_estimate_.memory_total();
 }
 
 std::optional<time_point> start_queue::next_event(time_point now) const
 {
-    const auto unread = outlook_.unread(now);
+    const auto unread = load_estimate_.reading_backlog(now);
     if (waiting_.empty() || unread <= grant_lead_time)
         return std::nullopt;
     return now + unread - grant_lead_time;
--- a/src/libcyclamenrun/decisions/start_queue.hpp
+++ b/src/libcyclamenrun/decisions/start_queue.hpp
@@ -43,15 +43,15 @@
     void set_slots(unsigned slots) { slots_ = slots; }
 
     /** Adds or renews a start request; repeated while the request waits. */
-    void ask(const start_request& request, time_point now);
+    void request_start(const start_request& request, time_point now);
     /** Removes a request, or its grant if that is unused or has ended. */
     void end(const std::string& id);
     /** Grants the starts that are possible now; returns them in order. */
-    std::vector<start_request> give(time_point now);
+    std::vector<start_request> grant_starts(time_point now);
 
     bool is_granted(const std::string& id) const
     {
-        return outlook_.is_granted(id);
+        return load_estimate_.is_granted(id);
     }
     /**
      * True if the request is late and teams that hold less memory are waiting
@@ -61,9 +61,12 @@
     /** True if a running generation of `tokens` could be copied here. */
     bool has_room_for_copy(std::uint64_t tokens) const;
     /** The engine's estimated load, start grants included. */
-    const engine_load_estimate& outlook() const { return outlook_; }
+    const engine_load_estimate& load_estimate() const { return load_estimate_; }
     bool leaving() const { return leaving_; }
-    /** When give() is due next; empty: after the next status of the engine. */
+    /**
+     * When grant_starts() is due next; empty: after the next status of the
+     * engine.
+     */
     std::optional<time_point> next_event(time_point now) const;
     std::size_t waiting() const { return waiting_.size(); }
 
@@ -79,7 +82,7 @@
     void sort(time_point now);
     bool is_late(const start_request& request, time_point now) const;
 
-    engine_load_estimate outlook_;
+    engine_load_estimate load_estimate_;
     std::deque<waiting_start> waiting_;
     unsigned slots_ = 0;
     bool leaving_ = false;
--- a/src/libcyclamenrun/decisions/team_limiter.cpp
+++ b/src/libcyclamenrun/decisions/team_limiter.cpp
@@ -35,7 +35,7 @@
 
 team_limiter::team_limiter(std::size_t max_teams) : max_teams_(max_teams) {}
 
-void team_limiter::entries(std::uint32_t count)
+void team_limiter::set_entries(std::uint32_t count)
 {
     entries_ = std::max(count, 1U);
 }
@@ -97,7 +97,7 @@
     return teams_.size() < max_teams_;
 }
 
-void team_limiter::output(const std::string& team, std::uint32_t tokens)
+void team_limiter::record_output(const std::string& team, std::uint32_t tokens)
 {
     const auto found = teams_.find(team);
     if (found != teams_.end() && found->second.rate > 0.0)
--- a/src/libcyclamenrun/decisions/team_limiter.hpp
+++ b/src/libcyclamenrun/decisions/team_limiter.hpp
@@ -35,12 +35,12 @@
     explicit team_limiter(std::size_t max_teams);
 
     /** Sets the number of entries that share the callers; at least 1. */
-    void entries(std::uint32_t count);
+    void set_entries(std::uint32_t count);
 
     /** Starts a request, or refuses it with team_limit and a retry_after. */
     outcome<void> start(const std::string& team, const team_limits& limits,
                         std::uint32_t prompt_tokens, time_point now);
-    void output(const std::string& team, std::uint32_t tokens);
+    void record_output(const std::string& team, std::uint32_t tokens);
     void finished(const std::string& team);
 
     std::size_t size() const { return teams_.size(); }
--- a/src/libcyclamenrun/entry/entry_core.cpp
+++ b/src/libcyclamenrun/entry/entry_core.cpp
@@ -131,7 +131,7 @@
         result.refused = not_ready_refusal();
     else if (!resumes) {
         const auto allowed =
-            teams_.start(*caller.team, request.prompt_tokens, started_at);
+            teams_.admit(*caller.team, request.prompt_tokens, started_at);
         if (!allowed)
             result.refused = allowed.error();
     }
@@ -223,13 +223,13 @@
         routes_.dispatched(request, upstream, clock_());
     };
     hooks.completed = [this, service](const std::string& upstream) {
-        routes_.settled(service, upstream, clock_());
+        routes_.completed(service, upstream, clock_());
     };
     hooks.load = [this](const link::LoadReport& load) {
         routes_.report(load, clock_());
     };
     hooks.tokens_sent = [this](const std::string& team, std::uint64_t tokens) {
-        teams_.output(team, tokens);
+        teams_.record_output(team, tokens);
     };
     return hooks;
 }
--- a/src/libcyclamenrun/entry/entry_process.cpp
+++ b/src/libcyclamenrun/entry/entry_process.cpp
@@ -54,7 +54,7 @@
     core.routes.own_region = settings.region;
     core.routes.own_failure_domain = settings.failure_domain;
     core.routes.members.entry = settings.name;
-    core.routes.members.subset.size = settings.routing.subset_size;
+    core.routes.members.subset.min_size = settings.routing.subset_size;
     core.routes.seed = random_u64();
     core.relay.max_buffered_bytes = settings.limits.answer_bytes;
     core.limits.max_prompt_bytes = settings.limits.prompt_bytes;
--- a/src/libcyclamenrun/entry/team_registry.cpp
+++ b/src/libcyclamenrun/entry/team_registry.cpp
@@ -43,7 +43,7 @@
 void team_registry::on_entries(std::size_t count)
 {
     shards_.with_each([count](limits_shard& shard) {
-        shard.limiter.entries(
+        shard.limiter.set_entries(
             static_cast<std::uint32_t>(std::max<std::size_t>(1, count)));
     });
 }
@@ -60,7 +60,7 @@
     return authenticator()->authenticate(authorization);
 }
 
-outcome<void> team_registry::start(const v1::Team& team,
+outcome<void> team_registry::admit(const v1::Team& team,
                                    std::uint32_t prompt_tokens, time_point now)
 {
     const team_limits limits{team.max_concurrent(), team.tokens_per_second()};
@@ -68,15 +68,15 @@
         auto started =
             shard.limiter.start(team.name(), limits, prompt_tokens, now);
         if (started)
-            shard.retries.request(team.name());
+            shard.retries.record_request(team.name());
         return started;
     });
 }
 
-void team_registry::output(const std::string& team, std::uint64_t tokens)
+void team_registry::record_output(const std::string& team, std::uint64_t tokens)
 {
     shards_.with(team, [&](limits_shard& shard) {
-        shard.limiter.output(team, static_cast<std::uint32_t>(tokens));
+        shard.limiter.record_output(team, static_cast<std::uint32_t>(tokens));
     });
 }
 
--- a/src/libcyclamenrun/entry/team_registry.hpp
+++ b/src/libcyclamenrun/entry/team_registry.hpp
@@ -35,9 +35,9 @@
 
     outcome<std::string> authenticate(std::string_view authorization) const;
     /** Admits a request. Call finish() when an admitted request ends. */
-    outcome<void> start(const v1::Team& team, std::uint32_t prompt_tokens,
+    outcome<void> admit(const v1::Team& team, std::uint32_t prompt_tokens,
                         time_point now);
-    void output(const std::string& team, std::uint64_t tokens);
+    void record_output(const std::string& team, std::uint64_t tokens);
     void finish(const std::string& team);
     outcome<void> spend_retry(const std::string& team);
 
--- a/src/libcyclamenrun/gateway/engine_monitor.cpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.cpp
@@ -141,7 +141,7 @@
     if (request.turn_into() && !starts_.has_room_for_copy(tokens)) {
         turns_.end(id);
         notice.set_turn_refused(id);
-    } else if (turns_.ask({id, gateway, tokens}, reactor_->now())) {
+    } else if (turns_.request_turn({id, gateway, tokens}, reactor_->now())) {
         metrics_.count(exported_metric::turns);
         notice.set_turn_given(id);
     } else {
@@ -185,7 +185,7 @@
     request.first_due = now + milliseconds(wanted.first_due_ms());
     starts_.set_slots(wanted.slots());
     if (!starts_.leaving()) {
-        starts_.ask(request, now);
+        starts_.request_start(request, now);
         grant_starts();
         if (starts_.is_granted(request.id))
             return;
@@ -207,7 +207,7 @@
         return;
     v1::MonitorNotice notice;
     write_identity(notice);
-    const auto place = starts_.outlook().place();
+    const auto place = starts_.load_estimate().occupancy();
     auto& grant = *notice.mutable_start_given();
     grant.set_id(id);
     grant.set_slots_taken(static_cast<std::uint32_t>(place.slots_taken));
@@ -222,7 +222,7 @@
     // to the engine's predecessor, and the engine would reject it.
     if (is_identifying())
         return;
-    for (const auto& start : starts_.give(reactor_->now())) {
+    for (const auto& start : starts_.grant_starts(reactor_->now())) {
         metrics_.count(exported_metric::starts);
         send_start_grant(start.gateway, start.id);
     }
@@ -356,11 +356,11 @@
     message.set_engine_address(to_string(settings_.engine));
     message.set_running(load.running);
     message.set_queued(load.queued);
-    const auto& outlook = starts_.outlook();
-    message.set_unread_ms(
-        static_cast<std::uint32_t>(outlook.unread(reactor_->now()).count()));
+    const auto& outlook = starts_.load_estimate();
+    message.set_unread_ms(static_cast<std::uint32_t>(
+        outlook.reading_backlog(reactor_->now()).count()));
     message.set_tokens_read_per_ms(outlook.tokens_read_per_ms());
-    message.set_memory_used(outlook.place().memory_taken);
+    message.set_memory_used(outlook.occupancy().memory_taken);
     message.set_memory_total(load.memory_total);
     message.set_leaving(load.leaving);
     if (load.leaves_in_ms)
--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -114,7 +114,7 @@
     if (service_.empty()) {
         service_ = choose_service(*admitted_.route, context_.random);
         profile_.set_service(service_);
-        context_.budget.request(service_, context_.reactor->now());
+        context_.budget.record_request(service_, context_.reactor->now());
     }
     if (needs_start_grant())
         search_start();
@@ -264,7 +264,7 @@
 {
     backup_.reset();
     if (!profile_.allows_backup() ||
-        !context_.backups.wanted(context_.reactor->now()))
+        !context_.backups.should_back_up(context_.reactor->now()))
         return;
     backup_ =
         context_.choice.for_backup(service_, needs(upstream.failure_domain),
@@ -338,7 +338,7 @@
 void exchange::release_attempt()
 {
     if (attempt_) {
-        context_.board.settled(attempt_->upstream().id);
+        context_.board.completed(attempt_->upstream().id);
         // The engine itself reports generations that have begun.
         if (uses_monitors() && !answer_.begun())
             context_.monitors->end_start(attempt_->upstream().address.host,
@@ -482,7 +482,7 @@
     const bool has_time =
         now + admitted_.route->objective < admitted_.answer_by;
     if (over_ || !awaits_response() || queues || !has_time ||
-        context_.budget.left(service_, now) < 1 ||
+        context_.budget.remaining(service_, now) < 1 ||
         !context_.choice.for_request(service_, needs(), tried_, now))
         return;
     context_.board.failed(id, now);
@@ -522,7 +522,7 @@
     ended.number = sends_;
     ended.status = answer_.status();
     ended.took = since(attempt_began_, now);
-    ended.retries_left = context_.budget.left(service_, now);
+    ended.retries_left = context_.budget.remaining(service_, now);
     return ended;
 }
 
@@ -637,7 +637,7 @@
 void exchange::resume_at(const upstream_record& upstream,
                          const continuation& from)
 {
-    context_.budget.forced(service_, context_.reactor->now());
+    context_.budget.record_forced_retry(service_, context_.reactor->now());
     send(upstream, from);
     const auto* state = context_.board.find(upstream.id);
     if (state != nullptr && state->leaving)
--- a/src/libcyclamenrun/gateway/gateway_context.cpp
+++ b/src/libcyclamenrun/gateway/gateway_context.cpp
@@ -22,10 +22,10 @@
 void gateway_context::crash_seen(const std::string& upstream_id)
 {
     const auto now = reactor->now();
-    if (!backups.wanted(now))
+    if (!backups.should_back_up(now))
         log_event(log_severity::warning, log_event_name::crash_seen,
                   {{log_key::upstream, upstream_id},
-                   {log_key::duration_ms, backup_policy::series}});
+                   {log_key::duration_ms, backup_policy::crash_window}});
     backups.crash_seen(now);
 }
 
--- a/src/libcyclamenrun/gateway/gateway_process.cpp
+++ b/src/libcyclamenrun/gateway/gateway_process.cpp
@@ -298,7 +298,7 @@
                     estimated.free_memory_tokens);
         metrics.set(exported_metric::queued, {service}, estimated.queued);
         metrics.set(exported_metric::retries_left, {service},
-                    context_->budget.left(service, now));
+                    context_->budget.remaining(service, now));
     }
     export_dropped_lines(metrics);
 }
--- a/src/libcyclamenrun/gateway/upstream_registry.cpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.cpp
@@ -328,7 +328,7 @@
         ++found->second.own_running;
 }
 
-void upstream_registry::settled(const std::string& id)
+void upstream_registry::completed(const std::string& id)
 {
     const auto found = upstreams_.find(id);
     if (found == upstreams_.end() || found->second.own_running == 0)
--- a/src/libcyclamenrun/gateway/upstream_registry.hpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.hpp
@@ -124,7 +124,7 @@
                 time_point now);
     /** Records that a dispatched request has ended at the upstream. Drops a
      * removed upstream when the last one has ended. */
-    void settled(const std::string& id);
+    void completed(const std::string& id);
     void succeeded(const std::string& id, time_point now);
     void failed(const std::string& id, time_point now);
     /** No connection could be made within the timeout. */
--- a/src/libcyclamenrun/membership/agent_uptimes.cpp
+++ b/src/libcyclamenrun/membership/agent_uptimes.cpp
@@ -11,14 +11,14 @@
     reports_[upstream] = {incarnation, now - milliseconds(uptime_ms)};
 }
 
-void agent_uptimes::forget(const std::string& upstream)
+void agent_uptimes::remove(const std::string& upstream)
 {
     const std::scoped_lock lock(mutex_);
     reports_.erase(upstream);
 }
 
-std::optional<agent_uptimes::reading>
-agent_uptimes::read(const std::string& upstream, time_point now) const
+std::optional<agent_uptimes::estimate>
+agent_uptimes::estimate_of(const std::string& upstream, time_point now) const
 {
     const std::scoped_lock lock(mutex_);
     const auto found = reports_.find(upstream);
@@ -26,8 +26,8 @@
         return std::nullopt;
     const auto uptime = std::chrono::duration_cast<milliseconds>(
         now - found->second.started_at);
-    return reading{found->second.incarnation,
-                   static_cast<std::uint64_t>(uptime.count())};
+    return estimate{found->second.incarnation,
+                    static_cast<std::uint64_t>(uptime.count())};
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/agent_uptimes.hpp
+++ b/src/libcyclamenrun/membership/agent_uptimes.hpp
@@ -20,16 +20,16 @@
 class agent_uptimes
 {
 public:
-    struct reading {
+    struct estimate {
         std::uint64_t incarnation = 0;
         std::uint64_t uptime_ms = 0;
     };
 
     void record_report(const std::string& upstream, std::uint64_t incarnation,
                        std::uint64_t uptime_ms, time_point now);
-    void forget(const std::string& upstream);
-    std::optional<reading> read(const std::string& upstream,
-                                time_point now) const;
+    void remove(const std::string& upstream);
+    std::optional<estimate> estimate_of(const std::string& upstream,
+                                        time_point now) const;
 
 private:
     struct report {
--- a/src/libcyclamenrun/membership/membership.cpp
+++ b/src/libcyclamenrun/membership/membership.cpp
@@ -95,7 +95,7 @@
             if (listed.contains(id))
                 continue;
             view.on_unlisted(now + settings_.forget_after);
-            if (view.signals().suspected())
+            if (view.failure_suspicion().suspected())
                 unlisted_suspects.push_back(view.listed());
         }
         std::erase_if(each_shard.views, [now](const auto& known) {
@@ -153,7 +153,7 @@
     const std::lock_guard lock(owning_shard.mutex);
     const auto found = owning_shard.views.find(upstream);
     if (found != owning_shard.views.end())
-        found->second.signals().on_connected();
+        found->second.failure_suspicion().on_connected();
 }
 
 template <typename Change>
@@ -170,9 +170,9 @@
         if (found == owning_shard.views.end())
             return;
         upstream_view& view = found->second;
-        before = view.signals().suspected();
+        before = view.failure_suspicion().suspected();
         change(view);
-        after = view.signals().suspected();
+        after = view.failure_suspicion().suspected();
         listed = view.listed();
     }
     if (before != after)
@@ -192,7 +192,7 @@
 void membership::on_connection_lost(const std::string& upstream, time_point now)
 {
     update_view(upstream, now, [now](upstream_view& view) {
-        view.signals().on_connection_lost(now);
+        view.failure_suspicion().on_connection_lost(now);
     });
 }
 
@@ -200,14 +200,15 @@
                                      time_point now)
 {
     update_view(upstream, now, [now](upstream_view& view) {
-        view.signals().on_missed_heartbeat(now);
+        view.failure_suspicion().on_missed_heartbeat(now);
     });
 }
 
 void membership::on_failure(const std::string& upstream, time_point now)
 {
-    update_view(upstream, now,
-                [now](upstream_view& view) { view.signals().on_failure(now); });
+    update_view(upstream, now, [now](upstream_view& view) {
+        view.failure_suspicion().on_failure(now);
+    });
 }
 
 void membership::on_reply(const std::string& upstream,
@@ -218,7 +219,7 @@
         const bool accepted_work = accepts_work(view.state());
         if (!view.on_report(report))
             return;
-        view.signals().on_reply(now);
+        view.failure_suspicion().on_reply(now);
         subsets_outdated = accepted_work != accepts_work(view.state());
     });
     if (subsets_outdated)
--- a/src/libcyclamenrun/membership/route_table.cpp
+++ b/src/libcyclamenrun/membership/route_table.cpp
@@ -104,11 +104,11 @@
     });
 }
 
-void route_table::settled(const std::string& service,
-                          const std::string& upstream, time_point now)
+void route_table::completed(const std::string& service,
+                            const std::string& upstream, time_point now)
 {
     routers_.with(service,
-                  [&](router& router) { router.settled(upstream, now); });
+                  [&](router& router) { router.completed(upstream, now); });
 }
 
 void route_table::report(const link::LoadReport& load, time_point now)
@@ -127,10 +127,10 @@
                   [&](router& router) { router.report(latest, now); });
 }
 
-std::optional<agent_uptimes::reading>
+std::optional<agent_uptimes::estimate>
 route_table::agent_uptime(const std::string& upstream, time_point now) const
 {
-    return clocks_.read(upstream, now);
+    return clocks_.estimate_of(upstream, now);
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/route_table.hpp
+++ b/src/libcyclamenrun/membership/route_table.hpp
@@ -46,12 +46,12 @@
                                  bool suspect, time_point now);
     void dispatched(const relay_request& request, const std::string& upstream,
                     time_point now);
-    void settled(const std::string& service, const std::string& upstream,
-                 time_point now);
+    void completed(const std::string& service, const std::string& upstream,
+                   time_point now);
     /** Applies a report that came with an answer or a heartbeat. */
     void report(const link::LoadReport& load, time_point now);
     /** The agent's incarnation and estimated uptime, for a ticket. */
-    std::optional<agent_uptimes::reading>
+    std::optional<agent_uptimes::estimate>
     agent_uptime(const std::string& upstream, time_point now) const;
 
     membership& members() { return members_; }
--- a/src/libcyclamenrun/membership/router.cpp
+++ b/src/libcyclamenrun/membership/router.cpp
@@ -70,13 +70,13 @@
 
 void router::report(const load_report& latest, time_point now)
 {
-    state_of(latest.upstream).load.report(latest, now);
+    state_of(latest.upstream).load.update_report(latest, now);
 }
 
 void router::cached(const std::string& upstream,
                     std::span<const std::uint64_t> blocks)
 {
-    state_of(upstream).cache.used(blocks);
+    state_of(upstream).cache.record_use(blocks);
 }
 
 void router::evicted(const std::string& upstream, std::uint64_t block)
@@ -90,17 +90,17 @@
     tracked_upstream& state = state_of(upstream);
     if (settings_.own_counts)
         state.load.dispatched(request.prompt_tokens, now);
-    state.cache.used(request.prefix_blocks);
+    state.cache.record_use(request.prefix_blocks);
 }
 
-void router::settled(const std::string& upstream, time_point)
+void router::completed(const std::string& upstream, time_point)
 {
     const auto found = upstreams_.find(upstream);
     if (found != upstreams_.end())
-        found->second.load.settled();
+        found->second.load.completed();
 }
 
-void router::forget(const std::string& upstream)
+void router::remove(const std::string& upstream)
 {
     upstreams_.erase(upstream);
 }
@@ -162,7 +162,7 @@
         add_affinity_candidates(request, candidates);
         return;
     }
-    if (candidates.size() <= settings_.sample) {
+    if (candidates.size() <= settings_.sample_size) {
         for (std::size_t i = 0; i < candidates.size(); ++i)
             sampled_.push_back(i);
         return;
@@ -171,8 +171,9 @@
         add_affinity_candidates(request, candidates);
     std::uniform_int_distribution<std::size_t> any(0, candidates.size() - 1);
     // Draws again, up to a bound, to replace unusable candidates.
-    for (std::size_t i = 0;
-         i < 4 * settings_.sample && sampled_.size() < settings_.sample; ++i) {
+    for (std::size_t i = 0; i < 4 * settings_.sample_size &&
+                            sampled_.size() < settings_.sample_size;
+         ++i) {
         const std::size_t drawn = any(random_);
         if (usable(request, candidates[drawn]))
             sampled_.push_back(drawn);
@@ -221,9 +222,9 @@
     if (const tracked_upstream* state = find(target.upstream)) {
         cost += load_cost_ms(state->load);
         if (settings_.prefix)
-            uncached -=
-                static_cast<double>(settings_.block_tokens *
-                                    state->cache.held(request.prefix_blocks));
+            uncached -= static_cast<double>(
+                settings_.block_tokens *
+                state->cache.count_cached(request.prefix_blocks));
     } else {
         cost += no_report_cost_ms;
     }
--- a/src/libcyclamenrun/membership/router.hpp
+++ b/src/libcyclamenrun/membership/router.hpp
@@ -57,9 +57,9 @@
 
     void dispatched(const std::string& upstream, const route_request& request,
                     time_point now);
-    void settled(const std::string& upstream, time_point now);
+    void completed(const std::string& upstream, time_point now);
     /** Drops the state of an upstream that was removed. */
-    void forget(const std::string& upstream);
+    void remove(const std::string& upstream);
 
     /**
      * Returns an index into `candidates`. Errors: no_upstream if no candidate
--- a/src/libcyclamenrun/membership/router_settings.hpp
+++ b/src/libcyclamenrun/membership/router_settings.hpp
@@ -13,7 +13,7 @@
     /** Bound on the upstreams whose load and cache are tracked. */
     std::size_t max_upstreams = 2'048;
     /** Candidates compared per choice, drawn at random if there are more. */
-    std::size_t sample = 12;
+    std::size_t sample_size = 12;
     /** Prompt tokens per prefix block. */
     std::uint32_t block_tokens = 64;
     /**
--- a/src/libcyclamenrun/membership/subset.cpp
+++ b/src/libcyclamenrun/membership/subset.cpp
@@ -97,7 +97,7 @@
         entries == 0 ? 0
                      : (upstreams * settings.overlap + entries - 1) / entries;
     return std::min(
-        {std::max(settings.size, share), settings.max_size, upstreams});
+        {std::max(settings.min_size, share), settings.max_size, upstreams});
 }
 
 std::vector<std::string> choose_subset(std::string_view entry,
--- a/src/libcyclamenrun/membership/subset.hpp
+++ b/src/libcyclamenrun/membership/subset.hpp
@@ -13,7 +13,8 @@
 
 /** Bounds the subset of one service's upstreams that an entry uses. */
 struct subset_settings {
-    std::size_t size = 24; ///< lower bound, if there are that many upstreams
+    /** Lower bound, if there are that many upstreams. */
+    std::size_t min_size = 24;
     /**
      * Minimum average number of entries whose subset contains an upstream;
      * `max_size` may reduce it.
--- a/src/libcyclamenrun/membership/upstream_view.hpp
+++ b/src/libcyclamenrun/membership/upstream_view.hpp
@@ -46,8 +46,8 @@
     /** Returns false, without effect, for a report of a replaced agent. */
     bool on_report(const agent_report& report);
 
-    suspicion& signals() { return signals_; }
-    const suspicion& signals() const { return signals_; }
+    suspicion& failure_suspicion() { return signals_; }
+    const suspicion& failure_suspicion() const { return signals_; }
     const vm& listed() const { return listed_; }
     std::uint64_t incarnation() const { return incarnation_; }
     upstream_state state() const;
--- a/src/libcyclamenrun/outcomes/gate.cpp
+++ b/src/libcyclamenrun/outcomes/gate.cpp
@@ -47,7 +47,7 @@
                                  request.prefix_blocks().end());
     waiting.deadline = session.deadline;
     waiting.suspect = session.suspect;
-    waiting.sized = !session.is_call();
+    waiting.uses_memory = !session.is_call();
     return waiting;
 }
 
@@ -173,7 +173,7 @@
         sessions_.remove(work);
         return tl::unexpected(queued.error());
     }
-    if (dispatch.has_ticket() && !tickets_.enter(dispatch, work, now)) {
+    if (dispatch.has_ticket() && !tickets_.record_use(dispatch, work, now)) {
         admission_.remove(work, now);
         sessions_.remove(work);
         return tl::unexpected(not_run(refusal_reason::queue_full,
@@ -303,7 +303,7 @@
                        deferred);
         } else {
             sessions_.append_token(*session, text);
-            admission_.tokens_made(work, 1, now);
+            admission_.record_output_tokens(work, 1, now);
             wake_readers(*session, deferred);
             // The first token ends the prompt's processing, which may allow the
             // next work item to start.
@@ -441,10 +441,10 @@
     drain(now);
 }
 
-void gate::pursue(objective goal)
+void gate::apply_objective(objective goal)
 {
     const std::scoped_lock lock(mutex_);
-    admission_.pursue(goal);
+    admission_.apply_objective(goal);
 }
 
 void gate::merge_marks(const std::vector<link::PoisonMark>& marks,
@@ -466,7 +466,7 @@
     deferred_calls deferred;
     {
         const std::scoped_lock lock(mutex_);
-        admission_.engine_load(hint, now);
+        admission_.update_engine_load(hint, now);
         admit(now, deferred);
     }
     run(deferred);
@@ -603,7 +603,7 @@
     return hash64(settings_.upstream, settings_.incarnation + engine_losses_);
 }
 
-bool gate::wanted(work_id work) const
+bool gate::should_run(work_id work) const
 {
     const std::scoped_lock lock(mutex_);
     const auto* session = sessions_.find(work);
@@ -692,7 +692,7 @@
     for (const auto reader : deferred.wakes)
         hooks_.wake(reader);
     if (deferred.state_changed)
-        hooks_.news();
+        hooks_.state_changed();
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/outcomes/gate.hpp
+++ b/src/libcyclamenrun/outcomes/gate.hpp
@@ -35,7 +35,8 @@
     std::function<void(const admitted_work&)> start;
     std::function<void(work_id)> stop;
     std::function<void(reader_id)> wake; ///< pull() has data for the reader
-    std::function<void()> news; ///< load_change() or marks_version() advanced
+    /// load_change() or marks_version() advanced.
+    std::function<void()> state_changed;
 };
 
 /**
@@ -85,7 +86,7 @@
      */
     void reclaim(time_point deadline, time_point now);
     /** Applies the objective that the configuration sets for the service. */
-    void pursue(objective goal);
+    void apply_objective(objective goal);
     void merge_marks(const std::vector<link::PoisonMark>& marks,
                      time_point now);
     /** Applies expired deadlines and admits work; to be called periodically. */
@@ -93,7 +94,7 @@
 
     // Queries.
     /** Whether the upstream should run this work item. */
-    bool wanted(work_id work) const;
+    bool should_run(work_id work) const;
     bool draining() const;
     /**
      * Whether the gate is draining, no work is running, every answer was
--- a/src/libcyclamenrun/outcomes/ticket_use_registry.cpp
+++ b/src/libcyclamenrun/outcomes/ticket_use_registry.cpp
@@ -57,8 +57,8 @@
     return std::nullopt;
 }
 
-bool ticket_use_registry::enter(const link::Dispatch& dispatch,
-                                std::uint64_t work, time_point now)
+bool ticket_use_registry::record_use(const link::Dispatch& dispatch,
+                                     std::uint64_t work, time_point now)
 {
     if (uses_.size() >= capacity_)
         std::erase_if(uses_, [now](const auto& known) {
--- a/src/libcyclamenrun/outcomes/ticket_use_registry.hpp
+++ b/src/libcyclamenrun/outcomes/ticket_use_registry.hpp
@@ -47,8 +47,8 @@
                                       time_point now) const;
 
     /** Records a use. Returns false if full: the call must not run then. */
-    bool enter(const link::Dispatch& dispatch, std::uint64_t work,
-               time_point now);
+    bool record_use(const link::Dispatch& dispatch, std::uint64_t work,
+                    time_point now);
 
     /** Deletes the use of a call that did not run: the ticket stays valid. */
     void remove_use(const link::Dispatch& dispatch);
--- a/tests/decisions/test_admission.cpp
+++ b/tests/decisions/test_admission.cpp
@@ -35,7 +35,7 @@
 void complete_work(admission& controller, work_id id, std::uint32_t length,
                    time_point now)
 {
-    controller.tokens_made(id, length, now);
+    controller.record_output_tokens(id, length, now);
     controller.finished(id, true, now);
 }
 
@@ -77,11 +77,11 @@
             work.deadline = now + milliseconds(1 + draw % 2000);
             work.prefix_blocks.assign(draw % 4, 7 + draw % 2);
             work.suspect = draw % 17 == 0;
-            work.sized = draw % 13 != 0;
+            work.uses_memory = draw % 13 != 0;
             if (controller.enqueue(work, now))
                 present[last_id] = false;
         } else if (action == 2 && !present.empty()) {
-            controller.tokens_made(pick()->first, draw % 40, now);
+            controller.record_output_tokens(pick()->first, draw % 40, now);
         } else if (action == 3 && !present.empty()) {
             const auto chosen = pick();
             if (chosen->second)
@@ -132,7 +132,7 @@
     EXPECT_GE(running.size(), 14U); // at most 20 could fit until they end
     for (int made = 0; made < 900; made += 30) {
         for (const work_id id : running)
-            controller.tokens_made(id, 30, start);
+            controller.record_output_tokens(id, 30, start);
         for (const work_id id : controller.admit(start))
             running.push_back(id);
         EXPECT_LE(controller.memory_used(), settings.memory_tokens);
@@ -151,12 +151,12 @@
         std::ignore = controller.enqueue(work_of(id, "office"), start);
     auto running = controller.admit(start);
     for (work_id id = 1; running.size() < 4; ++id) {
-        controller.tokens_made(running.back(), 50, start);
+        controller.record_output_tokens(running.back(), 50, start);
         const auto more = controller.admit(start);
         ASSERT_FALSE(more.empty()) << id;
         running.insert(running.end(), more.begin(), more.end());
     }
-    controller.tokens_made(running.back(), 50, start);
+    controller.record_output_tokens(running.back(), 50, start);
     ASSERT_TRUE(controller.enqueue(work_of(500, "shop"), start));
 
     complete_work(controller, running.front(), 1, start);
@@ -260,7 +260,7 @@
     ASSERT_TRUE(controller.enqueue(work_of(2, "a"), start));
     // A work item that runs alone starts even if it does not fit.
     EXPECT_EQ(controller.admit(start).size(), 1U);
-    controller.tokens_made(1, 1, start);
+    controller.record_output_tokens(1, 1, start);
     EXPECT_TRUE(controller.admit(start).empty());
     controller.set_external_memory(0);
     EXPECT_EQ(controller.admit(start), std::vector<work_id>{2});
--- a/tests/decisions/test_gateway_decisions.cpp
+++ b/tests/decisions/test_gateway_decisions.cpp
@@ -109,7 +109,7 @@
     budget.set_gateway_count(1);
     std::vector<int> retries;
     for (int ms = 0; ms < 10000; ms += 10) {
-        budget.request("s", at(ms));
+        budget.record_request("s", at(ms));
         if (budget.try_retry("s", at(ms)))
             retries.push_back(ms);
     }
@@ -131,7 +131,7 @@
     shared_retry_budget budget(settings);
     budget.set_gateway_count(1);
     for (int i = 0; i < 8; ++i)
-        budget.forced("s", at(0));
+        budget.record_forced_retry("s", at(0));
     EXPECT_FALSE(budget.try_retry("s", at(0)));
     EXPECT_TRUE(budget.try_retry("s", at(10000)));
 }
@@ -192,12 +192,12 @@
 TEST(copy_turns, are_granted_in_the_order_of_requests)
 {
     copy_turns turns;
-    EXPECT_TRUE(turns.ask({"a", "g1"}, at(0)));
-    EXPECT_FALSE(turns.ask({"b", "g2"}, at(0)));
-    EXPECT_FALSE(turns.ask({"c", "g1"}, at(0)));
+    EXPECT_TRUE(turns.request_turn({"a", "g1"}, at(0)));
+    EXPECT_FALSE(turns.request_turn({"b", "g2"}, at(0)));
+    EXPECT_FALSE(turns.request_turn({"c", "g1"}, at(0)));
     turns.end("a");
     EXPECT_EQ(turns.holder(at(10))->id, "b");
-    EXPECT_TRUE(turns.ask({"b", "g2"}, at(10)));
+    EXPECT_TRUE(turns.request_turn({"b", "g2"}, at(10)));
     turns.end("b");
     turns.end("c");
     EXPECT_FALSE(turns.holder(at(20)));
@@ -209,10 +209,10 @@
 {
     copy_turns turns;
     const time_point now{std::chrono::hours(1)};
-    EXPECT_TRUE(turns.ask({"first", "g", 5000}, now));
-    EXPECT_FALSE(turns.ask({"large", "g", 9000}, now));
-    EXPECT_FALSE(turns.ask({"small", "h", 1000}, now));
-    EXPECT_FALSE(turns.ask({"middle", "h", 4000}, now));
+    EXPECT_TRUE(turns.request_turn({"first", "g", 5000}, now));
+    EXPECT_FALSE(turns.request_turn({"large", "g", 9000}, now));
+    EXPECT_FALSE(turns.request_turn({"small", "h", 1000}, now));
+    EXPECT_FALSE(turns.request_turn({"middle", "h", 4000}, now));
     for (const auto* id : {"first", "small", "middle", "large"}) {
         EXPECT_EQ(turns.holder(now)->id, id);
         turns.end(id);
@@ -225,18 +225,18 @@
 TEST(copy_turns, end_after_their_duration_limit)
 {
     copy_turns turns;
-    ASSERT_TRUE(turns.ask({"a", "g1"}, at(0)));
+    ASSERT_TRUE(turns.request_turn({"a", "g1"}, at(0)));
     const int end = static_cast<int>(copy_turn_duration_limit.count());
-    EXPECT_FALSE(turns.ask({"b", "g2"}, at(end - 1)));
-    EXPECT_TRUE(turns.ask({"b", "g2"}, at(end)));
+    EXPECT_FALSE(turns.request_turn({"b", "g2"}, at(end - 1)));
+    EXPECT_TRUE(turns.request_turn({"b", "g2"}, at(end)));
 }
 
 TEST(copy_turns, drop_requests_that_are_not_repeated)
 {
     copy_turns turns;
-    ASSERT_TRUE(turns.ask({"a", "g1"}, at(0)));
-    ASSERT_FALSE(turns.ask({"b", "g2"}, at(0)));
-    ASSERT_FALSE(turns.ask({"c", "g3"}, at(250)));
+    ASSERT_TRUE(turns.request_turn({"a", "g1"}, at(0)));
+    ASSERT_FALSE(turns.request_turn({"b", "g2"}, at(0)));
+    ASSERT_FALSE(turns.request_turn({"c", "g3"}, at(250)));
     turns.end("a");
     EXPECT_EQ(turns.holder(at(301))->id, "c");
 }
@@ -245,7 +245,7 @@
 {
     copy_turns turns;
     for (std::size_t i = 0; i < 2 * max_copy_turns; ++i)
-        turns.ask({std::to_string(i), "g"}, at(0));
+        turns.request_turn({std::to_string(i), "g"}, at(0));
     for (std::size_t i = 0; i < max_copy_turns; ++i)
         turns.end(std::to_string(i));
     EXPECT_FALSE(turns.holder(at(0)));
--- a/tests/decisions/test_limits.cpp
+++ b/tests/decisions/test_limits.cpp
@@ -20,14 +20,14 @@
     retry_budget budget(0.1, 5, 100);
     int retried = 0;
     for (int i = 0; i < 1'000; ++i) {
-        budget.request("survey");
+        budget.record_request("survey");
         while (budget.try_retry("survey"))
             ++retried;
     }
     EXPECT_NEAR(retried, 105, 1);
     EXPECT_TRUE(budget.try_retry("another"));
     for (int i = 0; i < 1'000; ++i)
-        budget.request(std::to_string(i));
+        budget.record_request(std::to_string(i));
     EXPECT_LE(budget.size(), 100U);
 }
 
@@ -37,14 +37,14 @@
     int started = 0;
     for (int entry = 0; entry < 3; ++entry) {
         team_limiter limiter(10);
-        limiter.entries(3);
+        limiter.set_entries(3);
         while (limiter.start("survey", limits, 10, start))
             ++started;
     }
     EXPECT_EQ(started, 9);
 
     team_limiter limiter(10);
-    limiter.entries(100); // the share is at least one
+    limiter.set_entries(100); // the share is at least one
     EXPECT_TRUE(limiter.start("survey", limits, 10, start));
     EXPECT_FALSE(limiter.start("survey", limits, 10, start));
     limiter.finished("survey");
@@ -59,7 +59,7 @@
     // The bucket holds the tokens of 10 s: 1000 tokens.
     const team_limits limits{0, 100};
     ASSERT_TRUE(limiter.start("survey", limits, 200, start));
-    limiter.output("survey", 1'800); // 1000 in debt
+    limiter.record_output("survey", 1'800); // 1000 in debt
     const auto refused = limiter.start("survey", limits, 1, start);
     ASSERT_FALSE(refused);
     EXPECT_EQ(refused.error().reason, refusal_reason::team_limit);
--- a/tests/decisions/test_router.cpp
+++ b/tests/decisions/test_router.cpp
@@ -89,7 +89,7 @@
     busy.memory_tokens_used = 100;
     routes.report(busy, start + 4s);
     for (int i = 0; i < 5; ++i)
-        routes.settled("runner-0", start + 4s);
+        routes.completed("runner-0", start + 4s);
     EXPECT_EQ(routes.choose(request, candidates, start + 4s).value(), 0U);
 }
 
--- a/tests/decisions/test_start_queue.cpp
+++ b/tests/decisions/test_start_queue.cpp
@@ -64,7 +64,10 @@
 protected:
     start_queues() { queue.set_slots(slots); }
 
-    std::vector<std::string> grant(int ms) { return ids(queue.give(at(ms))); }
+    std::vector<std::string> grant(int ms)
+    {
+        return ids(queue.grant_starts(at(ms)));
+    }
 
     start_queue queue;
 };
@@ -78,7 +81,7 @@
 {
     queue.update_status(idle_engine(), false, at(0));
     for (int i = 0; i < 10; ++i)
-        queue.ask(request_for(std::to_string(i)), at(0));
+        queue.request_start(request_for(std::to_string(i)), at(0));
     EXPECT_EQ(grant(0), names{"0"});
     EXPECT_EQ(grant(100), names{});
     // 2,000 tokens are read in 286 ms; the next grant is 30 ms earlier.
@@ -89,7 +92,7 @@
 
 TEST_F(start_queues, grant_nothing_before_the_first_status)
 {
-    queue.ask(request_for("a"), at(0));
+    queue.request_start(request_for("a"), at(0));
     EXPECT_EQ(grant(0), names{});
     queue.update_status(idle_engine(), false, at(10));
     EXPECT_EQ(grant(10), names{"a"});
@@ -98,8 +101,8 @@
 TEST_F(start_queues, grant_the_earliest_deadline_first)
 {
     queue.update_status(idle_engine(), false, at(0));
-    queue.ask(request_for("later", 2000, 1500), at(0));
-    queue.ask(request_for("sooner", 2000, 900), at(0));
+    queue.request_start(request_for("later", 2000, 1500), at(0));
+    queue.request_start(request_for("sooner", 2000, 900), at(0));
     EXPECT_EQ(grant(0), names{"sooner"});
 }
 
@@ -108,8 +111,8 @@
 TEST_F(start_queues, grant_late_requests_after_those_on_time)
 {
     queue.update_status(idle_engine(), false, at(0));
-    queue.ask(request_for("late", 2000, 100), at(0));
-    queue.ask(request_for("on_time", 2000, 1500), at(0));
+    queue.request_start(request_for("late", 2000, 100), at(0));
+    queue.request_start(request_for("on_time", 2000, 1500), at(0));
     EXPECT_EQ(grant(0), names{"on_time"});
     EXPECT_EQ(grant(260), names{"late"});
 }
@@ -129,8 +132,9 @@
     std::vector<std::string> running;
     queue.update_status(idle_engine(), false, at(0));
     for (const std::string id : {"f1", "f2", "f3", "c1"}) {
-        queue.ask(of_team(id[0] == 'f' ? "flood" : "calm", id), at(0));
-        EXPECT_EQ(queue.give(at(0)).size(), 1U);
+        queue.request_start(of_team(id[0] == 'f' ? "flood" : "calm", id),
+                            at(0));
+        EXPECT_EQ(queue.grant_starts(at(0)).size(), 1U);
         sizes.push_back(2700);
         running.push_back(id);
         auto view = engine_with(sizes);
@@ -145,8 +149,8 @@
 TEST_F(start_queues, grant_first_to_teams_that_hold_less)
 {
     run_flood(queue);
-    queue.ask(of_team("flood", "f4", 1600), at(1200));
-    queue.ask(of_team("calm", "c2", 1700), at(1200));
+    queue.request_start(of_team("flood", "f4", 1600), at(1200));
+    queue.request_start(of_team("calm", "c2", 1700), at(1200));
     EXPECT_EQ(grant(1200), names{"c2"});
 }
 
@@ -154,7 +158,7 @@
 TEST_F(start_queues, delay_no_team_while_no_other_waits)
 {
     run_flood(queue);
-    queue.ask(of_team("flood", "f4"), at(1200));
+    queue.request_start(of_team("flood", "f4"), at(1200));
     EXPECT_EQ(grant(1200), names{"f4"});
 }
 
@@ -165,7 +169,7 @@
     run_flood(queue);
     const auto late = of_team("flood", "late", 1200);
     EXPECT_FALSE(queue.is_passed_over(late, at(1200)));
-    queue.ask(of_team("new", "n1", 1400), at(1200));
+    queue.request_start(of_team("new", "n1", 1400), at(1200));
     EXPECT_TRUE(queue.is_passed_over(late, at(1200)));
     EXPECT_FALSE(
         queue.is_passed_over(of_team("flood", "on_time", 2700), at(1200)));
@@ -176,8 +180,8 @@
 TEST_F(start_queues, grant_a_smaller_request_before_one_that_does_not_fit)
 {
     queue.update_status(engine_with({4000, 4000, 4000}), false, at(0));
-    queue.ask(request_for("large", 6000, 500), at(0));
-    queue.ask(request_for("small", 1000, 1500), at(0));
+    queue.request_start(request_for("large", 6000, 500), at(0));
+    queue.request_start(request_for("small", 1000, 1500), at(0));
     EXPECT_EQ(grant(0), names{"small"});
     queue.update_status(engine_with({4000}), false, at(200));
     EXPECT_EQ(grant(200), names{"large"});
@@ -188,21 +192,21 @@
 TEST_F(start_queues, leave_room_for_running_generations_to_grow)
 {
     queue.update_status(engine_with({4000, 4000, 4000, 4000}), false, at(0));
-    queue.ask(request_for("a", 3900), at(0));
+    queue.request_start(request_for("a", 3900), at(0));
     EXPECT_EQ(grant(0), names{});
-    queue.ask(request_for("b", 2000), at(0));
+    queue.request_start(request_for("b", 2000), at(0));
     EXPECT_EQ(grant(0), names{"b"});
     // On an empty engine a generation may need all of the memory.
     queue.end("a");
     queue.update_status(idle_engine(), false, at(1000));
-    queue.ask(request_for("whole", memory), at(1000));
+    queue.request_start(request_for("whole", memory), at(1000));
     EXPECT_EQ(grant(1000), names{"whole"});
 }
 
 TEST_F(start_queues, count_a_grant_until_the_engine_reports_it)
 {
     queue.update_status(engine_with({8000}), false, at(0));
-    queue.ask(request_for("a", 6000), at(0));
+    queue.request_start(request_for("a", 6000), at(0));
     ASSERT_EQ(grant(0), names{"a"});
     // The prompt is being read, and the status includes its memory.
     auto view = engine_with({8000});
@@ -210,9 +214,9 @@
     view.starting = 1;
     view.memory_used += 6000;
     queue.update_status(view, false, at(100));
-    queue.ask(request_for("b", 5000), at(100));
+    queue.request_start(request_for("b", 5000), at(100));
     EXPECT_EQ(grant(840), names{}); // 19,000 tokens leave no room to grow
-    queue.ask(request_for("b", 2000), at(800));
+    queue.request_start(request_for("b", 2000), at(800));
     EXPECT_EQ(grant(840), names{"b"});
 }
 
@@ -221,7 +225,7 @@
 TEST_F(start_queues, drop_the_grant_of_a_generation_that_ended_between_polls)
 {
     queue.update_status(idle_engine(), false, at(0));
-    queue.ask(request_for("short"), at(0));
+    queue.request_start(request_for("short"), at(0));
     ASSERT_EQ(grant(0), names{"short"});
     queue.update_status(idle_engine(), false, at(100));
     EXPECT_TRUE(queue.is_granted("short"));
@@ -234,8 +238,8 @@
 TEST_F(start_queues, grant_unused_starts_to_other_requests)
 {
     queue.update_status(idle_engine(), false, at(0));
-    queue.ask(request_for("a"), at(0));
-    queue.ask(request_for("b"), at(0));
+    queue.request_start(request_for("a"), at(0));
+    queue.request_start(request_for("b"), at(0));
     ASSERT_EQ(grant(0), names{"a"});
     queue.end("a");
     EXPECT_EQ(grant(3), names{"b"});
@@ -246,17 +250,17 @@
 TEST_F(start_queues, drop_requests_that_are_not_repeated)
 {
     queue.update_status(idle_engine(), false, at(0));
-    queue.ask(request_for("dead"), at(0));
-    queue.ask(request_for("alive", 2000, 2500), at(0));
+    queue.request_start(request_for("dead"), at(0));
+    queue.request_start(request_for("alive", 2000, 2500), at(0));
     const int later = static_cast<int>(start_request_timeout.count());
-    queue.ask(request_for("alive", 2000, 2500), at(later - 100));
+    queue.request_start(request_for("alive", 2000, 2500), at(later - 100));
     EXPECT_EQ(grant(later), names{"alive"});
 }
 
 TEST_F(start_queues, grant_nothing_at_an_engine_that_is_leaving)
 {
     queue.update_status(idle_engine(), true, at(0));
-    queue.ask(request_for("a"), at(0));
+    queue.request_start(request_for("a"), at(0));
     EXPECT_EQ(grant(0), names{});
     EXPECT_TRUE(queue.leaving());
 }
@@ -265,7 +269,7 @@
 {
     queue.set_slots(2);
     queue.update_status(engine_with({100, 100}), false, at(0));
-    queue.ask(request_for("a"), at(0));
+    queue.request_start(request_for("a"), at(0));
     EXPECT_EQ(grant(0), names{});
     queue.update_status(engine_with({100}), false, at(50));
     EXPECT_EQ(grant(50), names{"a"});
@@ -275,14 +279,14 @@
 TEST_F(start_queues, count_requests_sent_without_a_grant)
 {
     queue.update_status(idle_engine(), false, at(0));
-    queue.ask(request_for("a"), at(0));
+    queue.request_start(request_for("a"), at(0));
     ASSERT_EQ(grant(0), names{"a"});
     auto view = idle_engine();
     view.running = 1;
     view.starting = 1;
     view.queued = 3;
     queue.update_status(view, false, at(280));
-    queue.ask(request_for("b"), at(280));
+    queue.request_start(request_for("b"), at(280));
     EXPECT_EQ(grant(290), names{});
 }
 
@@ -297,15 +301,15 @@
     view.queued = 3;
     view.next_prompt_tokens = 2100;
     queue.update_status(view, false, at(0));
-    EXPECT_EQ(queue.outlook().unread(at(0)), milliseconds(1200));
-    queue.ask(request_for("a"), at(0));
+    EXPECT_EQ(queue.load_estimate().reading_backlog(at(0)), milliseconds(1200));
+    queue.request_start(request_for("a"), at(0));
     EXPECT_EQ(grant(10), names{});
 }
 
 TEST_F(start_queues, are_bounded)
 {
     for (std::size_t i = 0; i < 2 * max_waiting_starts; ++i)
-        queue.ask(request_for(std::to_string(i)), at(0));
+        queue.request_start(request_for(std::to_string(i)), at(0));
     EXPECT_EQ(queue.waiting(), max_waiting_starts);
 }
 
--- a/tests/decisions/test_thundering_herds.cpp
+++ b/tests/decisions/test_thundering_herds.cpp
@@ -305,7 +305,7 @@
             if (now_ms % poll_ms == 0 && !is_removed(i))
                 queues_[i]->update_status(upstreams[i].view(), false,
                                           at(now_ms));
-            for (const auto& granted : queues_[i]->give(at(now_ms)))
+            for (const auto& granted : queues_[i]->grant_starts(at(now_ms)))
                 start(i, granted.id);
         }
         std::erase_if(searches_, [&](const search& each) {
@@ -336,7 +336,7 @@
         wanted.output_tokens = of.request.output > 10 ? 600 : 10;
         wanted.first_due = at(of.request.arrived_ms + objective_ms);
         for (const int index : of.queried)
-            queues_[index]->ask(wanted, at(now_ms));
+            queues_[index]->request_start(wanted, at(now_ms));
     }
 
     void disconnect(const search& ended)
--- a/tests/faults/fault_world.cpp
+++ b/tests/faults/fault_world.cpp
@@ -112,7 +112,7 @@
         agents_[index].upstream->stop(work);
     };
     hooks.wake = [this, index](reader_id reader) { wake(index, reader); };
-    hooks.news = [this, index] {
+    hooks.state_changed = [this, index] {
         for (const auto& mark : agents_[index].agent_gate->marks_since(0))
             marks_.merge(mark, time_.now());
     };
--- a/tests/faults/test_guards.cpp
+++ b/tests/faults/test_guards.cpp
@@ -26,7 +26,7 @@
         };
         hooks.stop = [this](work_id work) { stopped.push_back(work); };
         hooks.wake = [](reader_id) {};
-        hooks.news = [] {};
+        hooks.state_changed = [] {};
         tested_gate = std::make_unique<gate>(settings, hooks);
         tested_gate->engine_ready(0, start);
     }
--- a/tests/gateway/test_upstream_registry.cpp
+++ b/tests/gateway/test_upstream_registry.cpp
@@ -180,7 +180,7 @@
     EXPECT_EQ(usable(), 0U);
     EXPECT_EQ(leaving_ids.size(), 1U);
     EXPECT_TRUE(removed_ids.empty());
-    board.settled("a");
+    board.completed("a");
     EXPECT_EQ(removed_ids, std::vector<std::string>{"a"});
 }
 
