--- a/bench/bench_agent.cpp
+++ b/bench/bench_agent.cpp
@@ -3,40 +3,41 @@
 namespace cyclamenrun::bench
 {
 
-bench_agent::bench_agent(const deployment& site, const policy& chosen,
+bench_agent::bench_agent(const deployment& site, const policy& tested_policy,
                          const engine_settings& engine, std::size_t index,
                          const std::vector<request>& requests,
                          bool no_deadlines)
     : name("runner-" + std::to_string(index)),
       failure_domain(site.failure_domains[index % site.failure_domains.size()]),
       site_(site), requests_(requests),
-      settings_(settings_of(site, chosen, engine, no_deadlines)),
+      settings_(settings_of(site, tested_policy, engine, no_deadlines)),
       engine_(engine)
 {
-    if (chosen.uses_cyclamenrun())
+    if (tested_policy.uses_cyclamenrun())
         admission_ = std::make_unique<admission>(settings_);
 }
 
 admission_settings bench_agent::settings_of(const deployment& site,
-                                            const policy& chosen,
+                                            const policy& tested_policy,
                                             const engine_settings& engine,
                                             bool no_deadlines) const
 {
     admission_settings settings = default_admission(site.goal);
     settings.memory_tokens = engine.memory_tokens;
     settings.block_tokens = prefix_block_tokens;
-    settings.parts = {chosen.prediction, chosen.prefix, chosen.fair_share,
-                      chosen.own_counts};
+    settings.parts = {tested_policy.prediction, tested_policy.prefix,
+                      tested_policy.fair_share, tested_policy.own_counts};
     settings.overflow_bound =
-        chosen.overflow_bound.value_or(settings.overflow_bound);
-    settings.short_first = chosen.short_first.value_or(settings.short_first);
+        tested_policy.overflow_bound.value_or(settings.overflow_bound);
+    settings.short_first =
+        tested_policy.short_first.value_or(settings.short_first);
     if (no_deadlines) {
         settings.max_queued = 1'000'000;
         settings.max_queued_prompt_tokens = 10'000'000'000;
         settings.max_wait = std::chrono::hours(24);
         settings.parts.fair_share = false;
     }
-    if (chosen.kind == policy_kind::oracle)
+    if (tested_policy.kind == policy_kind::oracle)
         settings.known_length = [this](work_id id) {
             return std::optional(requests_[id].output_tokens);
         };
--- a/bench/bench_agent.hpp
+++ b/bench/bench_agent.hpp
@@ -23,7 +23,7 @@
 class bench_agent
 {
 public:
-    bench_agent(const deployment& site, const policy& chosen,
+    bench_agent(const deployment& site, const policy& tested_policy,
                 const engine_settings& engine, std::size_t index,
                 const std::vector<request>& requests, bool no_deadlines);
 
@@ -52,7 +52,8 @@
     time_point unreachable_until{}; ///< no token is delivered before this time
 
 private:
-    admission_settings settings_of(const deployment& site, const policy& chosen,
+    admission_settings settings_of(const deployment& site,
+                                   const policy& tested_policy,
                                    const engine_settings& engine,
                                    bool no_deadlines) const;
 
--- a/bench/bench_entry.cpp
+++ b/bench/bench_entry.cpp
@@ -14,12 +14,12 @@
 constexpr double retry_burst = 10;
 constexpr std::size_t retry_teams = 512;
 
-router_settings settings_of(const policy& chosen, bool no_deadlines)
+router_settings settings_of(const policy& tested_policy, bool no_deadlines)
 {
     router_settings settings;
     settings.block_tokens = prefix_block_tokens;
-    settings.prefix = chosen.prefix;
-    settings.own_counts = chosen.own_counts;
+    settings.prefix = tested_policy.prefix;
+    settings.own_counts = tested_policy.own_counts;
     if (no_deadlines)
         settings.max_wait = std::chrono::hours(24);
     return settings;
@@ -33,11 +33,11 @@
 
 } // namespace
 
-bench_entry::bench_entry(const deployment& site, const policy& chosen,
+bench_entry::bench_entry(const deployment& site, const policy& tested_policy,
                          std::size_t index, std::uint64_t seed,
                          bool no_deadlines)
-    : failure_domain(site.failure_domains[index]), kind_(chosen.kind),
-      router_(settings_of(chosen, no_deadlines), seed),
+    : failure_domain(site.failure_domains[index]), kind_(tested_policy.kind),
+      router_(settings_of(tested_policy, no_deadlines), seed),
       retries_(retry_share, retry_burst, retry_teams), next_index_(index)
 {
 }
--- a/bench/bench_entry.hpp
+++ b/bench/bench_entry.hpp
@@ -16,8 +16,8 @@
 class bench_entry
 {
 public:
-    bench_entry(const deployment& site, const policy& chosen, std::size_t index,
-                std::uint64_t seed, bool no_deadlines);
+    bench_entry(const deployment& site, const policy& tested_policy,
+                std::size_t index, std::uint64_t seed, bool no_deadlines);
 
     outcome<std::size_t> choose(const route_request& request,
                                 std::span<const candidate> candidates,
--- a/bench/capacity_command.cpp
+++ b/bench/capacity_command.cpp
@@ -20,9 +20,9 @@
             sizes += (sizes.empty() ? "" : ", ") +
                      std::to_string(static_cast<long>(point.size));
         std::printf("| %s | %s | %s | %s | %.2f | %.4f | %.1f%% |\n",
-                    slope.role.c_str(), slope.what.c_str(), slope.unit.c_str(),
-                    sizes.c_str(), slope.fit.base, slope.fit.slope,
-                    slope.fit.residual * 100.0);
+                    slope.role.c_str(), slope.quantity.c_str(),
+                    slope.unit.c_str(), sizes.c_str(), slope.fit.base,
+                    slope.fit.slope, slope.fit.residual * 100.0);
     }
 }
 
--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -50,11 +50,11 @@
 /** Creates an object of a size; the result owns it during measurement. */
 using object_factory = std::function<std::shared_ptr<void>(std::size_t size)>;
 
-capacity_slope memory_slope(const char* role, const char* what,
+capacity_slope memory_slope(const char* role, const char* quantity,
                             const std::vector<std::size_t>& sizes,
                             const object_factory& make)
 {
-    capacity_slope slope{role, what, "bytes", {}, {}};
+    capacity_slope slope{role, quantity, "bytes", {}, {}};
     for (const auto size : sizes) {
         malloc_trim(0);
         const auto before = heap_bytes();
--- a/bench/capacity_probes.hpp
+++ b/bench/capacity_probes.hpp
@@ -12,7 +12,7 @@
 /** A cost measured at several sizes, and the line fitted to it. */
 struct capacity_slope {
     std::string role;
-    std::string what;
+    std::string quantity;
     std::string unit; ///< of the values; sizes are counts
     std::vector<sample_point> points;
     linear_fit fit;
--- a/bench/decisions_command.cpp
+++ b/bench/decisions_command.cpp
@@ -45,7 +45,7 @@
 
 struct named_policy {
     std::string name;
-    policy chosen;
+    policy tested_policy;
 };
 
 seed_range parse_seeds(const std::string& text)
@@ -60,37 +60,37 @@
 
 std::vector<named_policy> policies_of(const decisions_options& options)
 {
-    std::vector<named_policy> chosen;
+    std::vector<named_policy> tested_policies;
     const bool all = options.policy_name == "all";
     for (const auto kind : {policy_kind::round_robin, policy_kind::least_load,
                             policy_kind::cyclamenrun, policy_kind::oracle}) {
         if (!all && options.policy_name != name_of(kind))
             continue;
         named_policy one{std::string(name_of(kind)), {}};
-        one.chosen.kind = kind;
-        chosen.push_back(one);
+        one.tested_policy.kind = kind;
+        tested_policies.push_back(one);
     }
     // "--policy parts": cyclamenrun complete, then without each of its parts.
     if (options.policy_name == "parts") {
-        chosen.push_back({"cyclamenrun", {}});
+        tested_policies.push_back({"cyclamenrun", {}});
         for (const char* part :
              {"prediction", "prefix", "fair_share", "own_counts"}) {
             named_policy one{std::string("-") + part, {}};
-            disable_part(one.chosen, part);
-            chosen.push_back(one);
+            disable_part(one.tested_policy, part);
+            tested_policies.push_back(one);
         }
     }
-    for (auto& one : chosen) {
-        one.chosen.overflow_bound = options.overflow_bound;
-        one.chosen.short_first = options.short_first;
+    for (auto& one : tested_policies) {
+        one.tested_policy.overflow_bound = options.overflow_bound;
+        one.tested_policy.short_first = options.short_first;
         for (const auto& part : options.without) {
-            if (one.chosen.kind != policy_kind::cyclamenrun)
+            if (one.tested_policy.kind != policy_kind::cyclamenrun)
                 continue;
-            disable_part(one.chosen, part);
+            disable_part(one.tested_policy, part);
             one.name += "-" + part;
         }
     }
-    return chosen;
+    return tested_policies;
 }
 
 /** Two-sided 95% quantile of Student's t by degrees of freedom. */
@@ -194,7 +194,7 @@
 
     trial_settings settings;
     settings.site = *site;
-    settings.site.runners = options.runners.value_or(site->runners);
+    settings.site.engines = options.runners.value_or(site->engines);
     settings.fault = *fault;
     settings.warm_up_s = options.warm_up_s;
     settings.window_s = options.window_s;
@@ -215,7 +215,7 @@
         std::vector<std::string> names;
         std::vector<std::vector<std::pair<std::string, estimate>>> columns;
         for (const auto& one : policies) {
-            settings.chosen = one.chosen;
+            settings.tested_policy = one.tested_policy;
             names.push_back(one.name);
             columns.push_back(run_seeds(settings, seeds, options.jobs));
             if (options.json)
--- a/bench/deployment.hpp
+++ b/bench/deployment.hpp
@@ -34,7 +34,7 @@
     std::string service;
     objective goal;
     std::vector<std::string> failure_domains;
-    std::size_t runners = 10;
+    std::size_t engines = 10;
     double one_way_ms = 0.5; ///< between failure domains
     double deadline_s = 120;
     length_distribution short_answer;
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -160,9 +160,9 @@
     result.direct.request = request_of(settings, settings.direct);
     result.through.address = settings.through;
     result.through.request = request_of(settings, settings.through);
-    for (const int process : settings.processes)
-        result.processes.push_back({process, resident_kilobytes(process), 0,
-                                    -processor_seconds(process)});
+    for (const int pid : settings.pids)
+        result.processes.push_back(
+            {pid, resident_kilobytes(pid), 0, -processor_seconds(pid)});
 
     const time_point begin = steady_now();
     const time_point deadline = begin + settings.time;
@@ -174,11 +174,11 @@
     }
     wait_until(*loop, begin + (ramp + settings.time) / 2);
     for (process_use& use : result.processes)
-        use.kilobytes_during = resident_kilobytes(use.process);
+        use.kilobytes_during = resident_kilobytes(use.pid);
     wait_until(*loop, deadline);
     loop.reset();
     for (process_use& use : result.processes)
-        use.processor_seconds += processor_seconds(use.process);
+        use.processor_seconds += processor_seconds(use.pid);
     return result;
 }
 
--- a/bench/path_bench.hpp
+++ b/bench/path_bench.hpp
@@ -12,7 +12,7 @@
 
 /** Memory of a process before and during the streams, and its CPU time. */
 struct process_use {
-    int process = 0;
+    int pid = 0;
     std::uint64_t kilobytes_before = 0;
     std::uint64_t kilobytes_during = 0;
     double processor_seconds = 0; ///< during the whole run
--- a/bench/path_command.cpp
+++ b/bench/path_command.cpp
@@ -35,7 +35,7 @@
 {
     const auto added = static_cast<double>(use.kilobytes_during) -
                        static_cast<double>(use.kilobytes_before);
-    std::cout << "process " << use.process << ": " << use.kilobytes_before
+    std::cout << "process " << use.pid << ": " << use.kilobytes_before
               << " KB before, " << use.kilobytes_during << " KB during, "
               << std::setprecision(1)
               << added / static_cast<double>(settings.streams)
@@ -117,7 +117,7 @@
     command->add_option("--output-tokens", parsed->settings.output_tokens,
                         "tokens of each answer");
     command
-        ->add_option("--pids", parsed->settings.processes,
+        ->add_option("--pids", parsed->settings.pids,
                      "processes whose memory is read")
         ->delimiter(',');
     command->callback([parsed] {
--- a/bench/path_settings.hpp
+++ b/bench/path_settings.hpp
@@ -20,7 +20,7 @@
     std::string model; ///< name of the service
     std::uint64_t prompt_words = 50;
     std::uint64_t output_tokens = 60;
-    std::vector<int> processes; ///< ids of processes to measure
+    std::vector<int> pids; ///< ids of processes to measure
 };
 
 } // namespace cyclamenrun::bench
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -165,13 +165,13 @@
     }
     requests_ = make_workload(settings.site, load, settings.seed);
     callers_.resize(requests_.size());
-    for (std::size_t i = 0; i < settings.site.runners; ++i)
+    for (std::size_t i = 0; i < settings.site.engines; ++i)
         agents_.push_back(std::make_unique<bench_agent>(
-            settings.site, settings.chosen, settings.engine, i, requests_,
-            settings.no_deadlines));
+            settings.site, settings.tested_policy, settings.engine, i,
+            requests_, settings.no_deadlines));
     for (std::size_t i = 0; i < settings.site.failure_domains.size(); ++i)
         entries_.push_back(std::make_unique<bench_entry>(
-            settings.site, settings.chosen, i, settings.seed * 31 + i,
+            settings.site, settings.tested_policy, i, settings.seed * 31 + i,
             settings.no_deadlines));
     listed_.assign(agents_.size(), true);
     engine_incarnations_.assign(agents_.size(), 0);
@@ -218,7 +218,8 @@
 void simulation::plan_reports()
 {
     for (std::size_t i = 0; i < agents_.size(); ++i) {
-        const bool uses_cyclamenrun = settings_.chosen.uses_cyclamenrun();
+        const bool uses_cyclamenrun =
+            settings_.tested_policy.uses_cyclamenrun();
         const duration every =
             uses_cyclamenrun ? agent_report_interval : engine_report_interval;
         for (time_point when = epoch + every * (i + 1) / agents_.size();
@@ -392,7 +393,7 @@
         return;
     bench_agent& agent = *agents_[runner];
     if (!agent.alive ||
-        (agent.leaving && settings_.chosen.uses_cyclamenrun())) {
+        (agent.leaving && settings_.tested_policy.uses_cyclamenrun())) {
         retry_elsewhere(id, std::nullopt);
         return;
     }
@@ -574,7 +575,7 @@
 
 void simulation::report_cache_events(std::size_t runner)
 {
-    if (!settings_.chosen.uses_cyclamenrun())
+    if (!settings_.tested_policy.uses_cyclamenrun())
         return;
     const auto& result = agents_[runner]->engine().last_step();
     for (const auto& happened : result.cache_events) {
@@ -638,10 +639,10 @@
     caller& client = callers_[id];
     // cyclamenrun marks requests that ran on a lost engine and refuses them
     // after two losses.
-    client.suspect = settings_.chosen.uses_cyclamenrun();
+    client.suspect = settings_.tested_policy.uses_cyclamenrun();
     client.current_phase = caller::phase::not_dispatched;
     client.delivered = 0;
-    if (settings_.chosen.uses_cyclamenrun() && client.losses >= 2) {
+    if (settings_.tested_policy.uses_cyclamenrun() && client.losses >= 2) {
         end(id);
         return;
     }
@@ -669,10 +670,10 @@
     settings.site = site;
     settings.engine = engine;
     settings.lengths = lengths;
-    settings.chosen.kind = policy_kind::round_robin;
+    settings.tested_policy.kind = policy_kind::round_robin;
     settings.no_deadlines = true;
     settings.requests_per_second =
-        overload_rps_per_runner * static_cast<double>(site.runners);
+        overload_rps_per_runner * static_cast<double>(site.engines);
     double answers = 0;
     for (std::uint64_t i = 0; i < seeds; ++i) {
         settings.seed = first_seed + i;
--- a/bench/trial.hpp
+++ b/bench/trial.hpp
@@ -15,7 +15,7 @@
 
 struct trial_settings {
     deployment site;
-    policy chosen;
+    policy tested_policy;
     fault_kind fault = fault_kind::none;
     double requests_per_second = 1;
     std::vector<length_pair> lengths;
--- a/tests/decisions/test_router.cpp
+++ b/tests/decisions/test_router.cpp
@@ -113,7 +113,7 @@
     EXPECT_NE(routes.choose(request, candidates, start + 2s).value(), home);
 }
 
-TEST(router, entries_agree_on_the_quarantine_of_a_suspect)
+TEST(router, entries_agree_on_the_preferred_upstreams_of_a_suspect)
 {
     const auto candidates = runners(1'200);
     std::set<std::size_t> chosen;
--- a/tests/faults/fake_upstream.cpp
+++ b/tests/faults/fake_upstream.cpp
@@ -81,7 +81,7 @@
     });
 }
 
-void fake_upstream::die()
+void fake_upstream::crash()
 {
     if (!alive_)
         return;
--- a/tests/faults/fake_upstream.hpp
+++ b/tests/faults/fake_upstream.hpp
@@ -41,7 +41,7 @@
     void stop(work_id work);
 
     /** Crashes the process with all of its runs; it restarts after a delay. */
-    void die();
+    void crash();
     /** Stops progress for `pause`: memory is full, or the process is slow. */
     void pause(milliseconds pause);
     /** Loses the answer of the next call that completes, after its effect. */
--- a/tests/faults/fault_world.cpp
+++ b/tests/faults/fault_world.cpp
@@ -667,7 +667,7 @@
     };
     switch (what) {
     case fault::upstream_dies:
-        node.upstream->die();
+        node.upstream->crash();
         break;
     case fault::agent_dies:
         defer([this, agent] { kill_agent(agent); });
--- a/tests/gateway/fake_store.cpp
+++ b/tests/gateway/fake_store.cpp
@@ -88,7 +88,7 @@
     }
     if (current_mood == fault_mode::busy)
         reply.answer(request, 503, "{}");
-    else if (current_mood == fault_mode::silent)
+    else if (current_mood == fault_mode::unresponsive)
         reply.wait_for_close();
     else if (current_mood == fault_mode::disconnecting)
         reply.close();
--- a/tests/gateway/fake_store.hpp
+++ b/tests/gateway/fake_store.hpp
@@ -24,7 +24,7 @@
     enum class fault_mode : std::uint8_t {
         healthy,
         busy,         ///< answers 503
-        silent,       ///< accepts calls and does not answer
+        unresponsive, ///< accepts calls and does not answer
         disconnecting ///< closes the connection without an answer
     };
 
--- a/tests/gateway/gateway_fixture.cpp
+++ b/tests/gateway/gateway_fixture.cpp
@@ -190,17 +190,17 @@
     record.failure_domain = "d1";
     record.slots = 8;
     records.push_back(record);
-    tell(record);
+    publish_record(record);
     wait_for_upstreams(records.size());
     return *upstreams.back();
 }
 
-void gateway_fixture::tell(const upstream_record& record)
+void gateway_fixture::publish_record(const upstream_record& record)
 {
     changes->push({record.id, record});
 }
 
-void gateway_fixture::forget(const std::string& id)
+void gateway_fixture::remove_upstream(const std::string& id)
 {
     changes->push({id, std::nullopt});
 }
@@ -212,7 +212,7 @@
                      [&](const auto& record) { return record.id == id; });
     auto record = *found;
     record.draining = true;
-    tell(record);
+    publish_record(record);
 }
 
 void gateway_fixture::wait_for_upstreams(std::size_t count)
@@ -234,8 +234,8 @@
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
-caller_answer gateway_fixture::ask(const std::string& path,
-                                   const std::string& key)
+caller_answer gateway_fixture::send_request(const std::string& path,
+                                            const std::string& key)
 {
     test_caller caller(gateway->address());
     caller.send(request(path, key));
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -94,7 +94,7 @@
     caller_answer read();
     /** Reads until the body contains the text; false if it never does. */
     bool wait_for_body(const std::string& text);
-    void leave() { socket_.close(); }
+    void disconnect() { socket_.close(); }
 
 private:
     bool receive();
@@ -122,8 +122,8 @@
     fake_upstream& add(const std::string& id, fake_upstream::script play,
                        const std::string& service = "app",
                        const std::string& host = "127.0.0.1");
-    void tell(const upstream_record& record);
-    void forget(const std::string& id);
+    void publish_record(const upstream_record& record);
+    void remove_upstream(const std::string& id);
     void drain(const std::string& id);
     void apply(gateway_configuration configuration);
     gateway_configuration configuration() const;
@@ -134,7 +134,8 @@
     std::string request(const std::string& path, const std::string& key = "k1",
                         const std::string& extra_fields = "",
                         const std::string& body = "hello");
-    caller_answer ask(const std::string& path, const std::string& key = "k1");
+    caller_answer send_request(const std::string& path,
+                               const std::string& key = "k1");
     std::string state();
     unsigned readiness();
 
--- a/tests/gateway/test_directory_relay.cpp
+++ b/tests/gateway/test_directory_relay.cpp
@@ -233,7 +233,7 @@
 TEST_F(relayed_directory, keeps_serving_while_only_the_gateway_is_cut_off)
 {
     auto& gateway = start_gateway();
-    gateways_path.stall(way::to_target);
+    gateways_path.stall(relay_direction::to_target);
     expect_served_beyond_lease(gateway);
     store.put("keyed.op", "config", configuration(2, "k2"));
     EXPECT_TRUE(eventually_answers(gateway, "k1", 401));
@@ -246,7 +246,7 @@
 TEST_F(relayed_directory, keeps_serving_while_the_relays_are_cut_off)
 {
     auto& gateway = start_gateway();
-    monitors_path.stall(way::to_target);
+    monitors_path.stall(relay_direction::to_target);
     expect_served_beyond_lease(gateway);
     monitors_path.cut();
     expect_served_beyond_lease(gateway);
@@ -276,7 +276,7 @@
     for (std::size_t i = 0; i < fleet; ++i)
         start_gateway();
     const auto relays = choose_relays(candidates, "gateway-0", 2);
-    const auto direct_calls = [&] { return gateways_path.carried(); };
+    const auto direct_calls = [&] { return gateways_path.caller_reads(); };
     const auto before = direct_calls();
     for (const auto& each : engines)
         each->draining = std::find(relays.begin(), relays.end(),
@@ -294,8 +294,8 @@
 TEST_F(relayed_directory, ends_the_lease_when_gateway_and_relays_are_cut_off)
 {
     auto& gateway = start_gateway();
-    gateways_path.stall(way::to_target);
-    monitors_path.stall(way::to_target);
+    gateways_path.stall(relay_direction::to_target);
+    monitors_path.stall(relay_direction::to_target);
     const auto revoked_at = steady_now();
     store.put("keyed.op", "config", configuration(2, "k2"));
     EXPECT_TRUE(eventually_answers(gateway, "k1", 503));
--- a/tests/gateway/test_explaining.cpp
+++ b/tests/gateway/test_explaining.cpp
@@ -71,7 +71,7 @@
 // its lease on the configuration, and with it on the keys.
 TEST_F(request_explanation, shows_why_a_request_was_refused)
 {
-    store.set_fault_mode(fake_store::fault_mode::silent);
+    store.set_fault_mode(fake_store::fault_mode::unresponsive);
     wait_for_answer("k1", 503);
     ASSERT_TRUE(wait_for_log("directory_lost"));
     const auto id = send("k1", "/a/x");
@@ -107,7 +107,7 @@
                                     "revision=2 status=401")));
 }
 
-TEST(request_timeline, skips_invalid_log_lines)
+TEST(request_timeline, skips_lines_that_are_not_log_events)
 {
     request_timeline timeline("a");
     for (const auto* line : {"", "{", "plain text", "{\"time\":1}", "[]",
--- a/tests/gateway/test_generations.cpp
+++ b/tests/gateway/test_generations.cpp
@@ -192,7 +192,7 @@
     const auto second = std::make_shared<generating_engine>();
     first->hold_before = 5;
     first->on_stop = [this] {
-        forget("e1");
+        remove_upstream("e1");
         wait_for_upstreams(1);
     };
     add_engine("e1", first);
@@ -286,8 +286,8 @@
     first->break_before = 5;
     second->break_before = 5;
     // Detecting the first crash enables backups for later generations.
-    EXPECT_FALSE(ask("/gen/x").whole);
-    const auto answer = ask("/gen/x");
+    EXPECT_FALSE(send_request("/gen/x").whole);
+    const auto answer = send_request("/gen/x");
     EXPECT_TRUE(answer.whole);
     EXPECT_EQ(answer.body, events(1, generating_engine::last_event));
     std::size_t resumed = 0;
@@ -347,7 +347,7 @@
     std::thread stop([&] { clean = gateway->drain(); });
     while (readiness() != 503)
         std::this_thread::yield();
-    const auto refused = ask("/gen/x");
+    const auto refused = send_request("/gen/x");
     EXPECT_EQ(refused.status(), 503U);
     EXPECT_NE(refused.field("Retry-After"), "");
     engine->hold_before = 1000;
@@ -382,7 +382,7 @@
     second->break_before = 5;
     add_engine("e1", first);
     add_engine("e2", second);
-    const auto answer = ask("/res/x");
+    const auto answer = send_request("/res/x");
     EXPECT_TRUE(answer.whole);
     EXPECT_EQ(answer.body, events(1, generating_engine::last_event));
     for (const auto& upstream : upstreams) {
--- a/tests/gateway/test_programs.cpp
+++ b/tests/gateway/test_programs.cpp
@@ -39,8 +39,8 @@
 TEST_F(gateway_program, serves_until_its_lease_ends_and_again_afterwards)
 {
     using fault_mode = fake_store::fault_mode;
-    for (const auto failure :
-         {fault_mode::silent, fault_mode::busy, fault_mode::disconnecting}) {
+    for (const auto failure : {fault_mode::unresponsive, fault_mode::busy,
+                               fault_mode::disconnecting}) {
         store.set_fault_mode(failure);
         EXPECT_EQ(status_of("k1"), 200U);
         wait_for_answer("k1", 503);
@@ -143,7 +143,7 @@
 
 TEST_F(gateway_program, logs_when_its_lease_ends_and_is_renewed)
 {
-    store.set_fault_mode(fake_store::fault_mode::silent);
+    store.set_fault_mode(fake_store::fault_mode::unresponsive);
     EXPECT_TRUE(wait_for_log("lease_ended"));
     store.set_fault_mode(fake_store::fault_mode::healthy);
     wait_for_answer("k1", 200);
--- a/tests/gateway/test_request_forwarding.cpp
+++ b/tests/gateway/test_request_forwarding.cpp
@@ -89,29 +89,29 @@
 {
     start(false);
     EXPECT_EQ(readiness(), 503U);
-    const auto answer = ask("/plain/x");
+    const auto answer = send_request("/plain/x");
     EXPECT_EQ(answer.status(), 503U);
     EXPECT_NE(answer.field("Retry-After"), "");
     apply(configuration());
     add("u1", answer_with_body);
     EXPECT_EQ(readiness(), 200U);
-    EXPECT_EQ(ask("/plain/x").status(), 200U);
+    EXPECT_EQ(send_request("/plain/x").status(), 200U);
 }
 
 TEST_F(request_forwarding, routes_and_keys_are_those_of_the_newest_version)
 {
     start();
     add("u1", answer_with_body);
-    EXPECT_EQ(ask("/other/x").status(), 404U);
-    EXPECT_EQ(ask("/plain/x", "wrong").status(), 401U);
+    EXPECT_EQ(send_request("/other/x").status(), 404U);
+    EXPECT_EQ(send_request("/plain/x", "wrong").status(), 401U);
     auto next = configuration();
     next.version = 3;
     next.teams[0].keys = {secret("k2")};
     next.routes[0].path_prefix = "/other/";
     apply(next);
-    EXPECT_EQ(ask("/plain/x", "k2").status(), 404U);
-    EXPECT_EQ(ask("/other/x", "k2").status(), 200U);
-    EXPECT_EQ(ask("/other/x", "k1").status(), 401U);
+    EXPECT_EQ(send_request("/plain/x", "k2").status(), 404U);
+    EXPECT_EQ(send_request("/other/x", "k2").status(), 200U);
+    EXPECT_EQ(send_request("/other/x", "k1").status(), 401U);
 }
 
 // Guards against the return of a revoked key: an older version arrives after a
@@ -128,8 +128,8 @@
     auto marker = next;
     marker.version = 4;
     apply(marker);
-    EXPECT_EQ(ask("/plain/x", "k1").status(), 401U);
-    EXPECT_EQ(ask("/plain/x", "k2").status(), 200U);
+    EXPECT_EQ(send_request("/plain/x", "k1").status(), 401U);
+    EXPECT_EQ(send_request("/plain/x", "k2").status(), 200U);
 }
 
 // Guards against the use of revoked keys: the directory does not respond for
@@ -140,9 +140,9 @@
     settings.configuration_wait = milliseconds(100);
     start();
     add("u1", answer_with_body);
-    EXPECT_EQ(ask("/plain/x").status(), 200U);
+    EXPECT_EQ(send_request("/plain/x").status(), 200U);
     std::this_thread::sleep_for(milliseconds(900));
-    EXPECT_EQ(ask("/plain/x").status(), 503U);
+    EXPECT_EQ(send_request("/plain/x").status(), 503U);
     EXPECT_EQ(readiness(), 503U);
 }
 
@@ -150,7 +150,7 @@
 {
     start();
     const auto began = steady_now();
-    const auto answer = ask("/plain/x");
+    const auto answer = send_request("/plain/x");
     EXPECT_EQ(answer.status(), 503U);
     EXPECT_LT(steady_now() - began, milliseconds(1000));
 }
@@ -161,11 +161,11 @@
     auto& leaving = add("u1", answer_with_body);
     auto& staying = add("u2", answer_with_body);
     drain("u1");
-    ask("/plain/0"); // allows time to read the directory
+    send_request("/plain/0"); // allows time to read the directory
     std::this_thread::sleep_for(milliseconds(100));
     const auto before = leaving.arrived().size();
     for (int i = 0; i < 10; ++i)
-        EXPECT_EQ(ask("/plain/x").status(), 200U);
+        EXPECT_EQ(send_request("/plain/x").status(), 200U);
     EXPECT_EQ(leaving.arrived().size(), before);
     EXPECT_GE(staying.arrived().size(), 10U);
 }
--- a/tests/gateway/test_start_search.cpp
+++ b/tests/gateway/test_start_search.cpp
@@ -90,7 +90,7 @@
 {
     const auto grants = monitor("127.0.0.1", grant_all());
     const auto waits = monitor("127.0.0.2", make_all_wait());
-    EXPECT_EQ(ask("/gen/x").status(), 200U);
+    EXPECT_EQ(send_request("/gen/x").status(), 200U);
     EXPECT_EQ(one->arrived().size(), 1U);
     EXPECT_TRUE(two->arrived().empty());
     EXPECT_TRUE(waits->wait_for(ends_start));
@@ -107,7 +107,7 @@
 {
     const auto first = monitor("127.0.0.1", grant_all());
     const auto second = monitor("127.0.0.2", grant_all());
-    EXPECT_EQ(ask("/gen/x").status(), 200U);
+    EXPECT_EQ(send_request("/gen/x").status(), 200U);
     const auto returned = [&] {
         return first->count_of(ends_start) + second->count_of(ends_start) > 0;
     };
@@ -130,7 +130,7 @@
         });
     const auto calm = monitor("127.0.0.2", grant_all());
     for (int i = 0; i < 5; ++i)
-        EXPECT_EQ(ask("/gen/x").status(), 200U);
+        EXPECT_EQ(send_request("/gen/x").status(), 200U);
     EXPECT_TRUE(one->arrived().empty());
     EXPECT_EQ(two->arrived().size(), 5U);
 }
@@ -140,7 +140,7 @@
 TEST_F(start_searches, use_load_estimates_when_no_monitor_responds)
 {
     const auto began = steady_now();
-    EXPECT_EQ(ask("/gen/x").status(), 200U);
+    EXPECT_EQ(send_request("/gen/x").status(), 200U);
     EXPECT_LT(steady_now() - began, milliseconds(500));
 }
 
@@ -163,15 +163,15 @@
 // loads.
 TEST_F(start_searches, query_engine_loads_when_no_monitor_responds)
 {
-    forget("e1");
-    forget("e2");
+    remove_upstream("e1");
+    remove_upstream("e2");
     records.clear();
     auto& busy = add("e3", answer_with_queue(9), "model", "127.0.0.3");
     auto& idle = add("e4", answer_with_queue(0), "model", "127.0.0.4");
     for (auto* engine : {&busy, &idle})
         engine->rejects_load_requests = false;
     for (int i = 0; i < 5; ++i)
-        EXPECT_EQ(ask("/gen/x").status(), 200U);
+        EXPECT_EQ(send_request("/gen/x").status(), 200U);
     const auto streams = [](const fake_upstream& engine) {
         const auto arrived = engine.arrived();
         return std::count_if(arrived.begin(), arrived.end(),
@@ -199,19 +199,19 @@
     };
     const auto first = monitor("127.0.0.1", play);
     const auto second = monitor("127.0.0.2", play);
-    EXPECT_EQ(ask("/gen/x").status(), 200U);
+    EXPECT_EQ(send_request("/gen/x").status(), 200U);
     const auto asked = [&] {
         return first->count_of(wants_start) + second->count_of(wants_start);
     };
     EXPECT_GT(asked(), 0U);
     std::this_thread::sleep_for(milliseconds(3200));
     const auto before = asked();
-    EXPECT_EQ(ask("/gen/x").status(), 200U);
+    EXPECT_EQ(send_request("/gen/x").status(), 200U);
     EXPECT_EQ(asked(), before);
     speaks = true;
     const auto deadline = steady_now() + std::chrono::seconds(10);
     while (asked() == before && steady_now() < deadline)
-        EXPECT_EQ(ask("/gen/x").status(), 200U);
+        EXPECT_EQ(send_request("/gen/x").status(), 200U);
     EXPECT_GT(asked(), before);
 }
 
@@ -225,7 +225,7 @@
         test_caller caller(gateway->address());
         caller.send(request("/gen/x"));
         ASSERT_TRUE(first->wait_for(wants_start));
-        caller.leave();
+        caller.disconnect();
     }
     EXPECT_TRUE(first->wait_for(ends_start));
     EXPECT_TRUE(second->wait_for(ends_start));
@@ -239,7 +239,7 @@
     const auto first = monitor("127.0.0.1", skip_all());
     const auto second = monitor("127.0.0.2", skip_all());
     const auto began = steady_now();
-    const auto answer = ask("/gen/x");
+    const auto answer = send_request("/gen/x");
     EXPECT_LT(steady_now() - began, std::chrono::seconds(2));
     EXPECT_EQ(answer.status(), 503U);
     EXPECT_EQ(answer.body, R"({"error":"share_spent"})");
@@ -261,7 +261,7 @@
             return asked++ == 0 ? start_waits(request.start_wanted().id())
                                 : start_given(request.start_wanted().id());
         });
-    EXPECT_EQ(ask("/gen/x").status(), 200U);
+    EXPECT_EQ(send_request("/gen/x").status(), 200U);
     EXPECT_EQ(two->arrived().size(), 1U);
 }
 
@@ -278,7 +278,7 @@
             return start_given(request.start_wanted().id());
         });
     const auto waits = monitor("127.0.0.2", make_all_wait());
-    EXPECT_EQ(ask("/gen/x").status(), 200U);
+    EXPECT_EQ(send_request("/gen/x").status(), 200U);
     EXPECT_EQ(one->arrived().size(), 1U);
 }
 
@@ -301,7 +301,7 @@
                        ? start_waits(request.start_wanted().id())
                        : start_given(request.start_wanted().id());
         });
-    EXPECT_EQ(ask("/gen/x").status(), 200U);
+    EXPECT_EQ(send_request("/gen/x").status(), 200U);
     EXPECT_TRUE(one->arrived().empty());
     EXPECT_EQ(two->arrived().size(), 1U);
 }
@@ -321,7 +321,7 @@
             return given;
         });
     const auto waits = monitor("127.0.0.2", make_all_wait());
-    EXPECT_EQ(ask("/gen/x").status(), 200U);
+    EXPECT_EQ(send_request("/gen/x").status(), 200U);
     ASSERT_EQ(one->arrived().size(), 1U);
     EXPECT_EQ(one->arrived().front().field("Expect-Instance"), "e9");
 }
@@ -340,7 +340,7 @@
         });
     const auto grants = monitor("127.0.0.1", grant_all());
     for (int i = 0; i < 3; ++i)
-        EXPECT_EQ(ask("/gen/x").status(), 200U);
+        EXPECT_EQ(send_request("/gen/x").status(), 200U);
     for (const auto& request : one->arrived())
         EXPECT_EQ(request.field("Expect-Instance"), "e1");
 }
--- a/tests/gateway/test_upstream_failures.cpp
+++ b/tests/gateway/test_upstream_failures.cpp
@@ -59,7 +59,7 @@
 {
     start();
     add_two(reset);
-    EXPECT_EQ(ask("/plain/x").status(), 502U);
+    EXPECT_EQ(send_request("/plain/x").status(), 502U);
     EXPECT_EQ(arrivals(), 1U);
 }
 
@@ -67,7 +67,7 @@
 {
     start();
     add_two(reset);
-    const auto answer = ask("/safe/x");
+    const auto answer = send_request("/safe/x");
     EXPECT_EQ(answer.status(), 200U);
     EXPECT_EQ(answer.body, "good");
     EXPECT_EQ(arrivals(), 2U);
@@ -77,7 +77,7 @@
 {
     start();
     add_two(reject);
-    EXPECT_EQ(ask("/plain/x").status(), 200U);
+    EXPECT_EQ(send_request("/plain/x").status(), 200U);
     EXPECT_EQ(arrivals(), 2U);
 }
 
@@ -93,16 +93,16 @@
         reply.answer(request, 200, "good");
     });
     for (int i = 0; i < 20; ++i)
-        EXPECT_EQ(ask("/plain/x").status(), 200U);
+        EXPECT_EQ(send_request("/plain/x").status(), 200U);
     EXPECT_LE(upstreams[0]->arrived().size(), 1U);
     // A new record makes the upstream usable again.
     auto again = records[0];
     again.started_ms = 7;
-    tell(again);
+    publish_record(again);
     const auto deadline = steady_now() + std::chrono::seconds(5);
     const auto before = upstreams[0]->arrived().size();
     while (upstreams[0]->arrived().size() == before && steady_now() < deadline)
-        EXPECT_EQ(ask("/plain/x").status(), 200U);
+        EXPECT_EQ(send_request("/plain/x").status(), 200U);
     EXPECT_GT(upstreams[0]->arrived().size(), before);
 }
 
@@ -111,7 +111,7 @@
     start();
     add("u1", reject);
     add("u2", reject);
-    const auto answer = ask("/plain/x");
+    const auto answer = send_request("/plain/x");
     EXPECT_EQ(answer.status(), 503U);
     EXPECT_GT(std::stod(answer.field("Retry-After")), 0.0);
     EXPECT_EQ(answer.field("Response-Seal"), "");
@@ -127,7 +127,7 @@
     add("u1", [](const arrived_request& request, upstream_reply& reply) {
         reply.answer(request, 503, "odd");
     });
-    EXPECT_EQ(ask("/plain/x").status(), 502U);
+    EXPECT_EQ(send_request("/plain/x").status(), 502U);
 }
 
 TEST_F(upstream_failures, an_upstream_error_is_relayed_unchanged)
@@ -136,7 +136,7 @@
     add("u1", [](const arrived_request& request, upstream_reply& reply) {
         reply.answer(request, 500, "broken");
     });
-    const auto answer = ask("/plain/x");
+    const auto answer = send_request("/plain/x");
     EXPECT_EQ(answer.status(), 500U);
     EXPECT_EQ(answer.body, "broken");
     EXPECT_EQ(answer.field("Response-Seal"), "seal");
@@ -151,10 +151,10 @@
     auto dead = records[0];
     dead.id = "dead";
     dead.address.port = 1; // nothing listens there
-    tell(dead);
+    publish_record(dead);
     wait_for_upstreams(2);
     for (int i = 0; i < 8; ++i)
-        EXPECT_EQ(ask("/plain/x").status(), 200U);
+        EXPECT_EQ(send_request("/plain/x").status(), 200U);
 }
 
 // Guards against a truncated answer delivered as complete: the upstream closes
@@ -168,7 +168,7 @@
             "\r\nResponse-Seal: s\r\nContent-Length: 100\r\n\r\nabc");
         reply.close();
     });
-    EXPECT_EQ(ask("/plain/x").status(), 502U);
+    EXPECT_EQ(send_request("/plain/x").status(), 502U);
 }
 
 TEST_F(upstream_failures, an_unsealed_success_is_not_delivered)
@@ -179,7 +179,7 @@
             "HTTP/1.1 200 OK\r\nAttempt-Id: " + request.field("Attempt-Id") +
             "\r\nContent-Length: 3\r\n\r\nabc");
     });
-    EXPECT_EQ(ask("/plain/x").status(), 502U);
+    EXPECT_EQ(send_request("/plain/x").status(), 502U);
 }
 
 TEST_F(upstream_failures, an_invalid_response_is_not_delivered)
@@ -188,7 +188,7 @@
     add("u1", [](const arrived_request&, upstream_reply& reply) {
         reply.send("\x01\x02 nonsense\r\n\r\n");
     });
-    EXPECT_EQ(ask("/plain/x").status(), 502U);
+    EXPECT_EQ(send_request("/plain/x").status(), 502U);
 }
 
 // Guards against a response that reaches the wrong caller: an upstream sends a
@@ -204,7 +204,7 @@
         reply.answer(request, 200, "mine " + request.field("Attempt-Id"));
     });
     for (int i = 1; i <= 3; ++i)
-        EXPECT_EQ(ask("/plain/x").body, "mine r" + std::to_string(i));
+        EXPECT_EQ(send_request("/plain/x").body, "mine r" + std::to_string(i));
 }
 
 TEST_F(upstream_failures, surplus_bytes_close_the_connection)
@@ -217,7 +217,8 @@
                    "Content-Length: 5\r\n\r\nstray");
     });
     for (int i = 1; i <= 3; ++i)
-        EXPECT_EQ(ask("/plain/x").body, "mine r" + std::to_string(i) + "\n");
+        EXPECT_EQ(send_request("/plain/x").body,
+                  "mine r" + std::to_string(i) + "\n");
 }
 
 // Guards against a request that is read as part of a body: the upstream answers
@@ -232,7 +233,7 @@
     test_caller caller(gateway->address());
     caller.send(request("/plain/x", "k1", "", std::string(3 << 20, 'x')));
     EXPECT_EQ(caller.read().status(), 200U);
-    EXPECT_EQ(ask("/plain/x").status(), 200U);
+    EXPECT_EQ(send_request("/plain/x").status(), 200U);
 }
 
 // Guards against work for a disconnected caller: the gateway must close the
@@ -249,7 +250,7 @@
     caller.send(request("/plain/x"));
     upstream.wait_for(1);
     const auto left_at = steady_now();
-    caller.leave();
+    caller.disconnect();
     EXPECT_TRUE(closed->get_future().get());
     EXPECT_LT(steady_now() - left_at, milliseconds(500));
 }
@@ -265,7 +266,7 @@
         reply.wait_for_close();
     });
     const auto began = steady_now();
-    EXPECT_EQ(ask("/plain/x").status(), 504U);
+    EXPECT_EQ(send_request("/plain/x").status(), 504U);
     EXPECT_GE(steady_now() - began, milliseconds(140));
     EXPECT_LT(steady_now() - began, milliseconds(600));
 }
@@ -287,7 +288,7 @@
     apply(configured);
     add_two(never_respond);
     const auto began = steady_now();
-    const auto answer = ask("/safe/x");
+    const auto answer = send_request("/safe/x");
     EXPECT_EQ(answer.status(), 200U);
     EXPECT_GE(steady_now() - began, milliseconds(120));
     EXPECT_EQ(arrivals(), 2U);
@@ -310,10 +311,10 @@
     });
     unsigned status = 200;
     for (int i = 0; i < 50 && status == 200; ++i)
-        status = ask("/plain/x").status();
+        status = send_request("/plain/x").status();
     EXPECT_EQ(status, 504U);
     for (int i = 0; i < 10; ++i)
-        EXPECT_EQ(ask("/plain/x").status(), 200U);
+        EXPECT_EQ(send_request("/plain/x").status(), 200U);
     EXPECT_EQ(upstreams.front()->arrived().size(), 1U);
 }
 
--- a/tests/gateway/test_upstream_registry.cpp
+++ b/tests/gateway/test_upstream_registry.cpp
@@ -27,7 +27,7 @@
 struct registry_fixture : testing::Test {
     std::vector<std::string> leaving_ids;
     std::vector<std::string> removed_ids;
-    upstream_registry board{
+    upstream_registry registry{
         {[this](const std::string& id, std::optional<time_point>) {
              leaving_ids.push_back(id);
          },
@@ -36,13 +36,13 @@
     void put(const upstream_record& entry, int ms = 0,
              bool after_outage = false)
     {
-        board.apply({entry.id, entry}, at(ms), after_outage);
+        registry.apply({entry.id, entry}, at(ms), after_outage);
     }
     void drop(const std::string& id, int ms = 0, bool after_outage = false)
     {
-        board.apply({id, std::nullopt}, at(ms), after_outage);
+        registry.apply({id, std::nullopt}, at(ms), after_outage);
     }
-    std::size_t usable() const { return board.available("s").size(); }
+    std::size_t usable() const { return registry.available("s").size(); }
 };
 
 using upstream_registry_test = registry_fixture;
@@ -60,11 +60,11 @@
         put(newer_first ? successor : predecessor);
         put(newer_first ? predecessor : successor);
         ASSERT_EQ(usable(), 1U);
-        EXPECT_EQ(board.available("s").front()->record.id, "after");
+        EXPECT_EQ(registry.available("s").front()->record.id, "after");
         // A load from that address belongs to the newer upstream.
-        board.take_load(successor.address, {}, at(0));
-        EXPECT_TRUE(board.find("after")->load);
-        EXPECT_FALSE(board.find("before")->load);
+        registry.take_load(successor.address, {}, at(0));
+        EXPECT_TRUE(registry.find("after")->load);
+        EXPECT_FALSE(registry.find("before")->load);
         drop("before");
         EXPECT_EQ(usable(), 1U);
         drop("after");
@@ -75,7 +75,7 @@
     predecessor.started_ms = 3;
     put(predecessor);
     ASSERT_EQ(usable(), 1U);
-    EXPECT_EQ(board.available("s").front()->record.id, "before");
+    EXPECT_EQ(registry.available("s").front()->record.id, "before");
 }
 
 // After a power loss of all VMs, engines respond again within a second under
@@ -84,23 +84,23 @@
 TEST_F(upstream_registry_test, uses_an_engine_reported_by_its_monitor)
 {
     put(record("before"));
-    board.take_identity(record("x").address, "after", at(0));
+    registry.take_identity(record("x").address, "after", at(0));
     ASSERT_EQ(usable(), 1U);
-    const auto& reported = board.available("s").front()->record;
+    const auto& reported = registry.available("s").front()->record;
     EXPECT_EQ(reported.id, "after");
     EXPECT_EQ(reported.slots, 10U);
-    EXPECT_EQ(board.find_at(reported.address)->record.id, "after");
-    board.dispatched("after", 100, at(10));
+    EXPECT_EQ(registry.find_at(reported.address)->record.id, "after");
+    registry.dispatched("after", 100, at(10));
     // The directory lists the same process with its own record.
     auto listed = record("after");
     listed.started_ms = 777;
     put(listed, 100);
     EXPECT_TRUE(removed_ids.empty());
-    EXPECT_EQ(board.find("after")->own_running, 1U);
-    EXPECT_EQ(board.find("after")->record, listed);
+    EXPECT_EQ(registry.find("after")->own_running, 1U);
+    EXPECT_EQ(registry.find("after")->record, listed);
     // Late heartbeats of the predecessor have no effect.
     put(record("before"), 200);
-    EXPECT_EQ(board.available("s").front()->record.id, "after");
+    EXPECT_EQ(registry.available("s").front()->record.id, "after");
     drop("before", 300);
     EXPECT_EQ(usable(), 1U);
 }
@@ -110,9 +110,9 @@
 TEST_F(upstream_registry_test, keeps_an_engine_newer_than_the_snapshot)
 {
     put(record("before"));
-    board.take_identity(record("x").address, "after", at(0));
-    board.replace_all({{"before", record("before")}}, at(100), false);
-    EXPECT_EQ(board.available("s").front()->record.id, "after");
+    registry.take_identity(record("x").address, "after", at(0));
+    registry.replace_all({{"before", record("before")}}, at(100), false);
+    EXPECT_EQ(registry.available("s").front()->record.id, "after");
 }
 
 // An engine that a monitor reports but the directory never lists must be
@@ -120,14 +120,14 @@
 TEST_F(upstream_registry_test, drops_an_engine_that_the_directory_does_not_list)
 {
     put(record("before"));
-    board.take_identity(record("x").address, "after", at(0));
-    board.drop_unlisted(at(4900));
+    registry.take_identity(record("x").address, "after", at(0));
+    registry.drop_unlisted(at(4900));
     EXPECT_EQ(usable(), 1U);
-    board.drop_unlisted(at(5000));
+    registry.drop_unlisted(at(5000));
     EXPECT_EQ(usable(), 0U);
     put(record("other"), 5100);
-    board.take_identity(record("x").address, "after", at(5200));
-    EXPECT_EQ(board.available("s").front()->record.id, "other");
+    registry.take_identity(record("x").address, "after", at(5200));
+    EXPECT_EQ(registry.available("s").front()->record.id, "other");
 }
 
 // An upstream drains without announcing it: its record is removed while it
@@ -136,24 +136,24 @@
 TEST_F(upstream_registry_test, ignores_monitor_reports_of_a_dropped_upstream)
 {
     put(record("a"));
-    board.dispatched("a", 100, at(0));
+    registry.dispatched("a", 100, at(0));
     drop("a");
     put(record("next"));
-    board.take_identity(record("x").address, "a", at(10));
+    registry.take_identity(record("x").address, "a", at(10));
     ASSERT_EQ(usable(), 1U);
-    EXPECT_EQ(board.available("s").front()->record.id, "next");
+    EXPECT_EQ(registry.available("s").front()->record.id, "next");
 }
 
 TEST_F(upstream_registry_test, ignores_identities_for_unknown_addresses)
 {
-    board.take_identity(record("x").address, "after", at(0));
-    EXPECT_EQ(board.size(), 0U);
+    registry.take_identity(record("x").address, "after", at(0));
+    EXPECT_EQ(registry.size(), 0U);
     put(record("a", 80));
     put(record("b", 81));
     // "b" has another address, so the monitor's report does not apply to it.
-    board.take_identity(record("x", 80).address, "b", at(0));
+    registry.take_identity(record("x", 80).address, "b", at(0));
     EXPECT_EQ(usable(), 2U);
-    EXPECT_EQ(board.find_at(record("x", 80).address)->record.id, "a");
+    EXPECT_EQ(registry.find_at(record("x", 80).address)->record.id, "a");
 }
 
 TEST_F(upstream_registry_test, does_not_use_a_draining_upstream)
@@ -167,7 +167,7 @@
     EXPECT_EQ(leaving_ids, std::vector<std::string>{"a"});
     put(draining);
     EXPECT_EQ(leaving_ids.size(), 1U);
-    EXPECT_NE(board.find("a"), nullptr);
+    EXPECT_NE(registry.find("a"), nullptr);
 }
 
 // Some upstreams do not announce that they drain: their record is removed while
@@ -175,12 +175,12 @@
 TEST_F(upstream_registry_test, keeps_a_removed_upstream_while_requests_run)
 {
     put(record("a"));
-    board.dispatched("a", 100, at(0));
+    registry.dispatched("a", 100, at(0));
     drop("a");
     EXPECT_EQ(usable(), 0U);
     EXPECT_EQ(leaving_ids.size(), 1U);
     EXPECT_TRUE(removed_ids.empty());
-    board.settled("a");
+    registry.settled("a");
     EXPECT_EQ(removed_ids, std::vector<std::string>{"a"});
 }
 
@@ -188,18 +188,18 @@
 // upstreams may be alive. If all were dropped at once, no request could be
 // served; if all were kept, requests would go to upstreams that have died.
 TEST_F(upstream_registry_test,
-       keeps_expired_entries_for_a_while_after_an_outage)
+       keeps_unconfirmed_upstreams_for_a_while_after_an_outage)
 {
     put(record("a"));
     put(record("b", 81));
     drop("a", 0, true);
     drop("b", 0, true);
     EXPECT_EQ(usable(), 2U);
-    EXPECT_TRUE(board.find("a")->unconfirmed_until);
+    EXPECT_TRUE(registry.find("a")->unconfirmed_until);
     put(record("a"), 500);
-    board.drop_unlisted(at(1899));
+    registry.drop_unlisted(at(1899));
     EXPECT_EQ(usable(), 2U);
-    board.drop_unlisted(at(1900));
+    registry.drop_unlisted(at(1900));
     EXPECT_EQ(usable(), 1U);
     EXPECT_EQ(removed_ids, std::vector<std::string>{"b"});
 }
@@ -208,7 +208,7 @@
 {
     put(record("a"));
     put(record("b", 81));
-    board.replace_all({{"b", record("b", 81)}}, at(0), false);
+    registry.replace_all({{"b", record("b", 81)}}, at(0), false);
     EXPECT_EQ(usable(), 1U);
     EXPECT_EQ(removed_ids, std::vector<std::string>{"a"});
 }
@@ -218,17 +218,17 @@
 TEST_F(upstream_registry_test, restarted_process_has_fresh_state)
 {
     put(record("a"));
-    board.failed("a", at(0));
+    registry.failed("a", at(0));
     engine_load load;
     load.leaving = true;
-    board.take_load({"10.0.0.1", 80}, load, at(0));
+    registry.take_load({"10.0.0.1", 80}, load, at(0));
     EXPECT_EQ(usable(), 0U);
     auto restarted = record("a");
     restarted.started_ms = 2;
     put(restarted);
     EXPECT_EQ(removed_ids, std::vector<std::string>{"a"});
     EXPECT_EQ(usable(), 1U);
-    EXPECT_EQ(board.find("a")->failure_rate, 0);
+    EXPECT_EQ(registry.find("a")->failure_rate, 0);
 }
 
 TEST_F(upstream_registry_test, load_reports_that_an_engine_leaves)
@@ -237,9 +237,9 @@
     engine_load load;
     load.leaving = true;
     load.leaves_in_ms = 700;
-    board.take_load({"10.0.0.1", 80}, load, at(0));
+    registry.take_load({"10.0.0.1", 80}, load, at(0));
     EXPECT_EQ(leaving_ids, std::vector<std::string>{"a"});
-    EXPECT_EQ(board.find("a")->leaves_at, at(700));
+    EXPECT_EQ(registry.find("a")->leaves_at, at(700));
     // The directory is behind the engine's own report.
     put(record("a"));
     EXPECT_EQ(usable(), 0U);
@@ -254,21 +254,21 @@
     request.from_domain = "d";
     engine_load idle;
     idle.memory_total = 10000;
-    board.take_load({"10.0.0.1", 80}, idle, at(0));
-    board.dispatched("a", 3500, at(10));
+    registry.take_load({"10.0.0.1", 80}, idle, at(0));
+    registry.dispatched("a", 3500, at(10));
     const auto wait = [&](int ms) {
-        return placement_of(*board.find("a"), request, at(ms)).wait;
+        return placement_of(*registry.find("a"), request, at(ms)).wait;
     };
     EXPECT_DOUBLE_EQ(wait(10), 0.5);
     // Measured before the dispatch could reach the engine.
-    board.take_load({"10.0.0.1", 80}, idle, at(20));
+    registry.take_load({"10.0.0.1", 80}, idle, at(20));
     EXPECT_DOUBLE_EQ(wait(20), 0.5);
     auto busy = idle;
     busy.running = 1;
     busy.unread = milliseconds(250);
-    board.take_load({"10.0.0.1", 80}, busy, at(120));
+    registry.take_load({"10.0.0.1", 80}, busy, at(120));
     EXPECT_DOUBLE_EQ(wait(120), 0.25);
-    board.take_load({"10.0.0.1", 80}, idle, at(900));
+    registry.take_load({"10.0.0.1", 80}, idle, at(900));
     EXPECT_DOUBLE_EQ(wait(900), 0);
 }
 
@@ -286,8 +286,9 @@
     load.memory_total = 10000;
     const auto time_to_first_part = [&](double speed) {
         load.tokens_read_per_ms = speed;
-        board.take_load({"10.0.0.1", 80}, load, at(0));
-        return estimated_time_to_first_part(*board.find("a"), request, at(0));
+        registry.take_load({"10.0.0.1", 80}, load, at(0));
+        return estimated_time_to_first_part(*registry.find("a"), request,
+                                            at(0));
     };
     EXPECT_EQ(time_to_first_part(7), milliseconds(400));
     EXPECT_EQ(time_to_first_part(28), milliseconds(100));
@@ -304,14 +305,14 @@
 TEST_F(upstream_registry_test, counts_other_gateways_without_a_load)
 {
     put(record("a"));
-    board.dispatched("a", 1000, at(0));
+    registry.dispatched("a", 1000, at(0));
     placement_request request;
     request.engine_memory_tokens = 10000;
     request.prompt_tokens = 1000;
     request.output_tokens = 200;
     const auto taken = [&](unsigned gateways) {
         request.gateways = gateways;
-        return placement_of(*board.find("a"), request, at(0)).memory_taken;
+        return placement_of(*registry.find("a"), request, at(0)).memory_taken;
     };
     EXPECT_DOUBLE_EQ(taken(1), 0.23);
     EXPECT_DOUBLE_EQ(taken(4), 0.56);
@@ -324,23 +325,23 @@
 {
     put(record("a"));
     const auto unreachable = [&](int ms) {
-        return placement_of(*board.find("a"), {}, at(ms)).unreachable;
+        return placement_of(*registry.find("a"), {}, at(ms)).unreachable;
     };
     EXPECT_FALSE(unreachable(0));
-    board.unreached("a", at(0));
+    registry.unreached("a", at(0));
     EXPECT_TRUE(unreachable(599));
     EXPECT_FALSE(unreachable(600));
-    board.unreached("a", at(700));
-    board.reached("a");
+    registry.unreached("a", at(700));
+    registry.reached("a");
     EXPECT_FALSE(unreachable(710));
 }
 
 TEST_F(upstream_registry_test, failure_rate_decays_over_time)
 {
     put(record("a"));
-    board.failed("a", at(0));
+    registry.failed("a", at(0));
     const auto rate = [&](int ms) {
-        return placement_of(*board.find("a"), {}, at(ms)).failure_rate;
+        return placement_of(*registry.find("a"), {}, at(ms)).failure_rate;
     };
     EXPECT_NEAR(rate(0), 0.15, 1e-9);
     EXPECT_NEAR(rate(2000), 0.075, 1e-9);
--- a/tests/outside/test_http_exchange.cpp
+++ b/tests/outside/test_http_exchange.cpp
@@ -118,7 +118,7 @@
 TEST(http_exchange, a_slow_answer_ends_at_the_deadline)
 {
     const scripted_server server([](Poco::Net::StreamSocket& connection) {
-        scripted_server::take_request(connection);
+        scripted_server::receive_request(connection);
         scripted_server::send(
             connection, "HTTP/1.1 200 OK\r\nContent-Length: 9999\r\n\r\n");
         for (;;) {
@@ -145,7 +145,7 @@
 {
     std::promise<void> waiting;
     const scripted_server server([&](Poco::Net::StreamSocket& connection) {
-        scripted_server::take_request(connection);
+        scripted_server::receive_request(connection);
         waiting.set_value();
         scripted_server::wait_for_close(connection);
     });
@@ -170,7 +170,7 @@
 {
     std::promise<void> waiting;
     const scripted_server slow([&](Poco::Net::StreamSocket& connection) {
-        scripted_server::take_request(connection);
+        scripted_server::receive_request(connection);
         waiting.set_value();
         scripted_server::wait_for_close(connection);
     });
--- a/tests/outside/test_platform_clients.cpp
+++ b/tests/outside/test_platform_clients.cpp
@@ -118,7 +118,7 @@
     const auto before = client.read(0, no_wait);
     ASSERT_TRUE(before);
     EXPECT_TRUE(before->vms.empty());
-    testing_support::ask(
+    testing_support::request_answer(
         platform.address(), "PUT", "/v1/vms/vm-1",
         R"({"address":"127.0.0.9:80","region":"cuyo","failure_domain":)"
         R"("san-juan","service":"redactor","state":"leaving"})");
--- a/tests/processes/deployment.cpp
+++ b/tests/processes/deployment.cpp
@@ -183,7 +183,7 @@
 
 bool deployment::is_ready(const entry_processes& entry)
 {
-    return ask(entry.address, "GET", "/readyz").head.status == 200;
+    return request_answer(entry.address, "GET", "/readyz").head.status == 200;
 }
 
 int deployment::run_ctl(const std::vector<std::string>& command) const
@@ -312,10 +312,10 @@
                          const std::string& service,
                          const std::string& state) const
 {
-    ask(platform_.address(), "PUT", "/v1/vms/" + id,
-        "{\"address\":" + quoted(address) + ",\"service\":" + quoted(service) +
-            ",\"state\":" + quoted(state) +
-            R"(,"region":"cuyo","failure_domain":"san-juan"})");
+    request_answer(platform_.address(), "PUT", "/v1/vms/" + id,
+                   "{\"address\":" + quoted(address) + ",\"service\":" +
+                       quoted(service) + ",\"state\":" + quoted(state) +
+                       R"(,"region":"cuyo","failure_domain":"san-juan"})");
 }
 
 std::string deployment::write_file(const std::string& name,
--- a/tests/processes/test_calls.cpp
+++ b/tests/processes/test_calls.cpp
@@ -11,9 +11,9 @@
 
 using testing_support::deployment;
 using testing_support::read_refusal;
+using testing_support::relay_direction;
 using testing_support::upstream_processes;
 using testing_support::wait_until;
-using testing_support::way;
 
 /** Faults during a call that a runner has begun to run. */
 enum class fault : std::uint8_t {
@@ -66,9 +66,9 @@
         case fault::cut_agent_link:
             return upstream.agent_link->cut();
         case fault::stall_to_agent:
-            return upstream.agent_link->stall(way::to_target);
+            return upstream.agent_link->stall(relay_direction::to_target);
         case fault::stall_to_entry:
-            return upstream.agent_link->stall(way::to_caller);
+            return upstream.agent_link->stall(relay_direction::to_caller);
         case fault::cut_runner_link:
             return upstream.back_end_link->cut();
         case fault::kill_entry:
@@ -217,7 +217,7 @@
 TEST_F(call_races, a_call_that_may_still_arrive_is_not_reported_as_not_run)
 {
     auto& upstream = system.upstream(0);
-    upstream.agent_link->stall(way::to_target);
+    upstream.agent_link->stall(relay_direction::to_target);
     const auto answer = system.call(system.entry(0), "", milliseconds(1000));
     ASSERT_TRUE(answer);
     const auto reported = read_refusal(answer->body);
--- a/tests/processes/test_generation_faults.cpp
+++ b/tests/processes/test_generation_faults.cpp
@@ -12,10 +12,10 @@
 
 using testing_support::caller_stream;
 using testing_support::deployment;
+using testing_support::relay_direction;
 using testing_support::stream_end_kind;
 using testing_support::upstream_processes;
 using testing_support::wait_until;
-using testing_support::way;
 
 constexpr auto prompt = "removal dossier, rail shed 4";
 constexpr std::uint64_t length = 300;
@@ -59,15 +59,15 @@
     case fault::cut_agent_link:
         return upstream.agent_link->cut();
     case fault::stall_to_agent:
-        return upstream.agent_link->stall(way::to_target);
+        return upstream.agent_link->stall(relay_direction::to_target);
     case fault::stall_to_entry:
-        return upstream.agent_link->stall(way::to_caller);
+        return upstream.agent_link->stall(relay_direction::to_caller);
     case fault::cut_engine_link:
         return upstream.back_end_link->cut();
     case fault::stall_to_engine:
-        return upstream.back_end_link->stall(way::to_target);
+        return upstream.back_end_link->stall(relay_direction::to_target);
     case fault::stall_from_engine:
-        return upstream.back_end_link->stall(way::to_caller);
+        return upstream.back_end_link->stall(relay_direction::to_caller);
     }
 }
 
--- a/tests/processes/test_stops.cpp
+++ b/tests/processes/test_stops.cpp
@@ -275,7 +275,8 @@
     start();
     system.platform().set_fault(R"({"log_out":true})");
     const auto& fresh = system.add_entry("entry-3");
-    EXPECT_EQ(testing_support::ask(fresh.address, "GET", "/readyz").head.status,
+    EXPECT_EQ(testing_support::request_answer(fresh.address, "GET", "/readyz")
+                  .head.status,
               503);
     auto refused = system.generate(fresh, prompt, length);
     EXPECT_EQ(refused.end(), stream_end_kind::refused);
--- a/tests/product/fake_entry.cpp
+++ b/tests/product/fake_entry.cpp
@@ -76,10 +76,10 @@
     return {"127.0.0.1", server_->port()};
 }
 
-void fake_entry::lose_answers(int count)
+void fake_entry::answer_unknown(int count)
 {
     const std::lock_guard lock(mutex_);
-    lost_answers_ = count;
+    unknown_answers_ = count;
 }
 
 void fake_entry::change_before_next_apply(const v1::Resource& resource)
@@ -125,7 +125,7 @@
     outcome_entry.set_accepted(true);
     outcome_entry.set_revision(revision_);
     response.mutable_accepted()->set_revision(revision_);
-    if (lost_answers_-- > 0)
+    if (unknown_answers_-- > 0)
         return tl::unexpected(
             outcome_unknown(refusal_reason::internal, "the log is slow"));
     return response;
--- a/tests/product/fake_entry.hpp
+++ b/tests/product/fake_entry.hpp
@@ -30,7 +30,7 @@
 
     /** Makes the next `count` changes take effect but answers them with an
      * unknown outcome. */
-    void lose_answers(int count);
+    void answer_unknown(int count);
     /** Applies a change of another operator just before the next change. */
     void change_before_next_apply(const v1::Resource& resource);
     /** Returns the number of records that the log would contain. */
@@ -54,7 +54,7 @@
     std::map<std::string, v1::ChangeOutcome> outcomes_;
     std::uint64_t revision_ = 0;
     int record_count_ = 0;
-    int lost_answers_ = 0;
+    int unknown_answers_ = 0;
     std::unique_ptr<v1::Resource> concurrent_change_;
     Poco::ThreadPool threads_;
     std::unique_ptr<Poco::Net::HTTPServer> server_;
--- a/tests/product/test_ctl.cpp
+++ b/tests/product/test_ctl.cpp
@@ -79,7 +79,7 @@
  */
 TEST_F(ctl_test, a_lost_answer_causes_neither_a_failure_nor_a_second_change)
 {
-    entry.lose_answers(1);
+    entry.answer_unknown(1);
     const auto result = run("apply " + file("resources.toml"));
     EXPECT_EQ(result.code, exit_code::ok) << result.output;
     EXPECT_EQ(entry.records(), 1);
--- a/tests/support/scripted_server.hpp
+++ b/tests/support/scripted_server.hpp
@@ -63,14 +63,14 @@
     static script reply(const std::string& answer)
     {
         return [answer](Poco::Net::StreamSocket& connection) {
-            take_request(connection);
+            receive_request(connection);
             send(connection, answer);
             connection.shutdownSend();
             wait_for_close(connection);
         };
     }
 
-    static std::string take_request(Poco::Net::StreamSocket& connection)
+    static std::string receive_request(Poco::Net::StreamSocket& connection)
     {
         std::string text;
         std::array<char, 4096> piece{};
--- a/tests/support/stand_in_process.hpp
+++ b/tests/support/stand_in_process.hpp
@@ -17,8 +17,10 @@
 constexpr milliseconds test_limit(20000);
 
 /** Sends one request to a process under test; throws without an answer. */
-inline http_answer ask(const std::string& address, const std::string& method,
-                       const std::string& path, const std::string& body = {})
+inline http_answer request_answer(const std::string& address,
+                                  const std::string& method,
+                                  const std::string& path,
+                                  const std::string& body = {})
 {
     http_exchange exchange(address, {}, steady_now);
     auto answer = exchange.run({method,
@@ -47,13 +49,14 @@
 
     void set_fault(const std::string& json) const
     {
-        ask(address_, "POST", "/stand-in/fault", json);
+        request_answer(address_, "POST", "/stand-in/fault", json);
     }
 
     /** The recorded events of this kind, in order. */
     std::vector<Poco::JSON::Object::Ptr> history(const std::string& kind) const
     {
-        std::istringstream text(ask(address_, "GET", "/stand-in/history").body);
+        std::istringstream text(
+            request_answer(address_, "GET", "/stand-in/history").body);
         std::vector<Poco::JSON::Object::Ptr> events;
         for (std::string line; std::getline(text, line);) {
             auto event = parse_json_object(line);
--- a/tests/support/tcp_relay.hpp
+++ b/tests/support/tcp_relay.hpp
@@ -16,7 +16,7 @@
 namespace cyclamenrun::testing_support
 {
 
-enum class way : std::size_t { to_target, to_caller };
+enum class relay_direction : std::size_t { to_target, to_caller };
 
 /** A TCP link that a test can cut, stall in one direction, and restore. */
 class tcp_relay
@@ -48,7 +48,7 @@
 
     std::string address() const { return socket_.address().toString(); }
     /** Number of reads from callers; one call takes one or more. */
-    std::size_t carried() const { return carried_; }
+    std::size_t caller_reads() const { return caller_reads_; }
 
     /** Sets the target of new connections, for a restarted process. */
     void set_target(const std::string& target)
@@ -68,7 +68,7 @@
     }
 
     /** Holds data in this direction back until heal(); none is lost. */
-    void stall(way direction)
+    void stall(relay_direction direction)
     {
         const std::lock_guard guard(lock_);
         stalled_[static_cast<std::size_t>(direction)] = true;
@@ -128,23 +128,25 @@
         }
         auto& opened = connections_.back();
         pumps_.emplace_back([this, &opened] {
-            pump(opened, opened.caller, opened.target, way::to_target);
+            pump(opened, opened.caller, opened.target,
+                 relay_direction::to_target);
         });
         pumps_.emplace_back([this, &opened] {
-            pump(opened, opened.target, opened.caller, way::to_caller);
+            pump(opened, opened.target, opened.caller,
+                 relay_direction::to_caller);
         });
     }
 
     void pump(connection& opened, Poco::Net::StreamSocket& from,
-              Poco::Net::StreamSocket& to, way direction)
+              Poco::Net::StreamSocket& to, relay_direction direction)
     {
         std::array<char, 16384> piece{};
         try {
             for (;;) {
                 const int count = from.receiveBytes(
                     piece.data(), static_cast<int>(piece.size()));
-                if (direction == way::to_target && count > 0)
-                    ++carried_;
+                if (direction == relay_direction::to_target && count > 0)
+                    ++caller_reads_;
                 if (!may_pass(opened, direction))
                     return;
                 if (count <= 0)
@@ -157,7 +159,7 @@
         }
     }
 
-    bool may_pass(const connection& opened, way direction)
+    bool may_pass(const connection& opened, relay_direction direction)
     {
         std::unique_lock guard(lock_);
         changed_.wait(guard, [&] {
@@ -176,7 +178,7 @@
     std::array<bool, 2> stalled_{};
     bool cut_ = false;
     bool stopping_ = false;
-    std::atomic<std::size_t> carried_ = 0;
+    std::atomic<std::size_t> caller_reads_ = 0;
     std::thread acceptor_;
 };
 
