--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -583,7 +583,7 @@
         // Counted at once, so that the next move of a generation of this
         // engine accounts for the memory.
         context_.upstreams.expect_dispatch(to->record.id, facts_.prompt_tokens,
-                                       context_.reactor->now());
+                                           context_.reactor->now());
         return to->record;
     };
     on.candidates = [this](const upstream_record& source,
--- a/src/libcyclamenrun/gateway/gateway_process.cpp
+++ b/src/libcyclamenrun/gateway/gateway_process.cpp
@@ -132,7 +132,8 @@
         context_->upstreams.update_load(engine, load, context_->reactor->now());
     };
     on.identity = [this](const ip_endpoint& engine, const std::string& id) {
-        context_->upstreams.update_identity(engine, id, context_->reactor->now());
+        context_->upstreams.update_identity(engine, id,
+                                            context_->reactor->now());
     };
     on.health_target = [this] {
         return context_->routes ? context_->routes->engine_health_target()
--- a/src/libcyclamenrun/gateway/load_probe.cpp
+++ b/src/libcyclamenrun/gateway/load_probe.cpp
@@ -55,7 +55,7 @@
     });
     if (load)
         context_.upstreams.update_load(engine.address, *load,
-                                   context_.reactor->now());
+                                       context_.reactor->now());
     if (--pending_replies_ == 0)
         finish();
 }
