--- a/bench/bench_agent.hpp
+++ b/bench/bench_agent.hpp
@@ -27,17 +27,20 @@
                 const engine_settings& engine, std::size_t index,
                 const std::vector<request>& requests, bool no_deadlines);
 
-    /** Submits a request; returns the refusal that the agent would send. */
+    /** Submits a request; fails with the refusal that the agent would send. */
     outcome<void> submit(std::uint64_t id, time_point deadline, bool suspect,
                          time_point now);
-    /** Starts the requests that admission lets start now. */
+    /** Passes the requests that admission starts now to the engine. */
     void admit(time_point now);
-    /** Ends a step and reports its tokens to admission. */
+    /** Ends the engine's step and records its tokens in admission. */
     const fake_engine::step_result& end_step(time_point now);
     void cancel(std::uint64_t id, time_point now);
-    /** Clears the engine. Its requests must then be cancelled one by one. */
+    /**
+     * Clears the engine. Its requests must then be cancelled one by one, since
+     * admission still counts them.
+     */
     void fail_engine();
-    /** Handles a load report of the engine, which arrives with a delay. */
+    /** Handles a load report that the engine sent some time ago. */
     void handle_engine_report(const engine_load_hint& hint, time_point now);
 
     engine_load_hint engine_load() const;
@@ -46,9 +49,9 @@
 
     const std::string name;
     const std::string failure_domain;
-    bool stepping = false;
+    bool stepping = false; ///< a step of the engine is in progress
     bool alive = true;
-    bool leaving = false;
+    bool leaving = false;           ///< the VM will be removed soon
     time_point unreachable_until{}; ///< no token is delivered before this time
 
 private:
--- a/bench/bench_entry.hpp
+++ b/bench/bench_entry.hpp
@@ -19,9 +19,11 @@
     bench_entry(const deployment& site, const policy& tested_policy,
                 std::size_t index, std::uint64_t seed, bool no_deadlines);
 
+    /** Returns the index of the chosen candidate, or a refusal. */
     outcome<std::size_t> choose(const route_request& request,
                                 std::span<const candidate> candidates,
                                 time_point now);
+    /** Handles an upstream's load report. */
     void report(const load_report& latest, time_point now);
     router& routes() { return router_; }
     retry_budget& retries() { return retries_; }
@@ -40,8 +42,8 @@
     policy_kind kind_;
     router router_;
     retry_budget retries_;
-    std::size_t next_index_;
-    std::unordered_map<std::string, load_report> reports_;
+    std::size_t next_index_; ///< of the candidate to examine first
+    std::unordered_map<std::string, load_report> reports_; ///< for least_load
 };
 
 } // namespace cyclamenrun::bench
--- a/bench/capacity_command.cpp
+++ b/bench/capacity_command.cpp
@@ -31,7 +31,7 @@
     std::printf("\n| role | what | unit | value |\n|---|---|---|---|\n");
     for (const auto& constant : constants)
         std::printf("| %s | %s | %s | %.3f |\n", constant.role.c_str(),
-                    constant.what.c_str(), constant.unit.c_str(),
+                    constant.quantity.c_str(), constant.unit.c_str(),
                     constant.value);
 }
 
@@ -40,7 +40,7 @@
 void add_capacity_command(CLI::App& app)
 {
     auto* command = app.add_subcommand(
-        "capacity", "slopes of memory and processor time per role");
+        "capacity", "Memory and processor time of entries and agents by size");
     command->callback([] {
         print_table(measure_slopes());
         print_constants(measure_constants());
--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -47,7 +47,7 @@
     return (thread_microseconds() - before) / count;
 }
 
-/** Creates an object of a size; the result owns it during measurement. */
+/** Creates an object of a size; the result keeps it while it is measured. */
 using object_factory = std::function<std::shared_ptr<void>(std::size_t size)>;
 
 capacity_slope memory_slope(const char* role, const char* quantity,
@@ -58,7 +58,7 @@
     for (const auto size : sizes) {
         malloc_trim(0);
         const auto before = heap_bytes();
-        const auto held = make(size);
+        const auto object = make(size);
         slope.points.push_back(
             {static_cast<double>(size), heap_bytes() - before});
     }
@@ -66,7 +66,7 @@
     return slope;
 }
 
-std::string name(const char* prefix, std::size_t number)
+std::string numbered(const char* prefix, std::size_t number)
 {
     return prefix + std::to_string(number);
 }
@@ -76,8 +76,8 @@
     vm_list list;
     list.revision = 1;
     for (std::size_t i = 0; i < count; ++i)
-        list.vms.push_back({name("vm-", i), "10.0.0.1:9090", "region-1",
-                            name("domain-", i % 14), "service",
+        list.vms.push_back({numbered("vm-", i), "10.0.0.1:9090", "region-1",
+                            numbered("domain-", i % 14), "service",
                             vm_state::live});
     return list;
 }
@@ -85,7 +85,7 @@
 link::LoadReport report_of(std::size_t agent)
 {
     link::LoadReport report;
-    report.set_upstream(name("vm-", agent));
+    report.set_upstream(numbered("vm-", agent));
     report.set_incarnation(agent + 1);
     report.set_uptime_ms(3'600'000);
     report.set_ready(true);
@@ -114,32 +114,32 @@
 /** An entry's state of its teams, including their configuration. */
 struct entry_teams {
     configuration_view view;
-    team_registry desk{0.1};
+    team_registry registry{0.1};
 };
 
 std::shared_ptr<entry_teams> make_teams(std::size_t count)
 {
-    auto held = std::make_shared<entry_teams>();
-    auto& view = held->view;
-    auto& desk = held->desk;
+    auto teams = std::make_shared<entry_teams>();
+    auto& view = teams->view;
+    auto& registry = teams->registry;
     for (std::size_t i = 0; i < count; ++i) {
         v1::ResourceState state;
         state.set_kind(v1::RESOURCE_KIND_TEAM);
-        state.set_name(name("team-", i));
+        state.set_name(numbered("team-", i));
         state.set_revision(i + 1);
         auto& team = *state.mutable_resource()->mutable_team();
-        team.set_name(name("team-", i));
+        team.set_name(numbered("team-", i));
         team.set_key_salt(std::string(16, 's'));
         team.set_key_hash(std::string(32, 'h'));
         team.set_tokens_per_second(1000);
         view.resources.put(state);
     }
-    desk.on_configuration(view);
+    registry.on_configuration(view);
     for (const auto* team : view.resources.teams()) {
-        if (desk.admit(*team, 100, start))
-            desk.finish(team->name());
+        if (registry.admit(*team, 100, start))
+            registry.finish(team->name());
     }
-    return held;
+    return teams;
 }
 
 /** A gate whose upstream never responds, so that it keeps all sessions. */
@@ -170,9 +170,9 @@
 link::Dispatch generation(std::size_t number)
 {
     link::Dispatch dispatch;
-    dispatch.set_request_id(name("12345678901234567890.", number));
+    dispatch.set_request_id(numbered("12345678901234567890.", number));
     dispatch.set_kind(link::WORK_KIND_GENERATION);
-    dispatch.set_team(name("team-", number % 350));
+    dispatch.set_team(numbered("team-", number % 350));
     dispatch.set_service("service");
     dispatch.set_time_left_ms(600'000);
     dispatch.set_prompt_tokens(500);
@@ -205,7 +205,7 @@
 {
     auto result = std::make_shared<tombstones>(count);
     for (std::size_t i = 0; i < count; ++i)
-        result->add(name("1234567890123456789012345678901234567890.", i),
+        result->add(numbered("1234567890123456789012345678901234567890.", i),
                     start + std::chrono::hours(1), start);
     return result;
 }
@@ -237,11 +237,11 @@
 {
     auto result = std::make_shared<length_predictor>(count);
     for (std::size_t i = 0; i < count; ++i)
-        result->learn("service", name("team-", i), 400, true);
+        result->learn("service", numbered("team-", i), 400, true);
     return result;
 }
 
-/** Processor time of a choice by the number of candidates. */
+/** Measures the processor time of a choice by the number of candidates. */
 capacity_slope choice_slope()
 {
     capacity_slope slope{
--- a/bench/capacity_probes.hpp
+++ b/bench/capacity_probes.hpp
@@ -21,16 +21,18 @@
 /** The fixed cost of one event. */
 struct capacity_constant {
     std::string role;
-    std::string what;
+    std::string quantity;
     std::string unit;
     double value = 0.0;
 };
 
 /**
- * Measures objects of entries and agents in this process. Memory is the heap
- * in use (mallinfo2), time is the processor time of the calling thread.
+ * Measures how costs of entries and agents grow with a size, in this process.
+ * Memory is the heap in use (mallinfo2), time is the processor time of the
+ * calling thread.
  */
 std::vector<capacity_slope> measure_slopes();
+/** Measures the processor time and bytes of single events. */
 std::vector<capacity_constant> measure_constants();
 
 } // namespace cyclamenrun::bench
--- a/bench/commands.hpp
+++ b/bench/commands.hpp
@@ -11,8 +11,10 @@
 
 /** Compares policies on fake engines in virtual time. */
 void add_decisions_command(CLI::App& app);
-/** Measures processor time of a choice and an admission at the size of the
- * largest supported deployment. */
+/**
+ * Measures the processor time of one choice and one admission at several sizes,
+ * up to the largest supported deployment.
+ */
 void add_decision_cost_command(CLI::App& app);
 /** Measures memory and processor time per role, for docs/CAPACITY.md. */
 void add_capacity_command(CLI::App& app);
--- a/bench/configuration_command.cpp
+++ b/bench/configuration_command.cpp
@@ -61,8 +61,10 @@
     return name + std::to_string(number);
 }
 
-/** Configuration at the size of the largest supported deployment: all teams,
- * models and two adapters each. */
+/**
+ * Configuration of the largest supported deployment: its teams, and for each
+ * model a service with two assignments.
+ */
 std::vector<v1::ChangeRecord> target_changes()
 {
     std::vector<v1::ChangeRecord> changes;
@@ -80,7 +82,7 @@
     return changes;
 }
 
-/** Returns a change to the next team in round-robin order. */
+/** Returns the `number`th change; changes go to the teams in rotation. */
 v1::ChangeRecord next_change(const configuration_store& store, int number)
 {
     const std::string team = numbered("team-", number % target_teams);
@@ -96,23 +98,24 @@
         log.append(log_record_of(change));
 }
 
-/** A process that tails the log on its own thread. */
+/** The log reader of one process, which tails the log on its own thread. */
 struct reader {
     explicit reader(fake_log& log)
         : tailer(log, store, {}, steady_now, [] { return 0.5; })
     {
         store.on_change([this](std::uint64_t revision) {
             advanced_at = steady_now();
-            seen = revision;
+            seen_revision = revision;
         });
     }
 
     configuration_store store;
     std::atomic<time_point> advanced_at{time_point{}};
-    std::atomic<std::uint64_t> seen{0};
+    std::atomic<std::uint64_t> seen_revision{0};
     log_tailer tailer;
 };
 
+/** Times from a change's submission or acceptance to its last reader. */
 struct propagation_times {
     std::vector<double> after_accepted_ms;
     std::vector<double> after_submit_ms;
@@ -135,7 +138,7 @@
     time_point last = submitted;
     for (const auto& each : readers) {
         each->store.wait_past(revision - 1, accepted + std::chrono::minutes(1));
-        while (each->seen < revision)
+        while (each->seen_revision < revision)
             std::this_thread::yield();
         last = std::max(last, each->advanced_at.load());
     }
@@ -304,7 +307,7 @@
     std::shared_ptr<snapshot_writer> writer;
 };
 
-/** Three entries in virtual time that read at the idle interval. */
+/** Three entries in virtual time that read the log as often as when idle. */
 class log_traffic_simulation
 {
 public:
@@ -339,7 +342,7 @@
     int changes() const { return changes_; }
 
 private:
-    static constexpr int step_seconds = 10; // same as tail_settings::read_wait
+    static constexpr int step_seconds = 10; // as tail_settings::read_wait
 
     void read_all()
     {
@@ -374,9 +377,12 @@
 void add_configuration_command(CLI::App& app)
 {
     auto* command = app.add_subcommand(
-        "configuration", "From accepted to in force, and what it costs");
+        "configuration",
+        "Delay and cost of distributing configuration changes");
     const auto changes = std::make_shared<int>(200);
-    command->add_option("--changes", *changes, "changes for each size")
+    command
+        ->add_option("--changes", *changes,
+                     "changes for each number of readers")
         ->capture_default_str();
     command->callback([changes] {
         report_propagation(*changes);
--- a/bench/decision_cost_command.cpp
+++ b/bench/decision_cost_command.cpp
@@ -21,7 +21,7 @@
 const time_point begin = time_point{} + 1h;
 
 struct cost_size {
-    std::size_t runners;
+    std::size_t upstreams;
     std::size_t teams;
 };
 
@@ -75,9 +75,10 @@
     }
 }
 
+/** Cost of one choice, dispatch and completion, in microseconds. */
 double choose_cost(const cost_size& size)
 {
-    const auto candidates = make_candidates(size.runners);
+    const auto candidates = make_candidates(size.upstreams);
     router routes({}, 1);
     report_all(routes, candidates);
     std::vector<route_request> requests(size.teams);
@@ -89,7 +90,7 @@
         requests[i].own_region = "region-0";
         requests[i].own_failure_domain = "domain-0";
     }
-    const duration from = processor_time();
+    const duration before = processor_time();
     for (std::size_t i = 0; i < rounds; ++i) {
         const auto& request = requests[i % size.teams];
         const time_point now = begin + i * 1ms;
@@ -97,7 +98,7 @@
         routes.dispatched(candidates[*chosen].upstream, request, now);
         routes.completed(candidates[*chosen].upstream, now);
     }
-    return microseconds_each(processor_time() - from, rounds);
+    return microseconds_each(processor_time() - before, rounds);
 }
 
 waiting_work work_of(work_id id, std::size_t teams, time_point now)
@@ -113,9 +114,7 @@
     return work;
 }
 
-/**
- * Cost of one enqueue, admit and finish on a loaded queue, in microseconds.
- */
+/** Cost of one enqueue, admit and finish on a loaded queue, in microseconds. */
 double admit_cost(const cost_size& size)
 {
     admission_settings settings;
@@ -133,7 +132,7 @@
     next = 0;
     for (; next < 2 * size.teams; ++next)
         std::ignore = queue.enqueue(work_items[next], begin);
-    const duration from = processor_time();
+    const duration before = processor_time();
     for (std::size_t i = 0; i < rounds; ++i) {
         const time_point now = begin + i * 1ms;
         std::ignore = queue.enqueue(std::move(work_items[next++]), now);
@@ -146,7 +145,7 @@
         queue.finished(running.front(), true, now);
         running.pop_front();
     }
-    return microseconds_each(processor_time() - from, rounds);
+    return microseconds_each(processor_time() - before, rounds);
 }
 
 void run()
@@ -156,10 +155,10 @@
     std::cout << "runners  teams  us/choose+dispatch  "
                  "us/enqueue+admit+finish\n";
     for (const auto& size : sizes)
-        std::cout << std::setw(7) << size.runners << std::setw(7) << size.teams
-                  << std::fixed << std::setprecision(2) << std::setw(20)
-                  << choose_cost(size) << std::setw(25) << admit_cost(size)
-                  << '\n';
+        std::cout << std::setw(7) << size.upstreams << std::setw(7)
+                  << size.teams << std::fixed << std::setprecision(2)
+                  << std::setw(20) << choose_cost(size) << std::setw(25)
+                  << admit_cost(size) << '\n';
 }
 
 } // namespace
--- a/bench/decisions_command.cpp
+++ b/bench/decisions_command.cpp
@@ -27,7 +27,7 @@
     std::optional<double> short_first;
     double warm_up_s = 120;
     double window_s = 240;
-    std::optional<std::size_t> runners;
+    std::optional<std::size_t> engines;
     unsigned jobs = 1;
     bool json = false;
 };
@@ -120,7 +120,7 @@
     return result;
 }
 
-/** Runs all seeds on `jobs` threads; returns an estimate per figure. */
+/** Runs all seeds on `jobs` threads; returns an estimate of each figure. */
 std::vector<std::pair<std::string, estimate>>
 run_seeds(const trial_settings& common, const seed_range& seeds, unsigned jobs)
 {
@@ -194,7 +194,7 @@
 
     trial_settings settings;
     settings.site = *site;
-    settings.site.engines = options.runners.value_or(site->engines);
+    settings.site.engines = options.engines.value_or(site->engines);
     settings.fault = *fault;
     settings.warm_up_s = options.warm_up_s;
     settings.window_s = options.window_s;
@@ -232,14 +232,14 @@
 void add_decisions_command(CLI::App& app)
 {
     auto* command = app.add_subcommand(
-        "decisions", "Policies compared on a fake engine in virtual time");
+        "decisions", "Policies compared on fake engines in virtual time");
     auto options = std::make_shared<decisions_options>();
     command->add_option("--deployment", options->site, "amianto or guatemala");
     command->add_option("--policy", options->policy_name,
                         "round_robin, least_load, cyclamenrun, oracle; all of "
                         "these; or parts: cyclamenrun without each part");
     command->add_option("--load", options->loads,
-                        "shares of the measured capacity");
+                        "offered loads as shares of the measured capacity");
     command->add_option("--seeds", options->seeds, "A..B");
     command->add_option("--lengths", options->lengths_file,
                         "CSV of prompt_tokens,output_tokens to draw from");
@@ -253,12 +253,13 @@
             "prediction", "prefix", "fair_share", "own_counts"}));
     command->add_option("--overflow-bound", options->overflow_bound,
                         "accepted overflow risk, overrides the objective's");
-    command->add_option("--short-first", options->short_first,
-                        "lead of short answers, overrides the objective's");
+    command->add_option(
+        "--short-first", options->short_first,
+        "preference for short answers, overrides the objective's");
     command->add_option("--warm-up", options->warm_up_s, "seconds");
     command->add_option("--window", options->window_s,
                         "seconds of arrivals that count");
-    command->add_option("--runners", options->runners,
+    command->add_option("--runners", options->engines,
                         "number of engines, overrides the deployment's");
     command
         ->add_option("--jobs", options->jobs,
--- a/bench/deployment.hpp
+++ b/bench/deployment.hpp
@@ -28,7 +28,10 @@
     std::uint32_t prefix_blocks; ///< common to all its prompts
 };
 
-/** A model of a deployment. */
+/**
+ * A model of one of the users' two deployments. Figures that they don't state
+ * are assumed.
+ */
 struct deployment {
     std::string name;
     std::string service;
--- a/bench/fake_engine.cpp
+++ b/bench/fake_engine.cpp
@@ -18,7 +18,7 @@
 fake_engine::fake_engine(const engine_settings& settings)
     : settings_(settings),
       total_blocks_(settings.memory_tokens / settings.block_tokens),
-      prefix_unit_(prefix_block_tokens / settings.block_tokens)
+      blocks_per_prefix_block_(prefix_block_tokens / settings.block_tokens)
 {
 }
 
@@ -38,11 +38,11 @@
 }
 
 void fake_engine::enqueue(std::list<sequence>& from, sequence_ptr seq,
-                          bool first)
+                          bool before_equals)
 {
     const auto precedes = [&](const sequence& other) {
         return seq->priority > other.priority ||
-               (first && seq->priority == other.priority);
+               (before_equals && seq->priority == other.priority);
     };
     auto position = waiting_.end();
     while (position != waiting_.begin() && precedes(*std::prev(position)))
@@ -73,7 +73,7 @@
     waiting_.clear();
     cache_.clear();
     unused_.clear();
-    private_used_ = 0;
+    private_blocks_used_ = 0;
     result_ = {};
     return lost;
 }
@@ -111,13 +111,14 @@
             const sequence_ptr last = victim();
             preempted_itself = last == seq;
             // The list is ordered by age: a later victim has not been
-            // scheduled yet, an earlier one must not decode.
+            // scheduled yet, and an earlier one leaves the batch and does not
+            // decode in this step.
             preempt(last);
         }
         seq = preempted_itself ? running_.begin() : std::next(seq);
         if (preempted_itself)
-            // Restarts from the first sequence: rare, cheap, and repeated
-            // allocations have no effect.
+            // Starts again with the first sequence. This is rare and cheap,
+            // and allocating the same blocks again has no effect.
             continue;
     }
 }
@@ -147,14 +148,14 @@
     for (sequence& seq : running_) {
         const std::uint32_t budget =
             settings_.prefill_tokens_per_step - step_prefill_tokens_;
-        const std::uint32_t now = std::min(budget, seq.prefill_left);
-        seq.prefill_left -= now;
-        step_prefill_tokens_ += now;
-        const std::uint32_t recomputed = std::min(now, seq.recompute);
+        const std::uint32_t tokens = std::min(budget, seq.prefill_left);
+        seq.prefill_left -= tokens;
+        step_prefill_tokens_ += tokens;
+        const std::uint32_t recomputed = std::min(tokens, seq.recompute);
         seq.recompute -= recomputed;
         recomputed_tokens_ += recomputed;
         // The step that completes the prompt also makes a token.
-        if (now > 0 && seq.prefill_left == 0)
+        if (tokens > 0 && seq.prefill_left == 0)
             seq.decodes = true;
     }
 }
@@ -164,25 +165,25 @@
     while (!preempted_in_step_ && !waiting_.empty() &&
            running_.size() < settings_.max_batch &&
            step_prefill_tokens_ < settings_.prefill_tokens_per_step) {
-        if (!make_room(waiting_.begin()))
+        if (!start_with_preemption(waiting_.begin()))
             return;
         running_.splice(running_.end(), waiting_, waiting_.begin());
         sequence& seq = running_.back();
-        const std::uint32_t now =
+        const std::uint32_t tokens =
             std::min(settings_.prefill_tokens_per_step - step_prefill_tokens_,
                      seq.prefill_left);
-        seq.prefill_left -= now;
-        step_prefill_tokens_ += now;
-        const std::uint32_t recomputed = std::min(now, seq.recompute);
+        seq.prefill_left -= tokens;
+        step_prefill_tokens_ += tokens;
+        const std::uint32_t recomputed = std::min(tokens, seq.recompute);
         seq.recompute -= recomputed;
         recomputed_tokens_ += recomputed;
         seq.decodes = seq.prefill_left == 0;
     }
 }
 
-bool fake_engine::make_room(sequence_ptr seq)
+bool fake_engine::start_with_preemption(sequence_ptr seq)
 {
-    while (!start(*seq)) {
+    while (!try_start(*seq)) {
         if (running_.empty())
             return false;
         const sequence_ptr least = victim();
@@ -194,7 +195,7 @@
     return true;
 }
 
-bool fake_engine::start(sequence& seq)
+bool fake_engine::try_start(sequence& seq)
 {
     const std::uint64_t wanted =
         private_blocks(seq, seq.prompt + seq.generated + 1);
@@ -207,12 +208,12 @@
         else if (found->second.users == 0)
             ++unused_wanted;
     }
-    const auto kept = static_cast<std::uint64_t>(
+    const auto reserved = static_cast<std::uint64_t>(
         watermark * static_cast<double>(total_blocks_));
     const std::uint64_t evictable = unused_.size() - unused_wanted;
-    const std::uint64_t needed =
-        wanted + missing * prefix_unit_ + (running_.empty() ? 0 : kept);
-    if (needed > free_blocks() + evictable * prefix_unit_)
+    const std::uint64_t needed = wanted + missing * blocks_per_prefix_block_ +
+                                 (running_.empty() ? 0 : reserved);
+    if (needed > free_blocks() + evictable * blocks_per_prefix_block_)
         return false;
     std::uint32_t cached = 0;
     for (const std::uint64_t block : seq.prefix) {
@@ -239,7 +240,7 @@
     for (const std::uint64_t block : seq.prefix) {
         if (cache_.contains(block))
             continue;
-        evict(prefix_unit_);
+        evict(blocks_per_prefix_block_);
         cache_[block].users = 1;
         result_.cache_events.push_back({block, true});
     }
@@ -261,13 +262,14 @@
     if (free_blocks() < more)
         return false;
     seq.blocks = wanted;
-    private_used_ += more;
+    private_blocks_used_ += more;
     return true;
 }
 
 std::uint64_t fake_engine::free_blocks() const
 {
-    return total_blocks_ - private_used_ - cache_.size() * prefix_unit_;
+    return total_blocks_ - private_blocks_used_ -
+           cache_.size() * blocks_per_prefix_block_;
 }
 
 void fake_engine::evict(std::uint64_t wanted)
@@ -281,15 +283,15 @@
 
 void fake_engine::release(sequence& seq)
 {
-    private_used_ -= seq.blocks;
+    private_blocks_used_ -= seq.blocks;
     seq.blocks = 0;
     for (auto block = seq.prefix.rbegin(); block != seq.prefix.rend();
          ++block) {
-        cached_block& held = cache_.at(*block);
-        if (--held.users > 0)
+        cached_block& cached = cache_.at(*block);
+        if (--cached.users > 0)
             continue;
         unused_.push_back(*block);
-        held.unused_position = std::prev(unused_.end());
+        cached.unused_position = std::prev(unused_.end());
     }
 }
 
@@ -325,7 +327,8 @@
 
 std::uint64_t fake_engine::memory_used() const
 {
-    return (private_used_ + (cache_.size() - unused_.size()) * prefix_unit_) *
+    return (private_blocks_used_ +
+            (cache_.size() - unused_.size()) * blocks_per_prefix_block_) *
            settings_.block_tokens;
 }
 
--- a/bench/fake_engine.hpp
+++ b/bench/fake_engine.hpp
@@ -11,6 +11,7 @@
 namespace cyclamenrun::bench
 {
 
+/** Memory, limits and step times of a fake engine. */
 struct engine_settings {
     std::uint64_t memory_tokens = 32'768;
     std::uint32_t block_tokens = 16;
@@ -85,7 +86,7 @@
     };
     struct cached_block {
         std::uint32_t users = 0;
-        std::list<std::uint64_t>::iterator unused_position;
+        std::list<std::uint64_t>::iterator unused_position; ///< in unused_
     };
     using sequence_ptr = std::list<sequence>::iterator;
 
@@ -93,23 +94,32 @@
     void schedule_waiting();
     void prefill_running();
     bool allocate_blocks(sequence& seq, std::uint64_t wanted);
-    /** Starts a sequence, preempting those of lower priority if needed. */
-    bool make_room(sequence_ptr seq);
-    bool start(sequence& seq);
+    /**
+     * Starts a sequence, preempting those of lower priority if needed; returns
+     * false if memory does not suffice.
+     */
+    bool start_with_preemption(sequence_ptr seq);
+    /** Starts a sequence if memory suffices without preemption. */
+    bool try_start(sequence& seq);
+    /** Blocks for `tokens` tokens of a sequence, without its prefix. */
     std::uint64_t private_blocks(const sequence& seq,
                                  std::uint32_t tokens) const;
     void release(sequence& seq);
     void use_prefix(sequence& seq);
     std::uint64_t free_blocks() const;
+    /** Evicts unused cached blocks until `wanted` blocks are free. */
     void evict(std::uint64_t wanted);
-    void preempt(sequence_ptr victim);
+    void preempt(sequence_ptr seq);
+    /** Returns the running sequence to preempt first. */
     sequence_ptr victim();
-    void enqueue(std::list<sequence>& from, sequence_ptr seq, bool first);
+    /** Moves a sequence to waiting_ by priority, before or behind equals. */
+    void enqueue(std::list<sequence>& from, sequence_ptr seq,
+                 bool before_equals);
 
     engine_settings settings_;
     std::uint64_t total_blocks_;
-    std::uint64_t prefix_unit_; ///< engine blocks for each prefix block
-    std::uint64_t private_used_ = 0;
+    std::uint64_t blocks_per_prefix_block_; ///< blocks of the engine
+    std::uint64_t private_blocks_used_ = 0;
     std::list<sequence> running_; ///< oldest first
     std::list<sequence> waiting_;
     std::unordered_map<std::uint64_t, cached_block> cache_;
--- a/bench/log_histogram.hpp
+++ b/bench/log_histogram.hpp
@@ -7,7 +7,7 @@
 namespace cyclamenrun::bench
 {
 
-/** Histogram of positive values from 0.01 to 1e7 with buckets 1% apart. */
+/** Histogram with buckets 1% apart; clamps values to 0.01 to 1e7. */
 class log_histogram
 {
 public:
--- a/bench/main.cpp
+++ b/bench/main.cpp
@@ -6,7 +6,7 @@
 
 int main(int argc, char** argv)
 {
-    CLI::App app("Measures of cyclamenrun; see docs/MEASURES.md");
+    CLI::App app("Benchmarks of cyclamenrun; see docs/MEASURES.md");
     app.require_subcommand(1);
     cyclamenrun::bench::add_decisions_command(app);
     cyclamenrun::bench::add_decision_cost_command(app);
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -21,13 +21,13 @@
 
 constexpr std::size_t max_streams = 2000;
 constexpr std::chrono::seconds max_time{120};
-/** Stream starts are spread over this time. */
+/** Stream starts are spread over this time, as those of callers are. */
 constexpr milliseconds ramp{1000};
 
 /** Resident memory from /proc/PID/status; 0 if it can't be read. */
-std::uint64_t resident_kilobytes(int process)
+std::uint64_t resident_kilobytes(int pid)
 {
-    std::ifstream status("/proc/" + std::to_string(process) + "/status");
+    std::ifstream status("/proc/" + std::to_string(pid) + "/status");
     std::string name;
     while (status >> name) {
         std::uint64_t kilobytes = 0;
@@ -39,9 +39,9 @@
 }
 
 /** Processor time used by a process; 0 if it can't be read. */
-double processor_seconds(int process)
+double processor_seconds(int pid)
 {
-    std::ifstream stat("/proc/" + std::to_string(process) + "/stat");
+    std::ifstream stat("/proc/" + std::to_string(pid) + "/stat");
     // The name is in parentheses and may contain blanks; user and system time
     // are the 12th and 13th fields after it.
     stat.ignore(std::numeric_limits<std::streamsize>::max(), ')');
@@ -84,8 +84,8 @@
 }
 
 /**
- * Runs pairs of streams, one direct and one through cyclamenrun. A new pair
- * starts after a pause when both streams of a pair have ended, until the
+ * Runs pairs of streams, one direct and one through cyclamenrun. When both
+ * streams of a pair have ended, a new pair starts after a pause, until the
  * deadline. Used on the loop's thread only.
  */
 class path_load
--- a/bench/path_command.cpp
+++ b/bench/path_command.cpp
@@ -17,16 +17,17 @@
 namespace
 {
 
-void print_row(const std::string& what, const path_samples& direct,
+void print_row(const std::string& quantity, const path_samples& direct,
                const path_samples& through)
 {
     for (const double share : {0.5, 0.99}) {
-        const double one = direct.quantile(share);
-        const double other = through.quantile(share);
-        std::cout << std::left << std::setw(16) << what
+        const double direct_value = direct.quantile(share);
+        const double through_value = through.quantile(share);
+        std::cout << std::left << std::setw(16) << quantity
                   << (share < 0.9 ? "p50" : "p99") << std::right
-                  << std::setw(10) << one << std::setw(10) << other
-                  << std::setw(10) << other - one << '\n';
+                  << std::setw(10) << direct_value << std::setw(10)
+                  << through_value << std::setw(10)
+                  << through_value - direct_value << '\n';
     }
 }
 
@@ -76,6 +77,7 @@
             throw CLI::RuntimeError("streams were refused or cut", 1);
 }
 
+/** Reports invalid settings and addresses as usage errors of the command. */
 template <typename Measure>
 void run_with_usage_errors(const Measure& measure)
 {
@@ -110,7 +112,8 @@
     command->add_option("--seconds", parsed->seconds, "up to 120");
     command->add_option("--key", parsed->settings.key, "the team's bearer key")
         ->required();
-    command->add_option("--model", parsed->settings.model, "the service")
+    command
+        ->add_option("--model", parsed->settings.model, "name of the service")
         ->required();
     command->add_option("--prompt-words", parsed->settings.prompt_words,
                         "words of each prompt");
@@ -118,7 +121,7 @@
                         "tokens of each answer");
     command
         ->add_option("--pids", parsed->settings.pids,
-                     "processes whose memory is read")
+                     "processes whose memory and processor time are measured")
         ->delimiter(',');
     command->callback([parsed] {
         run_with_usage_errors([&] {
--- a/bench/path_connections.hpp
+++ b/bench/path_connections.hpp
@@ -25,7 +25,10 @@
     double idle_microseconds = 0;
 };
 
-/** Opens link connections within this process and leaves them idle. */
+/**
+ * Opens link connections within this process, measures their answers, and then
+ * their cost when idle.
+ */
 connections_result measure_connections(const connections_settings& settings);
 
 } // namespace cyclamenrun::bench
--- a/bench/path_links.cpp
+++ b/bench/path_links.cpp
@@ -42,7 +42,7 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-/** A generation's tokens at the server that wait to be pulled. */
+/** The tokens of one stream that wait at the server to be pulled. */
 class token_source
 {
 public:
@@ -51,7 +51,8 @@
     {
     }
 
-    void make(std::size_t bytes)
+    /** Adds a token, which begins with the time of its creation. */
+    void produce(std::size_t bytes)
     {
         std::string token(bytes, 'x');
         const auto now = steady_now().time_since_epoch().count();
@@ -111,13 +112,15 @@
 
     void measure_flow(links_result& result)
     {
-        const double client = loop_microseconds(client_loop_);
-        const double server = loop_microseconds(server_loop_);
-        const double maker = thread_microseconds();
+        const double client_before = loop_microseconds(client_loop_);
+        const double server_before = loop_microseconds(server_loop_);
+        const double producer_before = thread_microseconds();
         produce_tokens();
-        result.producer_microseconds = thread_microseconds() - maker;
-        result.client_microseconds = loop_microseconds(client_loop_) - client;
-        result.server_microseconds = loop_microseconds(server_loop_) - server;
+        result.producer_microseconds = thread_microseconds() - producer_before;
+        result.client_microseconds =
+            loop_microseconds(client_loop_) - client_before;
+        result.server_microseconds =
+            loop_microseconds(server_loop_) - server_before;
         result.frames = frames_;
         result.delay = delay_;
         const auto frames = static_cast<double>(frames_);
@@ -160,7 +163,7 @@
                                     settings_.streams * settings_.time.count();
         for (std::uint64_t i = 0; i < count; ++i) {
             std::this_thread::sleep_until(begin + i * step);
-            sources_[i % sources_.size()]->make(settings_.token_bytes);
+            sources_[i % sources_.size()]->produce(settings_.token_bytes);
         }
         std::this_thread::sleep_for(std::chrono::milliseconds(100));
     }
--- a/bench/policy.hpp
+++ b/bench/policy.hpp
@@ -12,9 +12,9 @@
 
 enum class policy_kind : std::uint8_t {
     round_robin, ///< in rotation, without admission control
-    least_load,  ///< least reported load, otherwise the same
+    least_load,  ///< least reported load, without admission control
     cyclamenrun, ///< the product's decision classes
-    oracle,      ///< the same with known answer lengths
+    oracle,      ///< cyclamenrun with known answer lengths
 };
 
 /** A policy under trial; parts of cyclamenrun can be disabled by name. */
@@ -24,9 +24,8 @@
     bool prefix = true;
     bool fair_share = true;
     bool own_counts = true;
-    /** Override the objective's settings. */
-    std::optional<double> overflow_bound;
-    std::optional<double> short_first;
+    std::optional<double> overflow_bound; ///< overrides the objective's
+    std::optional<double> short_first;    ///< overrides the objective's
 
     bool uses_cyclamenrun() const
     {
@@ -36,19 +35,20 @@
 
 std::string_view name_of(policy_kind kind);
 std::optional<policy_kind> policy_kind_of(std::string_view name);
-/** Returns false if no part has that name. */
+/** Disables a part of cyclamenrun; returns false if no part has that name. */
 bool disable_part(policy& target, std::string_view part);
 
+/** The fault that a trial injects. */
 enum class fault_kind : std::uint8_t {
     none,
     engine_lost,
-    engine_reclaimed,
-    late_reports,
-    cache_gaps,
+    engine_reclaimed, ///< lost after a notice
+    late_reports,     ///< of the load
+    cache_gaps,       ///< most cache events are lost
     entry_lost,
-    domain_cut,
-    heavy_team,
-    poison,
+    domain_cut, ///< one failure domain is unreachable for some time
+    heavy_team, ///< one team sends a multiple of its share
+    poison,     ///< one request crashes each engine that runs it
 };
 
 std::string_view name_of(fault_kind kind);
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -21,9 +21,9 @@
 
 // Readers don't notice gaps between tokens up to this length.
 constexpr double max_unnoticed_gap_ms = 100.0;
-// Retries of a refused caller after the time in the refusal.
+// Maximum retries of a refused caller, each after the time in its refusal.
 constexpr std::uint32_t max_caller_retries = 3;
-// Upstreams tried for each request of a caller.
+// Maximum number of upstreams tried for each request of a caller.
 constexpr std::size_t max_upstreams_tried = 3;
 // Intervals and delays of load reports.
 constexpr duration agent_report_interval = 250ms;
@@ -32,18 +32,22 @@
 constexpr duration engine_report_lag = 500ms;
 constexpr duration late_report_lag = 2s;
 constexpr duration cache_event_lag = 500ms;
+// Share of the cache events that are lost.
 constexpr double cache_gap = 0.1;
 constexpr double cache_gap_in_fault = 0.7;
 // Delay until the list of VMs shows the loss of a VM.
 constexpr duration vm_list_lag = 2s;
+// Time from the notice to the loss of a reclaimed engine.
 constexpr duration reclaim_notice = 10s;
+// Time until a lost engine or a cut failure domain returns.
 constexpr duration outage = 60s;
 constexpr duration crash_outage = 20s;
 // A poison request crashes its engine at this token.
 constexpr std::uint32_t poison_token = 20;
 constexpr std::uint32_t max_poison_attempts = 8;
 constexpr std::size_t heavy_team = 6;
-// Teams with mostly short answers.
+// Teams with mostly short answers, which request less than 60% of their fair
+// share of tokens at load 1.0.
 constexpr std::array<std::size_t, 2> light_teams = {3, 7};
 
 duration from_s(double seconds)
@@ -57,19 +61,20 @@
     return std::chrono::duration<double>(span).count();
 }
 
-struct caller {
+/** The state of a caller and its request. */
+struct caller_state {
     enum class phase : std::uint8_t { not_dispatched, dispatched, done };
 
     phase current_phase = phase::not_dispatched;
     std::size_t entry = 0;
-    std::size_t runner = SIZE_MAX; ///< in phase dispatched only
+    std::size_t upstream = SIZE_MAX; ///< in phase dispatched only
     std::uint32_t retries_made = 0;
-    std::uint32_t losses = 0; ///< engine losses while it ran
-    std::uint32_t delivered = 0;
+    std::uint32_t losses = 0;    ///< engine losses while it ran
+    std::uint32_t delivered = 0; ///< tokens
     bool poison = false;
     bool suspect = false;
     time_point arrival{};
-    time_point last_request{};
+    time_point last_request{}; ///< including retries
     time_point deadline{};
     time_point last_token{};
     double stall_ms = 0;
@@ -97,7 +102,7 @@
 
     void after(duration wait, action act) { at(now_ + wait, std::move(act)); }
     void at(time_point when, action act);
-    bool is_measured(const caller& client) const;
+    bool is_measured(const caller_state& caller) const;
     bool in_window(time_point when) const;
 
     void plan_callers();
@@ -111,30 +116,32 @@
     void route(std::size_t id);
     route_request request_of(std::size_t id) const;
     std::vector<candidate> candidates_of(const bench_entry& from) const;
-    void deliver(std::size_t id, std::size_t runner);
+    void deliver(std::size_t id, std::size_t upstream);
     void retry_elsewhere(std::size_t id, const std::optional<refusal>& why);
     void refuse(std::size_t id, const refusal& why);
     void give_up(std::size_t id);
     void end(std::size_t id);
 
-    void step(std::size_t runner);
-    void end_step(std::size_t runner);
+    void step(std::size_t upstream);
+    void end_step(std::size_t upstream);
     void handle_token(std::size_t id);
     void answered(std::size_t id);
-    void count_preemptions(std::size_t runner);
-    void report_cache_events(std::size_t runner);
+    void count_preemptions(std::size_t upstream);
+    void report_cache_events(std::size_t upstream);
 
-    void fail_engine(std::size_t runner, duration outage_duration);
+    void fail_engine(std::size_t upstream, duration outage_duration);
     void handle_engine_loss(std::size_t id);
     void resend_poison(std::size_t id);
 
     const trial_settings& settings_;
     std::vector<request> requests_;
-    std::vector<caller> callers_;
+    std::vector<caller_state> callers_;
     std::vector<std::unique_ptr<bench_agent>> agents_;
     std::vector<std::unique_ptr<bench_entry>> entries_;
-    std::vector<bool> listed_; ///< runners that the VM list shows
+    std::vector<bool> listed_; ///< upstreams that the VM list shows
+    /** Incremented when an engine is lost, to ignore the end of its step. */
     std::vector<std::uint64_t> engine_incarnations_;
+    /** Counted preemptions and recomputed tokens of each engine. */
     std::vector<std::pair<std::uint64_t, std::uint64_t>> counted_preemptions_;
     std::priority_queue<event> events_;
     std::uint64_t order_ = 0;
@@ -156,7 +163,7 @@
     workload_settings load;
     load.requests_per_second = settings.requests_per_second;
     // Callers continue to arrive after the window. Otherwise a backlog would
-    // drain on an idle system, which hides the effect of overload.
+    // drain on an otherwise idle system, and overload would look harmless.
     load.seconds = in_s(end_ - epoch);
     load.lengths = settings.lengths;
     if (settings.fault == fault_kind::heavy_team) {
@@ -198,9 +205,9 @@
     return std::move(measures_);
 }
 
-bool simulation::is_measured(const caller& client) const
+bool simulation::is_measured(const caller_state& caller) const
 {
-    return in_window(client.arrival);
+    return in_window(caller.arrival);
 }
 
 bool simulation::in_window(time_point when) const
@@ -305,20 +312,20 @@
 
 void simulation::arrive(std::size_t id)
 {
-    caller& client = callers_[id];
-    client.arrival = now_;
-    client.deadline =
+    caller_state& caller = callers_[id];
+    caller.arrival = now_;
+    caller.deadline =
         now_ + (settings_.no_deadlines ? duration(24h)
                                        : from_s(settings_.site.deadline_s));
-    if (is_measured(client)) {
+    if (is_measured(caller)) {
         ++measures_.callers;
         ++measures_.team_requests[requests_[id].team];
     }
     if (!settings_.no_deadlines)
-        at(client.deadline, [this, id] { give_up(id); });
-    client.entry = pick_entry();
-    client.last_request = now_;
-    entries_[client.entry]->retries().record_request(
+        at(caller.deadline, [this, id] { give_up(id); });
+    caller.entry = pick_entry();
+    caller.last_request = now_;
+    entries_[caller.entry]->retries().record_request(
         settings_.site.teams[requests_[id].team].name);
     route(id);
 }
@@ -334,16 +341,16 @@
 route_request simulation::request_of(std::size_t id) const
 {
     const request& incoming = requests_[id];
-    const caller& client = callers_[id];
+    const caller_state& caller = callers_[id];
     route_request result;
     result.service = settings_.site.service;
     result.team = settings_.site.teams[incoming.team].name;
     result.prompt_tokens = incoming.prompt_tokens;
     result.prefix_blocks = incoming.prefix_blocks;
-    result.suspect = client.suspect;
+    result.suspect = caller.suspect;
     result.fingerprint = id + 1;
-    result.excluded = client.excluded;
-    result.own_failure_domain = entries_[client.entry]->failure_domain;
+    result.excluded = caller.excluded;
+    result.own_failure_domain = entries_[caller.entry]->failure_domain;
     result.goal = settings_.site.goal;
     return result;
 }
@@ -365,8 +372,8 @@
 
 void simulation::route(std::size_t id)
 {
-    caller& client = callers_[id];
-    bench_entry& entry = *entries_[client.entry];
+    caller_state& caller = callers_[id];
+    bench_entry& entry = *entries_[caller.entry];
     const auto candidates = candidates_of(entry);
     const route_request incoming = request_of(id);
     const auto chosen = entry.choose(incoming, candidates, now_);
@@ -375,48 +382,48 @@
         return;
     }
     const std::string& name = candidates[*chosen].upstream;
-    std::size_t runner = 0;
-    while (agents_[runner]->name != name)
-        ++runner;
-    client.current_phase = caller::phase::dispatched;
-    client.runner = runner;
+    std::size_t upstream = 0;
+    while (agents_[upstream]->name != name)
+        ++upstream;
+    caller.current_phase = caller_state::phase::dispatched;
+    caller.upstream = upstream;
     entry.routes().dispatched(name, incoming, now_);
     after(from_s(settings_.site.one_way_ms / 1000),
-          [this, id, runner] { deliver(id, runner); });
+          [this, id, upstream] { deliver(id, upstream); });
 }
 
-void simulation::deliver(std::size_t id, std::size_t runner)
+void simulation::deliver(std::size_t id, std::size_t upstream)
 {
-    caller& client = callers_[id];
-    if (client.current_phase != caller::phase::dispatched ||
-        client.runner != runner)
+    caller_state& caller = callers_[id];
+    if (caller.current_phase != caller_state::phase::dispatched ||
+        caller.upstream != upstream)
         return;
-    bench_agent& agent = *agents_[runner];
+    bench_agent& agent = *agents_[upstream];
     if (!agent.alive ||
         (agent.leaving && settings_.tested_policy.uses_cyclamenrun())) {
         retry_elsewhere(id, std::nullopt);
         return;
     }
     const auto accepted =
-        agent.submit(id, client.deadline, client.suspect, now_);
+        agent.submit(id, caller.deadline, caller.suspect, now_);
     if (!accepted) {
         retry_elsewhere(id, accepted.error());
         return;
     }
-    step(runner);
+    step(upstream);
 }
 
 void simulation::retry_elsewhere(std::size_t id,
                                  const std::optional<refusal>& why)
 {
-    caller& client = callers_[id];
-    bench_entry& entry = *entries_[client.entry];
-    entry.routes().completed(agents_[client.runner]->name, now_);
-    client.excluded.push_back(agents_[client.runner]->name);
-    client.current_phase = caller::phase::not_dispatched;
-    client.runner = SIZE_MAX;
+    caller_state& caller = callers_[id];
+    bench_entry& entry = *entries_[caller.entry];
+    entry.routes().completed(agents_[caller.upstream]->name, now_);
+    caller.excluded.push_back(agents_[caller.upstream]->name);
+    caller.current_phase = caller_state::phase::not_dispatched;
+    caller.upstream = SIZE_MAX;
     const std::string& team = settings_.site.teams[requests_[id].team].name;
-    if (client.excluded.size() < max_upstreams_tried &&
+    if (caller.excluded.size() < max_upstreams_tried &&
         entry.retries().try_retry(team)) {
         route(id);
         return;
@@ -426,26 +433,26 @@
 
 void simulation::refuse(std::size_t id, const refusal& why)
 {
-    caller& client = callers_[id];
-    client.current_phase = caller::phase::not_dispatched;
-    client.excluded.clear();
-    if (is_measured(client)) {
+    caller_state& caller = callers_[id];
+    caller.current_phase = caller_state::phase::not_dispatched;
+    caller.excluded.clear();
+    if (is_measured(caller)) {
         ++measures_.refusals;
-        measures_.refusal_ms.add(1000 * in_s(now_ - client.last_request) +
+        measures_.refusal_ms.add(1000 * in_s(now_ - caller.last_request) +
                                  settings_.site.one_way_ms);
     }
     const duration wait = why.retry_after.value_or(1s);
-    if (client.retries_made >= max_caller_retries ||
-        now_ + wait >= client.deadline) {
-        if (is_measured(client))
+    if (caller.retries_made >= max_caller_retries ||
+        now_ + wait >= caller.deadline) {
+        if (is_measured(caller))
             ++measures_.finally_refused;
         end(id);
         return;
     }
-    ++client.retries_made;
+    ++caller.retries_made;
     after(wait, [this, id] {
-        caller& returning = callers_[id];
-        if (returning.current_phase != caller::phase::not_dispatched)
+        caller_state& returning = callers_[id];
+        if (returning.current_phase != caller_state::phase::not_dispatched)
             return;
         returning.last_request = now_;
         returning.entry = pick_entry();
@@ -455,34 +462,34 @@
 
 void simulation::give_up(std::size_t id)
 {
-    caller& client = callers_[id];
-    if (client.current_phase == caller::phase::done)
+    caller_state& caller = callers_[id];
+    if (caller.current_phase == caller_state::phase::done)
         return;
-    if (client.current_phase == caller::phase::dispatched) {
-        agents_[client.runner]->cancel(id, now_);
-        entries_[client.entry]->routes().completed(agents_[client.runner]->name,
-                                                   now_);
+    if (caller.current_phase == caller_state::phase::dispatched) {
+        agents_[caller.upstream]->cancel(id, now_);
+        entries_[caller.entry]->routes().completed(
+            agents_[caller.upstream]->name, now_);
     }
-    if (is_measured(client))
+    if (is_measured(caller))
         ++measures_.gave_up;
     end(id);
 }
 
 void simulation::end(std::size_t id)
 {
-    caller& client = callers_[id];
-    client.current_phase = caller::phase::done;
-    if (!is_measured(client))
+    caller_state& caller = callers_[id];
+    caller.current_phase = caller_state::phase::done;
+    if (!is_measured(caller))
         return;
-    if (client.delivered == 0)
-        client.stall_ms = 1000 * in_s(now_ - client.arrival);
-    measures_.stall_s += client.stall_ms / 1000;
+    if (caller.delivered == 0)
+        caller.stall_ms = 1000 * in_s(now_ - caller.arrival);
+    measures_.stall_s += caller.stall_ms / 1000;
     measures_.stall_charged_s += settings_.site.deadline_s;
 }
 
-void simulation::step(std::size_t runner)
+void simulation::step(std::size_t upstream)
 {
-    bench_agent& agent = *agents_[runner];
+    bench_agent& agent = *agents_[upstream];
     if (agent.stepping || !agent.alive)
         return;
     agent.admit(now_);
@@ -490,18 +497,18 @@
         return;
     agent.stepping = true;
     const double ms = agent.engine().begin_step_ms();
-    count_preemptions(runner);
-    const std::uint64_t engine_incarnation = engine_incarnations_[runner];
-    after(from_s(ms / 1000), [this, runner, engine_incarnation] {
-        if (engine_incarnations_[runner] == engine_incarnation)
-            end_step(runner);
+    count_preemptions(upstream);
+    const std::uint64_t engine_incarnation = engine_incarnations_[upstream];
+    after(from_s(ms / 1000), [this, upstream, engine_incarnation] {
+        if (engine_incarnations_[upstream] == engine_incarnation)
+            end_step(upstream);
     });
 }
 
-void simulation::count_preemptions(std::size_t runner)
+void simulation::count_preemptions(std::size_t upstream)
 {
-    const fake_engine& engine = agents_[runner]->engine();
-    auto& [preemptions, recomputed] = counted_preemptions_[runner];
+    const fake_engine& engine = agents_[upstream]->engine();
+    auto& [preemptions, recomputed] = counted_preemptions_[upstream];
     if (in_window(now_)) {
         measures_.preemptions += engine.preemptions() - preemptions;
         measures_.recomputed_tokens += engine.recomputed_tokens() - recomputed;
@@ -510,9 +517,9 @@
     recomputed = engine.recomputed_tokens();
 }
 
-void simulation::end_step(std::size_t runner)
+void simulation::end_step(std::size_t upstream)
 {
-    bench_agent& agent = *agents_[runner];
+    bench_agent& agent = *agents_[upstream];
     agent.stepping = false;
     const auto& result = agent.end_step(now_);
     if (in_window(now_))
@@ -521,70 +528,70 @@
         handle_token(id);
     for (const auto id : result.finished)
         answered(id);
-    report_cache_events(runner);
+    report_cache_events(upstream);
     for (const auto id : result.tokens) {
         if (!callers_[id].poison || callers_[id].delivered != poison_token)
             continue;
-        fail_engine(runner, crash_outage);
+        fail_engine(upstream, crash_outage);
         return;
     }
-    step(runner);
+    step(upstream);
 }
 
 void simulation::handle_token(std::size_t id)
 {
-    caller& client = callers_[id];
-    const time_point seen =
-        std::max(now_, agents_[client.runner]->unreachable_until);
-    ++client.delivered;
-    const time_point before = std::exchange(client.last_token, seen);
-    if (!is_measured(client))
+    caller_state& caller = callers_[id];
+    const time_point received_at =
+        std::max(now_, agents_[caller.upstream]->unreachable_until);
+    ++caller.delivered;
+    const time_point previous = std::exchange(caller.last_token, received_at);
+    if (!is_measured(caller))
         return;
     ++measures_.team_tokens[requests_[id].team];
-    if (client.delivered == 1) {
-        const double wait = 1000 * in_s(seen - client.arrival);
-        client.stall_ms = wait;
+    if (caller.delivered == 1) {
+        const double wait = 1000 * in_s(received_at - caller.arrival);
+        caller.stall_ms = wait;
         measures_.first_token_ms.add(wait);
         if (std::ranges::count(light_teams, requests_[id].team) > 0)
             measures_.light_team_first_token_ms.add(wait);
         return;
     }
-    const double gap = 1000 * in_s(seen - before);
+    const double gap = 1000 * in_s(received_at - previous);
     measures_.between_tokens_ms.add(gap);
-    client.stall_ms += std::max(gap - max_unnoticed_gap_ms, 0.0);
+    caller.stall_ms += std::max(gap - max_unnoticed_gap_ms, 0.0);
 }
 
 void simulation::answered(std::size_t id)
 {
-    caller& client = callers_[id];
-    client.current_phase = caller::phase::done;
-    entries_[client.entry]->routes().completed(agents_[client.runner]->name,
+    caller_state& caller = callers_[id];
+    caller.current_phase = caller_state::phase::done;
+    entries_[caller.entry]->routes().completed(agents_[caller.upstream]->name,
                                                now_);
     if (in_window(now_)) {
         ++measures_.answers_in_window;
-        measures_.tokens_in_window += client.delivered;
+        measures_.tokens_in_window += caller.delivered;
     }
-    if (!is_measured(client))
+    if (!is_measured(caller))
         return;
     ++measures_.answered;
     ++measures_.team_answered[requests_[id].team];
-    measures_.stall_s += client.stall_ms / 1000;
-    measures_.stall_answered_s += client.stall_ms / 1000;
-    measures_.stall_charged_s += client.stall_ms / 1000;
+    measures_.stall_s += caller.stall_ms / 1000;
+    measures_.stall_answered_s += caller.stall_ms / 1000;
+    measures_.stall_charged_s += caller.stall_ms / 1000;
 }
 
-void simulation::report_cache_events(std::size_t runner)
+void simulation::report_cache_events(std::size_t upstream)
 {
     if (!settings_.tested_policy.uses_cyclamenrun())
         return;
-    const auto& result = agents_[runner]->engine().last_step();
+    const auto& result = agents_[upstream]->engine().last_step();
     for (const auto& happened : result.cache_events) {
         const double gap = cache_gaps_ ? cache_gap_in_fault : cache_gap;
         if (std::bernoulli_distribution(gap)(random_))
             continue;
-        after(cache_event_lag, [this, runner, happened] {
+        after(cache_event_lag, [this, upstream, happened] {
             for (auto& entry : entries_) {
-                const std::string& name = agents_[runner]->name;
+                const std::string& name = agents_[upstream]->name;
                 if (happened.stored)
                     entry->routes().cached(name, {&happened.block, 1});
                 else
@@ -594,60 +601,60 @@
     }
 }
 
-void simulation::fail_engine(std::size_t runner, duration outage_duration)
+void simulation::fail_engine(std::size_t upstream, duration outage_duration)
 {
-    bench_agent& agent = *agents_[runner];
+    bench_agent& agent = *agents_[upstream];
     ++measures_.engine_losses;
-    ++engine_incarnations_[runner];
+    ++engine_incarnations_[upstream];
     agent.alive = false;
     agent.stepping = false;
     agent.fail_engine();
     for (std::size_t id = 0; id < callers_.size(); ++id)
-        if (callers_[id].current_phase == caller::phase::dispatched &&
-            callers_[id].runner == runner)
+        if (callers_[id].current_phase == caller_state::phase::dispatched &&
+            callers_[id].upstream == upstream)
             handle_engine_loss(id);
-    after(vm_list_lag, [this, runner] { listed_[runner] = false; });
-    after(outage_duration, [this, runner] {
-        agents_[runner]->alive = true;
-        agents_[runner]->leaving = false;
-        listed_[runner] = true;
+    after(vm_list_lag, [this, upstream] { listed_[upstream] = false; });
+    after(outage_duration, [this, upstream] {
+        agents_[upstream]->alive = true;
+        agents_[upstream]->leaving = false;
+        listed_[upstream] = true;
     });
 }
 
 void simulation::handle_engine_loss(std::size_t id)
 {
-    caller& client = callers_[id];
-    agents_[client.runner]->cancel(id, now_);
-    ++client.losses;
-    if (client.delivered == 0) {
+    caller_state& caller = callers_[id];
+    agents_[caller.upstream]->cancel(id, now_);
+    ++caller.losses;
+    if (caller.delivered == 0) {
         retry_elsewhere(id, std::nullopt);
         return;
     }
-    entries_[client.entry]->routes().completed(agents_[client.runner]->name,
+    entries_[caller.entry]->routes().completed(agents_[caller.upstream]->name,
                                                now_);
-    if (client.poison && client.losses < max_poison_attempts) {
+    if (caller.poison && caller.losses < max_poison_attempts) {
         resend_poison(id);
         return;
     }
-    if (is_measured(client))
+    if (is_measured(caller))
         ++measures_.cut_short;
     end(id);
 }
 
 void simulation::resend_poison(std::size_t id)
 {
-    caller& client = callers_[id];
+    caller_state& caller = callers_[id];
     // cyclamenrun marks requests that ran on a lost engine and refuses them
     // after two losses.
-    client.suspect = settings_.tested_policy.uses_cyclamenrun();
-    client.current_phase = caller::phase::not_dispatched;
-    client.delivered = 0;
-    if (settings_.tested_policy.uses_cyclamenrun() && client.losses >= 2) {
+    caller.suspect = settings_.tested_policy.uses_cyclamenrun();
+    caller.current_phase = caller_state::phase::not_dispatched;
+    caller.delivered = 0;
+    if (settings_.tested_policy.uses_cyclamenrun() && caller.losses >= 2) {
         end(id);
         return;
     }
     after(1s, [this, id] {
-        if (callers_[id].current_phase == caller::phase::not_dispatched)
+        if (callers_[id].current_phase == caller_state::phase::not_dispatched)
             route(id);
     });
 }
@@ -663,7 +670,7 @@
                          const std::vector<length_pair>& lengths)
 {
     // Higher than the capacity of any deployment.
-    constexpr double overload_rps_per_runner = 10;
+    constexpr double overload_rps_per_engine = 10;
     constexpr std::uint64_t seeds = 3;
     constexpr std::uint64_t first_seed = 900'001;
     trial_settings settings;
@@ -673,7 +680,7 @@
     settings.tested_policy.kind = policy_kind::round_robin;
     settings.no_deadlines = true;
     settings.requests_per_second =
-        overload_rps_per_runner * static_cast<double>(site.engines);
+        overload_rps_per_engine * static_cast<double>(site.engines);
     double answers = 0;
     for (std::uint64_t i = 0; i < seeds; ++i) {
         settings.seed = first_seed + i;
--- a/bench/trial.hpp
+++ b/bench/trial.hpp
@@ -13,16 +13,17 @@
 namespace cyclamenrun::bench
 {
 
+/** Settings of one run of a policy. */
 struct trial_settings {
     deployment site;
     policy tested_policy;
     fault_kind fault = fault_kind::none;
     double requests_per_second = 1;
-    std::vector<length_pair> lengths;
+    std::vector<length_pair> lengths; ///< see workload_settings
     std::uint64_t seed = 1;
     engine_settings engine;
     double warm_up_s = 120;
-    double window_s = 240; ///< measured arrivals, after the warm-up
+    double window_s = 240; ///< after the warm-up; its arrivals are measured
     /** For calibration: no deadlines and no refusals. */
     bool no_deadlines = false;
 };
@@ -31,7 +32,8 @@
 trial_measures run_trial(const trial_settings& settings);
 
 /**
- * Returns the answers per second of saturated engines, which is load 1.0.
+ * Returns the answers per second of all engines when saturated. This rate of
+ * requests is load 1.0.
  *
  * Requests are spread round-robin and served first come, first served. The
  * measurement uses none of cyclamenrun's decisions, so that the reference load
--- a/bench/trial_measures.hpp
+++ b/bench/trial_measures.hpp
@@ -20,10 +20,10 @@
     double window_s = 0;
     std::uint64_t callers = 0;
     std::uint64_t answered = 0;          ///< in full and within the deadline
-    std::uint64_t answers_in_window = 0; ///< for any time of arrival
-    std::uint64_t tokens_in_window = 0;  ///< of these answers
+    std::uint64_t answers_in_window = 0; ///< whenever their requests arrived
+    std::uint64_t tokens_in_window = 0;  ///< of the answers in the window
     std::uint64_t gave_up = 0;           ///< at the deadline
-    std::uint64_t finally_refused = 0;   ///< refused without another retry
+    std::uint64_t finally_refused = 0;   ///< refused and not retried again
     std::uint64_t cut_short = 0;         ///< failed after the first token
     std::uint64_t refusals = 0; ///< sent to callers, including those that retry
     double stall_s = 0;         ///< over all callers
--- a/bench/workload.cpp
+++ b/bench/workload.cpp
@@ -12,10 +12,12 @@
 namespace
 {
 
+// The arrival rates are constant within a slot.
 constexpr double slot_s = 0.1;
 constexpr double heavy_factor = 10.0;
 // The first blocks of every prompt hold the service's instructions.
 constexpr std::uint32_t service_blocks = 4;
+// Length of a prompt without its prefix blocks.
 constexpr length_distribution own_prompt_length = {120, 0.7, 1'024};
 
 /** A load factor that switches between calm and burst with a mean of 1. */
--- a/bench/workload.hpp
+++ b/bench/workload.hpp
@@ -22,6 +22,7 @@
     std::vector<std::uint64_t> prefix_blocks;
 };
 
+/** Lengths of a request's prompt and answer. */
 struct length_pair {
     std::uint32_t prompt_tokens;
     std::uint32_t output_tokens;
@@ -33,14 +34,14 @@
 struct workload_settings {
     double requests_per_second = 1;
     double seconds = 300;
-    std::vector<length_pair>
-        lengths; ///< if not empty, lengths are drawn from it
-    /** Sends ten times its share from `heavy_from_s` on. */
+    /** If not empty, the lengths of requests are drawn from these. */
+    std::vector<length_pair> lengths;
+    /** Index of a team with ten times its share from `heavy_from_s` on. */
     std::size_t heavy_team = SIZE_MAX;
     double heavy_from_s = 0;
 };
 
-/** Returns bursty requests by arrival, reproducible by the seed. */
+/** Returns requests in bursts, by arrival; the same for the same seed. */
 std::vector<request> make_workload(const deployment& site,
                                    const workload_settings& settings,
                                    std::uint64_t seed);
