--- a/tests/processes/deployment.cpp
+++ b/tests/processes/deployment.cpp
@@ -125,7 +125,7 @@
     upstream.back_end_link->set_target(upstream.back_end->address());
 }
 
-entry_processes& deployment::add_entry(const std::string& name)
+entry_process& deployment::add_entry(const std::string& name)
 {
     const auto settings = write_file(
         name + ".toml",
@@ -136,11 +136,11 @@
             "]\n[platform]\naddress = " + quoted(platform_.address()) +
             "\n[routing]\nheartbeat_interval_ms = 100\nretry_share = 1\n"
             "[drain]\nbalancer_wait_ms = 100\n");
-    auto added = std::make_unique<entry_processes>();
+    auto added = std::make_unique<entry_process>();
     added->name = name;
     added->process = std::make_unique<child_process>(
         "cyclamenrun-entry", std::vector<std::string>{"--settings", settings});
-    added->operators = added->process->wait_for_listener("operators");
+    added->operator_address = added->process->wait_for_listener("operators");
     added->address = added->process->wait_until_ready();
     entries_.push_back(std::move(added));
     list_vm(name, entries_.back()->address, "entry");
@@ -181,7 +181,7 @@
     }
 }
 
-bool deployment::is_ready(const entry_processes& entry)
+bool deployment::is_ready(const entry_process& entry)
 {
     return request_answer(entry.address, "GET", "/readyz").head.status == 200;
 }
@@ -189,7 +189,8 @@
 int deployment::run_ctl(const std::vector<std::string>& command) const
 {
     auto options = command;
-    options.insert(options.begin(), {"--entry", entries_.front()->operators});
+    options.insert(options.begin(),
+                   {"--entry", entries_.front()->operator_address});
     ::setenv("CYCLAMENRUN_OPERATOR_KEY", operator_key_.c_str(), 1);
     child_process command_run("cyclamenrunctl", options);
     const int status = command_run.wait();
@@ -198,10 +199,10 @@
     return status;
 }
 
-std::string deployment::state_at(const entry_processes& entry,
+std::string deployment::state_at(const entry_process& entry,
                                  const std::string& upstream) const
 {
-    http_exchange exchange(entry.operators, {}, steady_now);
+    http_exchange exchange(entry.operator_address, {}, steady_now);
     const auto answer =
         exchange.run({"POST",
                       "/cyclamenrun.v1.QueryService/DumpState",
@@ -219,14 +220,14 @@
     const auto list =
         section ? json_array(*section, "list") : Poco::JSON::Array::Ptr{};
     for (std::size_t at = 0; list && at < list->size(); ++at) {
-        const auto known = list->getObject(at);
-        if (json_string(*known, "upstream") == upstream)
-            return json_string(*known, "state").value_or("");
+        const auto item = list->getObject(at);
+        if (json_string(*item, "upstream") == upstream)
+            return json_string(*item, "state").value_or("");
     }
     return {};
 }
 
-caller_stream deployment::generate(const entry_processes& entry,
+caller_stream deployment::generate(const entry_process& entry,
                                    const std::string& prompt,
                                    std::uint64_t output_tokens) const
 {
@@ -235,7 +236,7 @@
                            generation_body(prompt, output_tokens))};
 }
 
-caller_stream deployment::resume(const entry_processes& entry,
+caller_stream deployment::resume(const entry_process& entry,
                                  const std::string& last_event_id) const
 {
     auto request = caller_request("GET", "/v1/generations", "");
@@ -243,7 +244,8 @@
     return {entry.address, request};
 }
 
-std::optional<http_answer> deployment::crash(const entry_processes& entry) const
+std::optional<http_answer>
+deployment::send_poison_request(const entry_process& entry) const
 {
     const auto request =
         caller_request("POST", "/v1/completions",
@@ -256,7 +258,7 @@
     return *answer;
 }
 
-std::optional<http_answer> deployment::call(const entry_processes& entry,
+std::optional<http_answer> deployment::call(const entry_process& entry,
                                             const std::string& ticket,
                                             milliseconds limit) const
 {
@@ -273,7 +275,7 @@
     return *answer;
 }
 
-std::string deployment::ticket(const entry_processes& entry) const
+std::string deployment::request_ticket(const entry_process& entry) const
 {
     const auto request = caller_request(
         "POST", "/v1/services/" + std::string(application_service) + "/tickets",
--- a/tests/processes/deployment.hpp
+++ b/tests/processes/deployment.hpp
@@ -22,17 +22,18 @@
 struct upstream_processes {
     std::string name;
     std::string service;
-    std::unique_ptr<stand_in_process> back_end;
-    std::unique_ptr<tcp_relay> back_end_link; ///< agent to back end
+    std::unique_ptr<stand_in_process> back_end; ///< engine or runner
+    std::unique_ptr<tcp_relay> back_end_link;   ///< agent to back end
     std::unique_ptr<child_process> agent;
     std::unique_ptr<tcp_relay> agent_link; ///< entries to agent
 };
 
-struct entry_processes {
+/** An entry and the addresses on which it listens. */
+struct entry_process {
     std::string name;
     std::unique_ptr<child_process> process;
-    std::string operators;
-    std::string address;
+    std::string operator_address; ///< of the operator API
+    std::string address;          ///< for callers
 };
 
 /** Polls `condition` until it is true; returns false after 30 s. */
@@ -51,10 +52,11 @@
                                   std::vector<std::string> options = {});
     upstream_processes& add_runner(const std::string& name,
                                    std::vector<std::string> options = {});
-    entry_processes& add_entry(const std::string& name);
+    entry_process& add_entry(const std::string& name);
 
-    /** Starts a new process in place of the old one, which must have ended. */
+    /** Starts a new agent in place of the old one, which must have ended. */
     void restart_agent(upstream_processes& upstream);
+    /** Starts a new engine or runner; the old one must have ended. */
     void restart_back_end(upstream_processes& upstream,
                           std::vector<std::string> options = {});
 
@@ -70,34 +72,39 @@
                  const std::string& state = "live") const;
 
     /** Whether the entry has read a configuration and is not draining. */
-    static bool is_ready(const entry_processes& entry);
+    static bool is_ready(const entry_process& entry);
 
     /** Runs `cyclamenrunctl` with `command`. Returns its exit status. */
     int run_ctl(const std::vector<std::string>& command) const;
     /** Returns the state of an upstream as this entry sees it. */
-    std::string state_at(const entry_processes& entry,
+    std::string state_at(const entry_process& entry,
                          const std::string& upstream) const;
 
     /** Starts a generation with an answer of `output_tokens` tokens. */
-    caller_stream generate(const entry_processes& entry,
+    caller_stream generate(const entry_process& entry,
                            const std::string& prompt,
                            std::uint64_t output_tokens) const;
     /** Sends a request that crashes each engine that runs it. */
-    std::optional<http_answer> crash(const entry_processes& entry) const;
-    /** Resumes a generation after `last_event_id`, through any entry. */
-    caller_stream resume(const entry_processes& entry,
+    std::optional<http_answer>
+    send_poison_request(const entry_process& entry) const;
+    /** Resumes a generation after the event `last_event_id`. */
+    caller_stream resume(const entry_process& entry,
                          const std::string& last_event_id) const;
-    /** Sends a call; empty if the entry does not answer. */
-    std::optional<http_answer> call(const entry_processes& entry,
+    /**
+     * Sends a call with a deadline and a ticket, or none if `ticket` is empty.
+     * Returns the answer; empty if the entry does not answer.
+     */
+    std::optional<http_answer> call(const entry_process& entry,
                                     const std::string& ticket,
                                     milliseconds limit = test_limit) const;
-    std::string ticket(const entry_processes& entry) const;
+    /** Requests a new ticket; empty if the entry does not issue one. */
+    std::string request_ticket(const entry_process& entry) const;
 
     stand_in_process& platform() { return platform_; }
     upstream_processes& upstream(std::size_t at) { return *upstreams_.at(at); }
-    entry_processes& entry(std::size_t at) { return *entries_.at(at); }
+    entry_process& entry(std::size_t at) { return *entries_.at(at); }
 
-    /** Waits until an upstream has such an event. Returns the upstream. */
+    /** Waits until an upstream has an event of this kind, and returns it. */
     upstream_processes& wait_for_event(const std::string& kind);
     /** Counts the events of this kind over all upstreams. */
     std::size_t count_events(const std::string& kind) const;
@@ -120,7 +127,7 @@
     std::string operator_hash_;
     stand_in_process platform_;
     std::vector<std::unique_ptr<upstream_processes>> upstreams_;
-    std::vector<std::unique_ptr<entry_processes>> entries_;
+    std::vector<std::unique_ptr<entry_process>> entries_;
 };
 
 } // namespace cyclamenrun::testing_support
--- a/tests/processes/test_calls.cpp
+++ b/tests/processes/test_calls.cpp
@@ -33,11 +33,11 @@
     "freeze_agent",   "cut_agent_link",  "stall_to_agent",
     "stall_to_entry", "cut_runner_link", "kill_entry"};
 
-/** True if the fault loses the answer; else its path heals. */
-bool loses_answer(fault what)
+/** True if the fault loses the answer; otherwise a retry still gets it. */
+bool loses_answer(fault kind)
 {
-    return what == fault::kill_runner || what == fault::lose_answer ||
-           what == fault::kill_agent || what == fault::cut_runner_link;
+    return kind == fault::kill_runner || kind == fault::lose_answer ||
+           kind == fault::kill_agent || kind == fault::cut_runner_link;
 }
 
 class call_faults : public ::testing::TestWithParam<fault>
@@ -111,7 +111,7 @@
 // runs once, both answers agree, and neither says that it was not run.
 TEST_P(call_faults, a_call_with_a_ticket_runs_once_when_it_is_resent)
 {
-    const auto ticket = system.ticket(system.entry(0));
+    const auto ticket = system.request_ticket(system.entry(0));
     ASSERT_FALSE(ticket.empty());
     if (GetParam() == fault::lose_answer)
         for (const std::size_t at : {0, 1})
@@ -198,7 +198,7 @@
 TEST_F(call_races, a_ticket_used_twice_at_once_runs_once)
 {
     for (std::size_t round = 1; round <= 10; ++round) {
-        const auto ticket = system.ticket(system.entry(0));
+        const auto ticket = system.request_ticket(system.entry(0));
         auto other = std::async(std::launch::async, [&] {
             return system.call(system.entry(1), ticket);
         });
@@ -236,7 +236,7 @@
 // cannot tell whether a call with a ticket of the earlier incarnation has run.
 TEST_F(call_races, a_ticket_of_an_earlier_incarnation_has_an_unknown_outcome)
 {
-    const auto ticket = system.ticket(system.entry(0));
+    const auto ticket = system.request_ticket(system.entry(0));
     auto& upstream = system.upstream(0);
     upstream.agent->signal(SIGKILL);
     upstream.agent->wait();
--- a/tests/processes/test_configuration_spread.cpp
+++ b/tests/processes/test_configuration_spread.cpp
@@ -12,7 +12,7 @@
 
 using testing_support::deployment;
 
-/** Numbers of upstreams at the users' size, with a few entries. */
+/** Upstreams as in a deployment of the users, with a few entries. */
 constexpr int models = 10;
 constexpr int runners = 3;
 constexpr int entries = 3;
@@ -48,8 +48,9 @@
         const auto start = steady_now();
         // wait_until_ready() has set the operator's key in the environment.
         testing_support::child_process apply(
-            "cyclamenrunctl", {"--entry", system.entry(0).operators, "apply",
-                               "--wait", resource_file(file.path(), round)});
+            "cyclamenrunctl",
+            {"--entry", system.entry(0).operator_address, "apply", "--wait",
+             resource_file(file.path(), round)});
         ASSERT_EQ(apply.wait_for_line("in force in"), "16 processes");
         times.push_back(
             std::chrono::duration_cast<milliseconds>(steady_now() - start));
--- a/tests/processes/test_generation_faults.cpp
+++ b/tests/processes/test_generation_faults.cpp
@@ -18,8 +18,8 @@
 using testing_support::wait_until;
 
 constexpr auto prompt = "removal dossier, rail shed 4";
-constexpr std::uint64_t length = 300;
-constexpr std::size_t seen_tokens = 40;
+constexpr std::uint64_t answer_tokens = 300;
+constexpr std::size_t seen_tokens = 40; ///< read before the fault
 /**
  * Limit for the end of a stream whose engine is frozen: two polls of a busy
  * engine, and a margin.
@@ -45,9 +45,9 @@
     "cut_agent_link",  "stall_to_agent",   "stall_to_entry", "cut_engine_link",
     "stall_to_engine", "stall_from_engine"};
 
-void inject(fault what, upstream_processes& upstream)
+void inject(fault kind, upstream_processes& upstream)
 {
-    switch (what) {
+    switch (kind) {
     case fault::kill_engine:
         return upstream.back_end->process().signal(SIGKILL);
     case fault::freeze_engine:
@@ -71,17 +71,17 @@
     }
 }
 
-void undo(fault what, upstream_processes& upstream)
+void undo(fault kind, upstream_processes& upstream)
 {
-    if (what == fault::freeze_engine)
+    if (kind == fault::freeze_engine)
         upstream.back_end->process().signal(SIGCONT);
-    if (what == fault::freeze_agent)
+    if (kind == fault::freeze_agent)
         upstream.agent->signal(SIGCONT);
     upstream.agent_link->heal();
     upstream.back_end_link->heal();
 }
 
-/** Each token occurs once, in order, and all belong to one generation. */
+/** Expects each token once, in order, and all of one generation. */
 void expect_in_order(const caller_stream& stream, std::uint64_t first = 0)
 {
     const auto& positions = stream.positions();
@@ -99,7 +99,7 @@
     EXPECT_EQ(stream.end(), stream_end_kind::complete)
         << stream.status() << ' ' << stream.refusal().kind << ' '
         << stream.refusal().reason;
-    EXPECT_EQ(stream.positions().size(), length);
+    EXPECT_EQ(stream.positions().size(), answer_tokens);
     EXPECT_EQ(stream.finish_reason(), "stop");
     expect_in_order(stream);
 }
@@ -130,7 +130,7 @@
     std::unique_ptr<caller_stream> stream;
     std::thread caller([&] {
         stream = std::make_unique<caller_stream>(
-            system.generate(system.entry(0), prompt, length));
+            system.generate(system.entry(0), prompt, answer_tokens));
         stream->read_all();
     });
     auto& faulted = system.wait_for_event("start");
@@ -150,7 +150,7 @@
 TEST_P(generation_faults, permanent_mid_stream_end_the_stream_with_failed)
 {
     start("20");
-    auto stream = system.generate(system.entry(0), prompt, length);
+    auto stream = system.generate(system.entry(0), prompt, answer_tokens);
     stream.read_tokens(seen_tokens);
     auto& faulted = system.wait_for_event("first_token");
     auto& other = system.upstream(&faulted == &system.upstream(0) ? 1 : 0);
@@ -201,7 +201,7 @@
 TEST_P(transient_faults, mid_stream_lose_no_token)
 {
     start("20");
-    auto stream = system.generate(system.entry(0), prompt, length);
+    auto stream = system.generate(system.entry(0), prompt, answer_tokens);
     stream.read_tokens(seen_tokens);
     auto& faulted = system.wait_for_event("first_token");
     inject(GetParam(), faulted);
@@ -217,7 +217,7 @@
 TEST_P(transient_faults, after_the_last_token_lose_no_token)
 {
     start("5");
-    auto stream = system.generate(system.entry(0), prompt, length);
+    auto stream = system.generate(system.entry(0), prompt, answer_tokens);
     stream.read_tokens(seen_tokens);
     auto& faulted = system.wait_for_event("first_token");
     inject(GetParam(), faulted);
--- a/tests/processes/test_path.cpp
+++ b/tests/processes/test_path.cpp
@@ -19,12 +19,13 @@
     const auto& entry = system.add_entry("entry-1");
     system.wait_until_ready();
 
-    auto dossier = system.generate(entry, "section one", 300);
-    dossier.read_all();
-    EXPECT_EQ(dossier.end(), stream_end_kind::complete);
-    EXPECT_EQ(dossier.text(), stand_in::answer_text("section one", 300));
+    auto generation = system.generate(entry, "section one", 300);
+    generation.read_all();
+    EXPECT_EQ(generation.end(), stream_end_kind::complete);
+    EXPECT_EQ(generation.text(), stand_in::answer_text("section one", 300));
 
-    const auto ticket = system.ticket(entry);
+    // A call that is repeated with its ticket runs once.
+    const auto ticket = system.request_ticket(entry);
     const auto first = system.call(entry, ticket);
     const auto again = system.call(entry, ticket);
     ASSERT_TRUE(first && again);
--- a/tests/processes/test_poison.cpp
+++ b/tests/processes/test_poison.cpp
@@ -25,22 +25,22 @@
     system.add_entry("entry-2");
     system.wait_until_ready();
 
-    const auto first = system.crash(system.entry(0));
+    const auto first = system.send_poison_request(system.entry(0));
     ASSERT_TRUE(first);
     EXPECT_GE(first->head.status, 400);
-    const auto second = system.crash(system.entry(1));
+    const auto second = system.send_poison_request(system.entry(1));
     ASSERT_TRUE(second);
     EXPECT_NE(second->body.find("poison"), std::string::npos) << second->body;
 
-    std::size_t live = 0;
+    std::size_t live_engines = 0;
     for (std::size_t i = 0; i < 3; ++i) {
         const http_request probe{
             "GET", "/v1/runs", "", "", {}, steady_now() + milliseconds(2'000)};
         http_exchange exchange(system.upstream(i).back_end->address(), {},
                                steady_now);
-        live += exchange.run(probe) ? 1 : 0;
+        live_engines += exchange.run(probe) ? 1 : 0;
     }
-    EXPECT_EQ(live, 1U);
+    EXPECT_EQ(live_engines, 1U);
     auto healthy = system.generate(system.entry(1), "healthy", 4);
     healthy.read_all();
     EXPECT_EQ(healthy.end(), stream_end_kind::complete);
--- a/tests/processes/test_stops.cpp
+++ b/tests/processes/test_stops.cpp
@@ -16,8 +16,8 @@
 using testing_support::wait_until;
 
 constexpr auto prompt = "pairing guide, code 0917";
-constexpr std::uint64_t length = 200;
-constexpr std::size_t seen_tokens = 20;
+constexpr std::uint64_t answer_tokens = 200;
+constexpr std::size_t seen_tokens = 20; ///< read before a stop
 
 class stops : public ::testing::Test
 {
@@ -32,21 +32,22 @@
         system.wait_until_ready();
     }
 
+    /** Starts a generation and reads its first tokens. */
     caller_stream begin()
     {
-        auto stream = system.generate(system.entry(0), prompt, length);
+        auto stream = system.generate(system.entry(0), prompt, answer_tokens);
         stream.read_tokens(seen_tokens);
         return stream;
     }
 
-    /** `before` and `rest` together are the complete answer. */
+    /** Expects `before` and `rest` to be the complete answer together. */
     static void expect_continued(const caller_stream& before,
                                  const caller_stream& rest)
     {
         ASSERT_EQ(rest.end(), stream_end_kind::complete)
             << rest.status() << ' ' << rest.refusal().reason;
         EXPECT_EQ(before.text() + rest.text(),
-                  stand_in::answer_text(prompt, length));
+                  stand_in::answer_text(prompt, answer_tokens));
         EXPECT_EQ(rest.positions().front().index, before.positions().size());
         EXPECT_EQ(rest.positions().front().generation,
                   before.positions().front().generation);
@@ -57,7 +58,7 @@
         stream.read_all();
         EXPECT_EQ(stream.end(), stream_end_kind::complete)
             << stream.refusal().reason;
-        EXPECT_EQ(stream.text(), stand_in::answer_text(prompt, length));
+        EXPECT_EQ(stream.text(), stand_in::answer_text(prompt, answer_tokens));
     }
 
     deployment system;
@@ -69,8 +70,8 @@
 {
     start();
     auto stream = begin();
-    auto lookup = std::async(std::launch::async,
-                             [&] { return system.call(system.entry(0), ""); });
+    auto call = std::async(std::launch::async,
+                           [&] { return system.call(system.entry(0), ""); });
     system.wait_for_event("run");
     system.entry(0).process->signal(SIGTERM);
     EXPECT_TRUE(wait_until([&] {
@@ -78,7 +79,7 @@
                std::string::npos;
     }));
     expect_complete(stream);
-    EXPECT_EQ(lookup.get()->head.status, 200);
+    EXPECT_EQ(call.get()->head.status, 200);
     EXPECT_EQ(system.entry(0).process->wait(), 0)
         << system.entry(0).process->output();
 }
@@ -96,7 +97,7 @@
         return system.state_at(system.entry(0), stopped.name) != "live";
     }));
     for (int count = 0; count < 5; ++count) {
-        auto next = system.generate(system.entry(1), prompt, length);
+        auto next = system.generate(system.entry(1), prompt, answer_tokens);
         expect_complete(next);
     }
     EXPECT_EQ(stopped.back_end->history("start").size(), 1);
@@ -107,7 +108,7 @@
 TEST_F(stops, stopping_an_agent_lets_a_call_complete)
 {
     start();
-    const auto ticket = system.ticket(system.entry(0));
+    const auto ticket = system.request_ticket(system.entry(0));
     auto call = std::async(std::launch::async, [&] {
         return system.call(system.entry(0), ticket);
     });
@@ -133,7 +134,7 @@
     }));
     EXPECT_LT(steady_now(), limit);
     for (const std::size_t entry : {0, 1, 0, 1}) {
-        auto next = system.generate(system.entry(entry), prompt, length);
+        auto next = system.generate(system.entry(entry), prompt, answer_tokens);
         expect_complete(next);
     }
     EXPECT_EQ(drained.back_end->history("start").size(), 1);
@@ -155,7 +156,7 @@
     }));
     EXPECT_LT(steady_now(), limit);
     for (int count = 0; count < 4; ++count) {
-        auto next = system.generate(system.entry(0), prompt, length);
+        auto next = system.generate(system.entry(0), prompt, answer_tokens);
         expect_complete(next);
     }
     EXPECT_EQ(leaving.back_end->history("start").size(), 1);
@@ -178,7 +179,7 @@
 }
 
 // An entry freezes, and the caller disconnects and resumes through another one.
-// The frozen entry continues meanwhile and must not disturb the resumed stream.
+// The frozen entry then continues and must not disturb the resumed stream.
 TEST_F(stops, a_frozen_entry_that_wakes_up_disturbs_nothing)
 {
     start();
@@ -223,7 +224,8 @@
     expect_complete(stream);
 }
 
-// A caller that disconnects and does not resume must not keep an engine busy.
+// A caller that disconnects and does not resume within the grace must not keep
+// an engine busy.
 TEST_F(stops, an_abandoned_generation_is_cancelled_after_the_grace)
 {
     start("100");
@@ -242,14 +244,15 @@
     auto stream = begin();
     system.platform().process().signal(SIGKILL);
     expect_complete(stream);
-    auto next = system.generate(system.entry(1), prompt, length);
+    auto next = system.generate(system.entry(1), prompt, answer_tokens);
     expect_complete(next);
-    EXPECT_EQ(system.call(system.entry(0), system.ticket(system.entry(1)))
-                  ->head.status,
-              200);
+    EXPECT_EQ(
+        system.call(system.entry(0), system.request_ticket(system.entry(1)))
+            ->head.status,
+        200);
     std::cerr << "status "
               << system.run_ctl({"--timeout", "3", "delete", "team", "team-a"});
-    auto last = system.generate(system.entry(0), prompt, length);
+    auto last = system.generate(system.entry(0), prompt, answer_tokens);
     expect_complete(last);
 }
 
@@ -278,7 +281,7 @@
     EXPECT_EQ(testing_support::request_answer(fresh.address, "GET", "/readyz")
                   .head.status,
               503);
-    auto refused = system.generate(fresh, prompt, length);
+    auto refused = system.generate(fresh, prompt, answer_tokens);
     EXPECT_EQ(refused.end(), stream_end_kind::refused);
     EXPECT_EQ(refused.status(), 503);
     EXPECT_EQ(refused.refusal().kind, "not_run");
