--- a/tests/product/fake_entry.cpp
+++ b/tests/product/fake_entry.cpp
@@ -162,10 +162,10 @@
 {
     const std::lock_guard lock(mutex_);
     v1::ListRevisionsResponse response;
-    auto& self = *response.add_processes();
-    self.set_process("entry-1");
-    self.set_role("entry");
-    self.set_revision(revision_);
+    auto& process = *response.add_processes();
+    process.set_process("entry-1");
+    process.set_role("entry");
+    process.set_revision(revision_);
     return response;
 }
 
--- a/tests/product/test_entry_program.cpp
+++ b/tests/product/test_entry_program.cpp
@@ -72,7 +72,8 @@
     }
 }
 
-int health(const ip_endpoint& entry)
+/** Returns the status of the answer to a health check. */
+int health_status(const ip_endpoint& entry)
 {
     Poco::Net::HTTPClientSession session(entry.host, entry.port);
     session.setTimeout(Poco::Timespan(20, 0));
@@ -97,7 +98,7 @@
     stalled.reserve(4);
     for (int count = 0; count < 4; ++count)
         stalled.push_back(send_without_reading(*address));
-    EXPECT_EQ(health(*address), 200);
+    EXPECT_EQ(health_status(*address), 200);
 }
 
 /**
@@ -122,7 +123,7 @@
             std::this_thread::sleep_for(milliseconds(100));
         }
     });
-    EXPECT_EQ(health(*address), 200);
+    EXPECT_EQ(health_status(*address), 200);
 }
 
 TEST_F(entry_program, check_reports_all_errors_and_defaults_can_be_printed)
--- a/tests/product/test_instrumentation.cpp
+++ b/tests/product/test_instrumentation.cpp
@@ -89,14 +89,14 @@
 
 TEST_F(instrumentation_test, changes_of_the_list_of_vms_are_logged)
 {
-    vm_list_change_logger journal;
+    vm_list_change_logger logger;
     vm first{"vm-1", "127.0.0.1:1", "r", "d", "s", vm_state::live};
     vm second{"vm-2", "127.0.0.1:2", "r", "d", "s", vm_state::live};
-    journal.log_changes({1, {first}});
-    journal.log_changes({2, {first, second}});
+    logger.log_changes({1, {first}});
+    logger.log_changes({2, {first, second}});
     first.state = vm_state::leaving;
-    journal.log_changes({3, {first, second}});
-    journal.log_changes({4, {second}});
+    logger.log_changes({3, {first, second}});
+    logger.log_changes({4, {second}});
     EXPECT_THAT(lines, ElementsAre(HasSubstr("vm_list_read"),
                                    HasSubstr("upstream_found"),
                                    HasSubstr("upstream_leaving"),
--- a/tests/product/test_logging.cpp
+++ b/tests/product/test_logging.cpp
@@ -170,20 +170,21 @@
 // dropped first, and no accepted line may be lost.
 TEST(line_output, does_not_block_and_drops_info_lines_first)
 {
-    constexpr std::size_t queue = 1000000;
+    constexpr std::size_t queued_bytes = 1000000;
     const unread_pipe pipe;
     const std::string line(999, 'x');
     std::size_t infos = 0;
     std::size_t errors = 0;
     const auto start = steady_now();
     {
-        line_output output(pipe.writing_end(), queue);
+        line_output output(pipe.writing_end(), queued_bytes);
         while (output.put(log_severity::info, line))
             ++infos;
         while (output.put(log_severity::error, line))
             ++errors;
         EXPECT_LT(steady_now() - start, std::chrono::seconds(5));
-        // The pipe itself buffers 64 KiB.
+        // Lines of severity info fill half of the queue, and the pipe itself
+        // buffers 64 KiB.
         EXPECT_NEAR(static_cast<double>(infos), 565, 20);
         EXPECT_NEAR(static_cast<double>(errors), 500, 20);
         const auto lines = pipe.read_lines(infos + errors);
@@ -208,33 +209,33 @@
 
 TEST(log_rate_limiter, reserves_a_part_for_warnings_and_errors)
 {
-    log_rate_limiter budget(100);
+    log_rate_limiter limiter(100);
     const time_point now{std::chrono::hours(1)};
     int infos = 0;
-    while (budget.try_consume(log_severity::info, now))
+    while (limiter.try_consume(log_severity::info, now))
         ++infos;
     int warnings = 0;
-    while (budget.try_consume(log_severity::warning, now))
+    while (limiter.try_consume(log_severity::warning, now))
         ++warnings;
     int errors = 0;
-    while (budget.try_consume(log_severity::error, now))
+    while (limiter.try_consume(log_severity::error, now))
         ++errors;
     EXPECT_EQ(infos, 50);
     EXPECT_EQ(warnings, 40);
     EXPECT_EQ(errors, 10);
     EXPECT_FALSE(
-        budget.try_consume(log_severity::info, now + milliseconds(500)));
+        limiter.try_consume(log_severity::info, now + milliseconds(500)));
     EXPECT_TRUE(
-        budget.try_consume(log_severity::info, now + milliseconds(600)));
+        limiter.try_consume(log_severity::info, now + milliseconds(600)));
 }
 
-// No interval of one second may contain more lines than the budget of two
-// seconds: the saved burst and the budget of that second.
+// Within any second, at most twice the lines per second may be logged: a full
+// burst, and the lines that become available during that second.
 RC_GTEST_PROP(log_rate_limiter, holds_over_any_second,
               (const std::vector<std::uint8_t>& gaps_ms))
 {
     constexpr int lines_per_s = 20;
-    log_rate_limiter budget(lines_per_s);
+    log_rate_limiter limiter(lines_per_s);
     time_point now{std::chrono::hours(1)};
     std::deque<time_point> taken;
     for (const auto gap : gaps_ms) {
@@ -242,16 +243,16 @@
         while (!taken.empty() && taken.front() < now - milliseconds(1000))
             taken.pop_front();
         for (int i = 0; i < 3; ++i) {
-            if (budget.try_consume(log_severity::error, now))
+            if (limiter.try_consume(log_severity::error, now))
                 taken.push_back(now);
         }
         RC_ASSERT(taken.size() <= 2 * lines_per_s);
     }
 }
 
-// A flood of requests exceeds the budget of lines. The log must show how many
-// lines of which severity are missing.
-TEST(logging, reports_lines_dropped_by_the_budget)
+// A flood of requests exceeds the rate limit of lines. The log must show how
+// many lines of which severity are missing.
+TEST(logging, reports_lines_dropped_by_the_rate_limit)
 {
     std::vector<std::string> lines;
     start_logging({"test", log_severity::info, 10},
--- a/tests/product/test_rpc.cpp
+++ b/tests/product/test_rpc.cpp
@@ -78,12 +78,12 @@
     const auto busy = handle("application/json", R"({"changeId":"busy"})");
     EXPECT_EQ(busy.status, 429);
     EXPECT_EQ(busy.retry_after, milliseconds(1500));
-    const auto stranger =
+    const auto wrong_key =
         router.handle({find_path, "application/json", "Bearer 00", "{}", {}});
-    EXPECT_EQ(stranger.status, 401);
-    const auto elsewhere = router.handle(
+    EXPECT_EQ(wrong_key.status, 401);
+    const auto unknown_path = router.handle(
         {"/other", "application/json", "Bearer " + key.reveal(), "{}", {}});
-    EXPECT_EQ(code_of(elsewhere), "unimplemented");
+    EXPECT_EQ(code_of(unknown_path), "unimplemented");
 }
 
 /** Any body must yield a response or a typed error. */
