--- a/tests/standins/engine/engine_core.cpp
+++ b/tests/standins/engine/engine_core.cpp
@@ -38,11 +38,11 @@
         run->finish("error");
         return run;
     }
-    const auto place = std::find_if(
+    const auto position = std::find_if(
         runs_.begin(), runs_.end(), [&run](const run_pointer& other) {
             return other->parameters.priority < run->parameters.priority;
         });
-    runs_.insert(place, run);
+    runs_.insert(position, run);
     sample_load();
     changed_.notify_all();
     return run;
--- a/tests/standins/engine/engine_core.hpp
+++ b/tests/standins/engine/engine_core.hpp
@@ -17,6 +17,7 @@
 namespace cyclamenrun::stand_in
 {
 
+/** Options of the stand-in engine; see its --help. */
 struct engine_options {
     double step_ms = 10;
     std::uint64_t memory_tokens = 100000;
@@ -62,7 +63,9 @@
     const engine_options& options() const { return options_; }
     prefix_cache& cache() { return cache_; }
 
+    /** Generates no tokens for this time. */
     void stall(std::chrono::milliseconds span);
+    /** Multiplies the time between tokens. */
     void slow_down(double factor);
     /** Kills the process when any run reaches this token; 0: off. */
     void die_at_token(std::uint64_t count);
--- a/tests/standins/engine/engine_run.hpp
+++ b/tests/standins/engine/engine_run.hpp
@@ -17,8 +17,8 @@
     std::string prompt;
     std::uint64_t max_tokens = 0;
     std::int64_t priority = 0;
-    std::optional<std::uint64_t> output_tokens;
-    std::optional<std::uint64_t> crash_at_token;
+    std::optional<std::uint64_t> output_tokens;  ///< missing: drawn
+    std::optional<std::uint64_t> crash_at_token; ///< kills the engine
 };
 
 /** The next token of a run, or its end. */
--- a/tests/standins/engine/main.cpp
+++ b/tests/standins/engine/main.cpp
@@ -9,8 +9,9 @@
     app.add_option("--listen", listen,
                    "IP:PORT to listen on; port 0 picks a free one");
     app.add_option("--step-ms", options.step_ms, "time between tokens in ms");
-    app.add_option("--memory-tokens", options.memory_tokens,
-                   "memory for prompts and outputs in decode");
+    app.add_option(
+        "--memory-tokens", options.memory_tokens,
+        "memory in tokens for prompts and outputs of active requests");
     app.add_option("--prefill-tokens-per-step", options.prefill_tokens_per_step,
                    "prompt tokens computed per step");
     app.add_option("--max-batch", options.max_batch,
--- a/tests/standins/engine/prefix_cache.hpp
+++ b/tests/standins/engine/prefix_cache.hpp
@@ -37,6 +37,7 @@
     std::vector<cache_event> events(std::uint64_t from) const;
 
 private:
+    /** Caches a block or marks it as the most recently used. */
     void touch(std::uint64_t block);
     void record_event(bool stored, std::uint64_t block);
 
@@ -44,7 +45,7 @@
     const std::chrono::milliseconds lag_;
     const std::uint64_t gap_;
     mutable std::mutex lock_;
-    std::list<std::uint64_t> recent_;
+    std::list<std::uint64_t> recent_; ///< most recently used first
     std::unordered_map<std::uint64_t, std::list<std::uint64_t>::iterator>
         cached_;
     std::uint64_t next_offset_ = 0;
--- a/tests/standins/platform/listed_vms.cpp
+++ b/tests/standins/platform/listed_vms.cpp
@@ -10,13 +10,13 @@
     versions_.push_back({clock::now(), {1, {}}});
 }
 
-void listed_vms::put(vm entry)
+void listed_vms::put(vm added)
 {
     const std::lock_guard guard(lock_);
     auto next = versions_.back().list;
     std::erase_if(next.vms,
-                  [&entry](const vm& old) { return old.id == entry.id; });
-    next.vms.push_back(std::move(entry));
+                  [&added](const vm& old) { return old.id == added.id; });
+    next.vms.push_back(std::move(added));
     publish(std::move(next));
 }
 
--- a/tests/standins/platform/listed_vms.hpp
+++ b/tests/standins/platform/listed_vms.hpp
@@ -19,7 +19,7 @@
 public:
     explicit listed_vms(std::chrono::milliseconds lag);
 
-    void put(vm entry);
+    void put(vm added);
     void remove(const std::string& id);
     /** Waits up to `wait` for a revision above `after`; returns the list. */
     vm_list read(std::uint64_t after, std::chrono::milliseconds wait);
@@ -28,11 +28,12 @@
 private:
     using clock = std::chrono::steady_clock;
     struct version {
-        clock::time_point visible;
+        clock::time_point visible; ///< time from which readers see it
         vm_list list;
     };
 
     void publish(vm_list next);
+    /** Drops the versions that a visible one has replaced. */
     void drop_old();
 
     const std::chrono::milliseconds lag_;
--- a/tests/standins/platform/platform_api.cpp
+++ b/tests/standins/platform/platform_api.cpp
@@ -56,14 +56,14 @@
 std::string list_json(const vm_list& list)
 {
     Poco::JSON::Array::Ptr vms = new Poco::JSON::Array;
-    for (const auto& entry : list.vms) {
+    for (const auto& listed : list.vms) {
         Poco::JSON::Object::Ptr line = new Poco::JSON::Object;
-        line->set("id", entry.id);
-        line->set("address", entry.address);
-        line->set("region", entry.region);
-        line->set("failure_domain", entry.failure_domain);
-        line->set("service", entry.service);
-        line->set("state", std::string(name_of(entry.state)));
+        line->set("id", listed.id);
+        line->set("address", listed.address);
+        line->set("region", listed.region);
+        line->set("failure_domain", listed.failure_domain);
+        line->set("service", listed.service);
+        line->set("state", std::string(name_of(listed.state)));
         vms->add(line);
     }
     Poco::JSON::Object body;
@@ -117,9 +117,9 @@
 void platform_api::log(server_request& request, server_response& response,
                        const std::string& name)
 {
-    const auto now = faults();
-    pause(std::chrono::milliseconds(now.slow_ms));
-    if (now.log_out)
+    const auto current = faults();
+    pause(std::chrono::milliseconds(current.slow_ms));
+    if (current.log_out)
         return answer(response, 503, R"({"error":"out"})");
     if (request.getMethod() == "POST")
         append(request, response, name);
--- a/tests/standins/platform/platform_api.hpp
+++ b/tests/standins/platform/platform_api.hpp
@@ -17,6 +17,7 @@
 namespace cyclamenrun::stand_in
 {
 
+/** Options of the stand-in platform; see its --help. */
 struct platform_options {
     double appends_per_second = 500;
     std::uint64_t retain_records = 100000;
--- a/tests/standins/platform/stored_log.hpp
+++ b/tests/standins/platform/stored_log.hpp
@@ -18,9 +18,10 @@
     std::string data;
 };
 
+/** Result of a read of a log. */
 struct stored_page {
-    std::uint64_t first_retained = 0;
-    std::uint64_t next = 0;
+    std::uint64_t first_retained = 0; ///< offset
+    std::uint64_t next = 0;           ///< offset of the next append
     std::vector<stored_record> records;
 };
 
--- a/tests/standins/stand_in_server.hpp
+++ b/tests/standins/stand_in_server.hpp
@@ -142,6 +142,7 @@
     return body;
 }
 
+/** Parses a decimal number; 0 if the text has none. */
 inline std::uint64_t number_of(const std::string& text)
 {
     std::uint64_t number = 0;
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -72,7 +72,7 @@
         return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
     }
 
-    /** Next complete output line; empty at the end or after `limit`. */
+    /** Reads the next output line; empty at the end or after `limit`. */
     std::optional<std::string> read_line(std::chrono::milliseconds limit)
     {
         const auto deadline = std::chrono::steady_clock::now() + limit;
@@ -88,7 +88,7 @@
         }
     }
 
-    /** The program's standard output so far, which is its log. */
+    /** The program's standard output so far, where daemons write their log. */
     std::string output() const { return read_all(output_); }
 
     /** Waits for the listener's log event. Returns its address. */
@@ -168,8 +168,9 @@
         ::dup2(::fileno(errors_), STDERR_FILENO);
         constexpr int first_inherited = 3;
         constexpr int last_inherited = 1024;
-        for (int other = first_inherited; other < last_inherited; ++other)
-            ::close(other);
+        for (int descriptor = first_inherited; descriptor < last_inherited;
+             ++descriptor)
+            ::close(descriptor);
         ::execv(arguments.front(), arguments.data());
         ::_exit(127);
     }
--- a/tests/support/tcp_relay.hpp
+++ b/tests/support/tcp_relay.hpp
@@ -47,7 +47,7 @@
     tcp_relay& operator=(const tcp_relay&) = delete;
 
     std::string address() const { return socket_.address().toString(); }
-    /** Number of reads from callers; one call takes one or more. */
+    /** Number of reads from callers; a request takes one or more. */
     std::size_t caller_reads() const { return caller_reads_; }
 
     /** Sets the target of new connections, for a restarted process. */
@@ -74,6 +74,7 @@
         stalled_[static_cast<std::size_t>(direction)] = true;
     }
 
+    /** Ends a cut and all stalls. */
     void heal()
     {
         const std::lock_guard guard(lock_);
@@ -137,6 +138,7 @@
         });
     }
 
+    /** Copies data in one direction until the connection ends. */
     void pump(connection& opened, Poco::Net::StreamSocket& from,
               Poco::Net::StreamSocket& to, relay_direction direction)
     {
@@ -147,7 +149,7 @@
                     piece.data(), static_cast<int>(piece.size()));
                 if (direction == relay_direction::to_target && count > 0)
                     ++caller_reads_;
-                if (!may_pass(opened, direction))
+                if (!wait_while_stalled(opened, direction))
                     return;
                 if (count <= 0)
                     return to.shutdownSend();
@@ -159,7 +161,8 @@
         }
     }
 
-    bool may_pass(const connection& opened, relay_direction direction)
+    /** Returns false if the connection has ended. */
+    bool wait_while_stalled(const connection& opened, relay_direction direction)
     {
         std::unique_lock guard(lock_);
         changed_.wait(guard, [&] {
