--- a/Makefile
+++ b/Makefile
@@ -25,6 +25,7 @@
 demo: build
 	scripts/demo $(BUILD)/bin
 
+# Runs the random fault tests with 10,000 runs instead of the usual number.
 soak: build
 	CYCLAMENRUN_SOAK_RUNS=10000 $(BUILD)/bin/test_faults \
 	    --gtest_filter='*random*'
--- a/fuzz/fuzz_directory_answers.cpp
+++ b/fuzz/fuzz_directory_answers.cpp
@@ -30,7 +30,7 @@
     history.restart(page);
     check(history.since(first).has_value());
     check(!history.since(first + 1));
-    // Adds the same records again at offsets of their own.
+    // Adds the same records again, each at an offset of its own.
     page.offsets.clear();
     for (std::size_t i = 0; i < page.items.size(); ++i)
         page.offsets.push_back(first + i);
