--- a/src/libcyclamenrun/entry/caller_http_handler.cpp
+++ b/src/libcyclamenrun/entry/caller_http_handler.cpp
@@ -245,10 +245,10 @@
         return tl::unexpected(too_large);
     std::string body;
     auto& stream = request.stream();
-    std::array<char, 1024> piece{};
+    std::array<char, 1024> buffer{};
     while (stream.good()) {
-        stream.read(piece.data(), piece.size());
-        body.append(piece.data(), static_cast<std::size_t>(stream.gcount()));
+        stream.read(buffer.data(), buffer.size());
+        body.append(buffer.data(), static_cast<std::size_t>(stream.gcount()));
         if (body.size() > limits_.max_body_bytes)
             return tl::unexpected(too_large);
     }
@@ -263,12 +263,12 @@
 void caller_http_handler::answer_health(const std::string& path,
                                         http_response& response)
 {
-    const bool good = path == "/healthz" || core_.ready();
+    const bool ok = path == "/healthz" || core_.ready();
     response.setStatusAndReason(
-        good ? Poco::Net::HTTPResponse::HTTP_OK
-             : Poco::Net::HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
+        ok ? Poco::Net::HTTPResponse::HTTP_OK
+           : Poco::Net::HTTPResponse::HTTP_SERVICE_UNAVAILABLE);
     response.setContentType("application/json");
-    const std::string body = good ? "{\"ok\":true}" : "{\"ok\":false}";
+    const std::string body = ok ? "{\"ok\":true}" : "{\"ok\":false}";
     response.sendBuffer(body.data(), body.size());
 }
 
--- a/src/libcyclamenrun/entry/caller_http_handler.hpp
+++ b/src/libcyclamenrun/entry/caller_http_handler.hpp
@@ -38,9 +38,9 @@
     outcome<void> route(http_request& request, http_response& response);
     outcome<void> complete(completion_shape shape, http_request& request,
                            http_response& response);
-    outcome<void> call(const std::string& service, http_request& request,
+    outcome<void> call(const std::string& service_name, http_request& request,
                        http_response& response);
-    outcome<void> ticket(const std::string& service, http_request& request,
+    outcome<void> ticket(const std::string& service_name, http_request& request,
                          http_response& response);
     outcome<void> resume(http_request& request, http_response& response);
     outcome<std::string> read_body(http_request& request) const;
--- a/src/libcyclamenrun/entry/caller_request.cpp
+++ b/src/libcyclamenrun/entry/caller_request.cpp
@@ -155,8 +155,8 @@
 bool is_usable_id(const std::string& caller_id, std::size_t max_bytes)
 {
     return !caller_id.empty() && caller_id.size() <= max_bytes &&
-           std::all_of(caller_id.begin(), caller_id.end(), [](char letter) {
-               return letter > ' ' && letter < 127;
+           std::all_of(caller_id.begin(), caller_id.end(), [](char character) {
+               return character > ' ' && character < 127;
            });
 }
 
--- a/src/libcyclamenrun/entry/caller_request.hpp
+++ b/src/libcyclamenrun/entry/caller_request.hpp
@@ -47,7 +47,8 @@
                                                const caller_limits& limits);
 
 /**
- * Makes the relay's request; `service` is the service's current configuration.
+ * Makes the request that the relay runs; `service` is the current configuration
+ * of the requested service.
  */
 outcome<relay_request>
 make_completion_request(completion_shape shape, const completion_body& parsed,
@@ -77,8 +78,8 @@
 std::uint32_t estimate_tokens(std::size_t bytes);
 
 /**
- * Chained hashes of the prompt's blocks. Two prompts have equal hashes for the
- * blocks of their common prefix.
+ * Chained hashes of the prompt's first blocks. Two prompts have equal hashes
+ * for the blocks of their common prefix.
  */
 std::vector<std::uint64_t> prefix_blocks_of(const std::string& prompt);
 
--- a/src/libcyclamenrun/entry/entry_core.cpp
+++ b/src/libcyclamenrun/entry/entry_core.cpp
@@ -17,7 +17,8 @@
 
 constexpr milliseconds not_ready_retry_delay{1000};
 constexpr std::size_t agent_state_shards = 16;
-constexpr std::size_t max_agents_queried = 24;
+/** If there are more agents, this number to twice as many are queried. */
+constexpr std::size_t min_agents_queried = 24;
 /** Number of entries that send a new agent its first configuration. */
 constexpr std::uint64_t first_configuration_senders = 3;
 /**
@@ -25,6 +26,7 @@
  * configuration to the agent.
  */
 constexpr int max_empty_replies = 3;
+/** Maximum reply delay of an agent that has no configuration yet. */
 constexpr milliseconds new_agent_wait{500};
 
 agent_address address_of(const candidate& agent)
@@ -130,10 +132,10 @@
     if (draining_ && !resumes)
         result.refused = not_ready_refusal();
     else if (!resumes) {
-        const auto allowed =
+        const auto admitted =
             teams_.admit(*caller.team, request.prompt_tokens, started_at);
-        if (!allowed)
-            result.refused = allowed.error();
+        if (!admitted)
+            result.refused = admitted.error();
     }
     if (result.refused) {
         result.caller_disconnected = !writer.refuse(*result.refused);
@@ -168,8 +170,8 @@
         routes_.choose(request, objective::stall_time, {}, false, now);
     if (!target)
         return tl::unexpected(target.error());
-    const auto clock = routes_.agent_uptime(target->upstream, now);
-    if (!clock || clock->incarnation != target->incarnation)
+    const auto uptime = routes_.agent_uptime(target->upstream, now);
+    if (!uptime || uptime->incarnation != target->incarnation)
         return tl::unexpected(
             not_run(refusal_reason::no_upstream,
                     "the agent was replaced while the ticket was made",
@@ -178,7 +180,7 @@
         static_cast<std::uint64_t>(settings_.ticket_lifetime.count());
     return tickets_.mint({target->upstream, target->incarnation,
                           caller.team->name(), service.name(),
-                          clock->uptime_ms + lifetime});
+                          uptime->uptime_ms + lifetime});
 }
 
 relay_hooks entry_core::relay_hooks_for(const caller_session& caller)
@@ -294,11 +296,11 @@
 {
     // Each entry sends heartbeats to many agents, so a few agents, spread over
     // all services, know every entry. Querying all agents would transfer
-    // far more data per call.
+    // megabytes per call.
     std::vector<std::shared_ptr<agent_query>> queries;
     const auto agents = routes_.members().subset();
     const auto stride =
-        std::max<std::size_t>(1, agents.size() / max_agents_queried);
+        std::max<std::size_t>(1, agents.size() / min_agents_queried);
     for (std::size_t i = 0; i < agents.size(); i += stride)
         queries.push_back(send_query(address_of(agents[i]), "/revisions", {}));
     for (const auto& query : queries) {
@@ -341,9 +343,10 @@
 
 /**
  * Guards against a thundering herd when an agent or an entry starts: if each
- * entry sent the whole configuration to each agent without one, the start of
- * one agent would cost one copy for each entry. A few entries send it at once;
- * the others send it only if the agent still has none after several replies.
+ * entry sent the whole configuration to each agent that has none, the start of
+ * one agent would cost a hundred copies with a hundred entries. A few entries
+ * send it at once; the others send it only if the agent still has none after
+ * several replies.
  */
 bool entry_core::should_send_configuration(const std::string& upstream,
                                            const agent_state& known) const
@@ -352,8 +355,8 @@
         return false;
     if (known.revision > 0 || known.empty_replies >= max_empty_replies)
         return true;
-    const auto draw = hash64(settings_.name, hash64(upstream));
-    return draw % std::max<std::size_t>(1, entries_) <
+    const auto hash = hash64(settings_.name, hash64(upstream));
+    return hash % std::max<std::size_t>(1, entries_) <
            first_configuration_senders;
 }
 
@@ -416,10 +419,10 @@
 }
 
 /**
- * Changes are sent at once, not with the next heartbeat. A caller whose request
- * crashed an upstream retries at once through another entry, which needs the
- * poison mark by then, and a configuration change must be in force everywhere
- * within seconds.
+ * Does not wait for the heartbeat interval: a caller whose request crashed an
+ * upstream retries at once through another entry, which needs the poison mark
+ * by then, and a configuration change must be in force everywhere within
+ * seconds.
  */
 void entry_core::send_heartbeats()
 {
--- a/src/libcyclamenrun/entry/entry_core.hpp
+++ b/src/libcyclamenrun/entry/entry_core.hpp
@@ -38,7 +38,7 @@
     route_table_settings routes;
     relay_settings relay;
     caller_limits limits;
-    double retry_share = 0.1;
+    double retry_share = 0.1; ///< retries that a team earns by each request
     milliseconds heartbeat_interval{5'000};
     milliseconds ticket_lifetime{600'000};
     std::size_t poison_capacity = 4096;
@@ -65,6 +65,7 @@
     entry_core& operator=(const entry_core&) = delete;
     ~entry_core();
 
+    /** Identifies the caller's team by the value of `Authorization`. */
     outcome<caller_session>
     authenticate(const std::string& authorization) const;
     /** The current configuration of a service, if the team may use it. */
@@ -77,6 +78,7 @@
     outcome<link::Ticket> mint_ticket(const caller_session& caller,
                                       const v1::Service& service);
 
+    /** Updates the known agents and entries, and the agents to watch. */
     void on_vm_list(const vm_list& list);
     /** Sends one message to an agent and waits for its answer. */
     outcome<std::string> query_agent(const std::string& upstream,
@@ -121,6 +123,7 @@
                                             const std::string& path,
                                             const std::string& frame);
     link::Heartbeat make_heartbeat(const std::string& upstream);
+    /** How long an agent without changes may delay its heartbeat reply. */
     milliseconds heartbeat_wait(const agent_state& known) const;
     bool should_send_configuration(const std::string& upstream,
                                    const agent_state& known) const;
@@ -130,8 +133,7 @@
     void on_link_failure(const std::string& upstream, link_failure failure);
     void on_agent_lost(std::uint64_t fingerprint, const route_target& agent,
                        time_point now);
-    /** Sends a heartbeat with all unsent changes to each agent of the subset.
-     */
+    /** Sends each agent of the subset a heartbeat with all unsent changes. */
     void send_heartbeats();
     void log_outcome(const relay_request& request, const relay& relay,
                      const relay_result& result) const;
@@ -146,7 +148,7 @@
     ticket_authority tickets_;
     sharded<agent_state_map> agent_states_;
     metrics metrics_;
-    std::atomic<std::size_t> entries_ = 1;
+    std::atomic<std::size_t> entries_ = 1; ///< number of listed entries
     std::mutex listed_mutex_;
     std::set<std::string> listed_; ///< ids in the last VM list
     std::atomic<bool> stopping_ = false;
--- a/src/libcyclamenrun/entry/entry_process.cpp
+++ b/src/libcyclamenrun/entry/entry_process.cpp
@@ -39,7 +39,7 @@
 constexpr int operator_threads = 16;
 constexpr int idle_thread_seconds = 60;
 constexpr milliseconds log_call_timeout{5'000};
-/** Long enough to read from a log whose answers are 30 s late. */
+/** Long enough for a log that takes 30 s to answer. */
 constexpr milliseconds tail_call_timeout{45'000};
 constexpr milliseconds operator_call_timeout{10'000};
 constexpr milliseconds peer_answer_timeout{1'000};
@@ -194,9 +194,9 @@
 }
 
 /**
- * Guards against VM replacement during an outage of the log: each new entry
- * would stay unready until the log is back, and in the end no entry would be
- * ready. New entries therefore get the configuration from agents.
+ * Lets new entries get the configuration from agents during an outage of the
+ * log. Otherwise, as VMs are replaced, each new entry would stay unready until
+ * the log is back, and in the end no entry would be ready.
  */
 void entry_process::enable_peer_recovery()
 {
--- a/src/libcyclamenrun/entry/relay_runner.hpp
+++ b/src/libcyclamenrun/entry/relay_runner.hpp
@@ -24,11 +24,13 @@
     /** Returns an agent's address, or nothing if the agent is not known. */
     std::function<std::optional<agent_address>(const std::string& upstream)>
         find_agent;
+    /** Called when a request is sent to an upstream. */
     std::function<void(const relay_request& request,
                        const std::string& upstream)>
         dispatched;
-    /** The request no longer counts towards the upstream's load. */
+    /** Called when a request no longer counts towards an upstream's load. */
     std::function<void(const std::string& upstream)> completed;
+    /** Called for each load report that an agent sends with an answer. */
     std::function<void(const link::LoadReport& load)> load;
     /** Called with the number of tokens sent to a caller of the team. */
     std::function<void(const std::string& team, std::uint64_t tokens)>
@@ -63,6 +65,7 @@
         caller_writer& writer;
         std::shared_ptr<relay_mailbox> mailbox;
         std::map<stream_number, std::shared_ptr<client_stream>> streams;
+        /** Upstream whose load includes the request; empty: none. */
         std::string dispatched_to;
         relay_result result;
     };
--- a/src/libcyclamenrun/entry/team_registry.hpp
+++ b/src/libcyclamenrun/entry/team_registry.hpp
@@ -37,8 +37,10 @@
     /** Admits a request. Call finish() when an admitted request ends. */
     outcome<void> admit(const v1::Team& team, std::uint32_t prompt_tokens,
                         time_point now);
+    /** Counts output tokens towards the team's rate limit. */
     void record_output(const std::string& team, std::uint64_t tokens);
     void finish(const std::string& team);
+    /** Takes one retry from the team's budget, or refuses. */
     outcome<void> spend_retry(const std::string& team);
 
 private:
--- a/tests/entry/test_caller_request.cpp
+++ b/tests/entry/test_caller_request.cpp
@@ -76,21 +76,21 @@
 
 TEST(caller_request, invalid_header_is_refused_with_reason)
 {
-    const auto refused = [](auto set) {
+    const auto reason_for = [](auto set) {
         caller_headers headers;
         set(headers);
         const auto made = request_with(headers);
         return made ? refusal_reason{} : made.error().reason;
     };
-    EXPECT_EQ(refused([](auto& h) { h.deadline_ms = "0"; }),
+    EXPECT_EQ(reason_for([](auto& h) { h.deadline_ms = "0"; }),
               refusal_reason::deadline_passed);
-    EXPECT_EQ(refused([](auto& h) { h.deadline_ms = "-5"; }),
+    EXPECT_EQ(reason_for([](auto& h) { h.deadline_ms = "-5"; }),
               refusal_reason::deadline_passed);
-    EXPECT_EQ(refused([](auto& h) { h.deadline_ms = "soon"; }),
+    EXPECT_EQ(reason_for([](auto& h) { h.deadline_ms = "soon"; }),
               refusal_reason::bad_request);
-    EXPECT_EQ(refused([](auto& h) { h.idempotent = "maybe"; }),
+    EXPECT_EQ(reason_for([](auto& h) { h.idempotent = "maybe"; }),
               refusal_reason::bad_request);
-    EXPECT_EQ(refused([](auto& h) { h.delivery = "pigeon"; }),
+    EXPECT_EQ(reason_for([](auto& h) { h.delivery = "pigeon"; }),
               refusal_reason::bad_request);
 }
 
