--- a/src/libcyclamenrun/links/agent_links.cpp
+++ b/src/libcyclamenrun/links/agent_links.cpp
@@ -136,11 +136,11 @@
             return;
         }
         if (self->is_watched(agent))
-            self->hooks_.failure(agent.upstream, end.failure);
+            self->hooks_.on_failure(agent.upstream, end.failure);
         self->schedule_heartbeat(agent);
     };
     client->open("/heartbeat",
-                 hooks_.request(agent.upstream).SerializeAsString(),
+                 hooks_.make_heartbeat(agent.upstream).SerializeAsString(),
                  std::move(handlers));
 }
 
@@ -158,7 +158,7 @@
 {
     link::HeartbeatReply reply;
     if (is_watched(agent) && reply.ParseFromString(frame))
-        hooks_.reply(agent.upstream, reply);
+        hooks_.on_reply(agent.upstream, reply);
 }
 
 const std::shared_ptr<link_reactor>&
--- a/src/libcyclamenrun/links/agent_links.hpp
+++ b/src/libcyclamenrun/links/agent_links.hpp
@@ -28,17 +28,14 @@
     bool operator==(const agent_address&) const = default;
 };
 
-/**
- * Callbacks of agent_links, called on loop threads: `request` builds a
- * heartbeat, `reply` and `failure` receive its result.
- */
+/** Callbacks for heartbeats, called on loop threads. */
 struct agent_links_hooks {
-    std::function<link::Heartbeat(const std::string& upstream)> request;
+    std::function<link::Heartbeat(const std::string& upstream)> make_heartbeat;
     std::function<void(const std::string& upstream,
                        const link::HeartbeatReply& reply)>
-        reply;
+        on_reply;
     std::function<void(const std::string& upstream, link_failure failure)>
-        failure;
+        on_failure;
 };
 
 /**
@@ -60,6 +57,7 @@
     /** Replaces the set of agents that heartbeats are exchanged with. */
     void watch(const std::vector<agent_address>& agents);
 
+    /** Opens a stream to any agent. Returns null after close(). */
     std::shared_ptr<client_stream> open(const agent_address& agent,
                                         const std::string& path,
                                         const std::string& frame,
@@ -67,6 +65,7 @@
     /** Sends one message and ignores its answer and any failure. */
     void send(const agent_address& agent, const std::string& path,
               const std::string& frame);
+    /** Cancels all streams and ends the heartbeats. */
     void close();
 
 private:
--- a/src/libcyclamenrun/links/client_stream.hpp
+++ b/src/libcyclamenrun/links/client_stream.hpp
@@ -89,7 +89,7 @@
      */
     std::size_t early_credit_bytes_ = 0;
     /** Position in the connection's output at which the request begins. */
-    std::optional<std::uint64_t> sent_at_;
+    std::optional<std::uint64_t> request_position_;
     bool answer_ended_ = false;
     bool ended_ = false;
 };
--- a/src/libcyclamenrun/links/link_client.cpp
+++ b/src/libcyclamenrun/links/link_client.cpp
@@ -105,20 +105,20 @@
     }
     const auto weak = weak_from_this();
     // Only compared, never dereferenced: the connection may be destroyed.
-    const auto address = std::make_shared<const link_client_connection*>();
+    const auto pointer = std::make_shared<const link_client_connection*>();
     link_client_connection::hooks hooks;
-    hooks.ready = [weak, address] {
+    hooks.ready = [weak, pointer] {
         const auto self = weak.lock();
-        if (self && self->connection_.get() == *address)
+        if (self && self->connection_.get() == *pointer)
             self->connected_ = true;
     };
-    hooks.unusable = [weak, address] {
+    hooks.unusable = [weak, pointer] {
         if (const auto self = weak.lock())
-            self->release_connection(*address);
+            self->release_connection(*pointer);
     };
     connection_ = std::make_shared<link_client_connection>(
         reactor_, limits_, socket, link_key_, std::move(hooks));
-    *address = connection_.get();
+    *pointer = connection_.get();
     connection_->start();
 }
 
--- a/src/libcyclamenrun/links/link_client_connection.cpp
+++ b/src/libcyclamenrun/links/link_client_connection.cpp
@@ -174,7 +174,8 @@
 bool link_client_connection::may_have_been_sent(
     const client_stream& stream) const
 {
-    return stream.sent_at_ && output().sent() > *stream.sent_at_;
+    return stream.request_position_ &&
+           output().sent() > *stream.request_position_;
 }
 
 void link_client_connection::cancel(
@@ -273,7 +274,7 @@
 void link_client_connection::request_sent(std::int32_t stream)
 {
     if (const auto found = find(stream))
-        found->sent_at_ = output().end();
+        found->request_position_ = output().end();
 }
 
 void link_client_connection::goaway_received()
--- a/src/libcyclamenrun/links/link_connection.hpp
+++ b/src/libcyclamenrun/links/link_connection.hpp
@@ -21,8 +21,8 @@
 {
 
 /**
- * Bound on the header bytes of one stream. The project's own requests need far
- * less.
+ * Bound on the header bytes of one stream. The project's own requests need a
+ * tenth of it.
  */
 constexpr std::uint32_t max_header_bytes = 2048;
 
@@ -69,6 +69,7 @@
                                std::uint32_t error_code) = 0;
     virtual void request_sent(std::int32_t stream) = 0;
     virtual void goaway_received() = 0;
+    /** Copies the next bytes to send on the stream into `room`. */
     virtual link_chunk read_data(std::int32_t stream, std::span<char> room) = 0;
 
 protected:
@@ -76,9 +77,13 @@
                     const link_limits& limits,
                     const Poco::Net::StreamSocket& socket);
 
-    /** Takes ownership of `session` and sends the first SETTINGS frame. */
+    /**
+     * Takes ownership of `session`, sends the first SETTINGS frame and starts
+     * the I/O. With `connecting`, the socket is not connected yet.
+     */
     void begin(nghttp2_session* session, bool connecting);
 
+    /** Called when a socket that was `connecting` is connected. */
     virtual void connected() = 0;
     /** Called once, after the socket was closed. */
     virtual void closed(link_failure failure) = 0;
@@ -105,8 +110,10 @@
     void schedule_check(time_point when);
     /** Schedules the next keepalive check; to be called when busy() changes. */
     void check_keepalive();
-    /** Returns used flow control credit of a stream to the peer. `bytes` must
-     * not exceed the credit in use. */
+    /**
+     * Returns used flow control credit of a stream to the peer. `bytes` must
+     * not exceed the credit in use.
+     */
     void return_stream_credit(std::int32_t stream, std::size_t bytes);
     void reset_stream(std::int32_t stream, std::uint32_t error_code);
 
--- a/src/libcyclamenrun/links/link_keepalive.cpp
+++ b/src/libcyclamenrun/links/link_keepalive.cpp
@@ -5,8 +5,8 @@
 
 link_keepalive::link_keepalive(const link_limits& limits, time_point now)
     : busy_ping_after_(limits.busy_ping_after),
-      idle_ping_after_(limits.idle_ping_after), ping_time_(limits.ping_timeout),
-      last_received_(now)
+      idle_ping_after_(limits.idle_ping_after),
+      ping_timeout_(limits.ping_timeout), last_received_(now)
 {
 }
 
@@ -29,7 +29,7 @@
         return keepalive_step::wait;
     if (ping_deadline_)
         return keepalive_step::disconnect;
-    ping_deadline_ = now + ping_time_;
+    ping_deadline_ = now + ping_timeout_;
     return keepalive_step::ping;
 }
 
--- a/src/libcyclamenrun/links/link_keepalive.hpp
+++ b/src/libcyclamenrun/links/link_keepalive.hpp
@@ -29,13 +29,13 @@
      * a PING, whose answer is then awaited.
      */
     keepalive_step step(time_point now, bool busy);
-    /** Time of the next call of step() if no data is received. */
+    /** Time at which step() is to be called if no data is received before. */
     time_point next_check(bool busy) const;
 
 private:
     duration busy_ping_after_;
     duration idle_ping_after_;
-    duration ping_time_;
+    duration ping_timeout_;
     time_point last_received_;
     std::optional<time_point> ping_deadline_;
 };
--- a/src/libcyclamenrun/links/link_listener.cpp
+++ b/src/libcyclamenrun/links/link_listener.cpp
@@ -16,9 +16,10 @@
 } // namespace
 
 link_listener::link_listener(std::shared_ptr<link_reactor> reactor,
-                             std::shared_ptr<const link_server_context> shared,
+                             std::shared_ptr<const link_server_context> context,
                              const Poco::Net::ServerSocket& socket)
-    : reactor_(std::move(reactor)), shared_(std::move(shared)), socket_(socket)
+    : reactor_(std::move(reactor)), context_(std::move(context)),
+      socket_(socket)
 {
 }
 
@@ -90,9 +91,9 @@
 
 void link_listener::add(const Poco::Net::StreamSocket& socket)
 {
-    if (authenticated_.size() >= shared_->limits.max_connections)
+    if (authenticated_.size() >= context_->limits.max_connections)
         return;
-    if (unauthenticated_.size() >= shared_->limits.max_unauthenticated)
+    if (unauthenticated_.size() >= context_->limits.max_unauthenticated)
         unauthenticated_.begin()->second->loop_stopping();
     const std::uint64_t number = next_connection_++;
     const auto weak = weak_from_this();
@@ -108,7 +109,7 @@
         }
     };
     const auto connection = std::make_shared<link_server_connection>(
-        reactor_, shared_, socket, std::move(hooks));
+        reactor_, context_, socket, std::move(hooks));
     unauthenticated_[number] = connection;
     connection->start();
 }
--- a/src/libcyclamenrun/links/link_listener.hpp
+++ b/src/libcyclamenrun/links/link_listener.hpp
@@ -21,7 +21,7 @@
 {
 public:
     link_listener(std::shared_ptr<link_reactor> reactor,
-                  std::shared_ptr<const link_server_context> shared,
+                  std::shared_ptr<const link_server_context> context,
                   const Poco::Net::ServerSocket& socket);
 
     // To be called on the loop's thread.
@@ -43,7 +43,7 @@
     void add(const Poco::Net::StreamSocket& socket);
 
     std::shared_ptr<link_reactor> reactor_;
-    std::shared_ptr<const link_server_context> shared_;
+    std::shared_ptr<const link_server_context> context_;
     Poco::Net::ServerSocket socket_;
     link_reactor::watch_id watch_ = 0;
     bool accepting_ = false;
--- a/src/libcyclamenrun/links/link_reactor.cpp
+++ b/src/libcyclamenrun/links/link_reactor.cpp
@@ -94,13 +94,13 @@
 }
 
 link_reactor::watch_id
-link_reactor::watch(int socket, std::shared_ptr<socket_event_handler> watcher,
+link_reactor::watch(int socket, std::shared_ptr<socket_event_handler> handler,
                     bool write_interest)
 {
     const watch_id id = next_watch_++;
     epoll_event event = event_of(id, events_for(true, write_interest));
     checked(epoll_ctl(epoll_, EPOLL_CTL_ADD, socket, &event), "epoll");
-    watches_[id] = {socket, std::move(watcher), event.events};
+    watches_[id] = {socket, std::move(handler), event.events};
     return id;
 }
 
@@ -127,9 +127,9 @@
     watches_.erase(found);
 }
 
-void link_reactor::flush_later(std::shared_ptr<socket_event_handler> watcher)
+void link_reactor::flush_later(std::shared_ptr<socket_event_handler> handler)
 {
-    unflushed_.push_back(std::move(watcher));
+    unflushed_.push_back(std::move(handler));
 }
 
 void link_reactor::run()
@@ -152,7 +152,7 @@
     // process was paused is read before a passed deadline is handled.
     run_timers();
     run_tasks();
-    flush_watchers();
+    flush_handlers();
 }
 
 void link_reactor::handle_event(watch_id id, std::uint32_t events)
@@ -166,9 +166,9 @@
     const auto found = watches_.find(id);
     if (found == watches_.end())
         return;
-    const auto watcher = found->second.watcher;
+    const auto handler = found->second.handler;
     const bool broken = (events & (EPOLLERR | EPOLLHUP)) != 0;
-    watcher->ready(broken || (events & EPOLLIN) != 0,
+    handler->ready(broken || (events & EPOLLIN) != 0,
                    broken || (events & EPOLLOUT) != 0);
 }
 
@@ -217,11 +217,11 @@
     }
 }
 
-void link_reactor::flush_watchers()
+void link_reactor::flush_handlers()
 {
-    const auto watchers = std::exchange(unflushed_, {});
-    for (const auto& watcher : watchers)
-        watcher->flush();
+    const auto handlers = std::exchange(unflushed_, {});
+    for (const auto& handler : handlers)
+        handler->flush();
 }
 
 void link_reactor::finish()
@@ -229,13 +229,13 @@
     bool empty = false;
     while (!empty) {
         while (!watches_.empty()) {
-            const auto watcher = watches_.begin()->second.watcher;
+            const auto handler = watches_.begin()->second.handler;
             const watch_id id = watches_.begin()->first;
-            watcher->loop_stopping();
+            handler->loop_stopping();
             unwatch(id);
         }
         run_tasks();
-        flush_watchers();
+        flush_handlers();
         const std::lock_guard lock(mutex_);
         empty = tasks_.empty() && unflushed_.empty() && watches_.empty();
         stopped_ = empty;
--- a/src/libcyclamenrun/links/link_reactor.hpp
+++ b/src/libcyclamenrun/links/link_reactor.hpp
@@ -47,12 +47,13 @@
 
     // To be called on the loop's thread only.
 
-    watch_id watch(int socket, std::shared_ptr<socket_event_handler> watcher,
+    /** Watches a socket for input and, with `write_interest`, for output. */
+    watch_id watch(int socket, std::shared_ptr<socket_event_handler> handler,
                    bool write_interest);
     void set_interest(watch_id id, bool read, bool write);
     void unwatch(watch_id id);
-    /** Calls the watcher's flush() at the end of this loop iteration. */
-    void flush_later(std::shared_ptr<socket_event_handler> watcher);
+    /** Calls flush() of `handler` at the end of this loop iteration. */
+    void flush_later(std::shared_ptr<socket_event_handler> handler);
     bool stopping() const { return stopping_; }
     /** Time at the start of this loop iteration. */
     time_point now() const { return now_; }
@@ -62,7 +63,7 @@
 private:
     struct watch_entry {
         int socket;
-        std::shared_ptr<socket_event_handler> watcher;
+        std::shared_ptr<socket_event_handler> handler;
         std::uint32_t events;
     };
 
@@ -71,7 +72,7 @@
     void handle_event(watch_id id, std::uint32_t events);
     void run_timers();
     void run_tasks();
-    void flush_watchers();
+    void flush_handlers();
     void finish();
     void clear_wake_up() const;
 
--- a/src/libcyclamenrun/links/link_server.cpp
+++ b/src/libcyclamenrun/links/link_server.cpp
@@ -26,9 +26,9 @@
     socket.bind(address, true);
     socket.listen(backlog);
     address_ = socket.address();
-    const auto shared = std::make_shared<const link_server_context>(
+    const auto context = std::make_shared<const link_server_context>(
         link_server_context{std::move(link_key), limits, std::move(handler)});
-    listener_ = std::make_shared<link_listener>(reactor_, shared, socket);
+    listener_ = std::make_shared<link_listener>(reactor_, context, socket);
     reactor_->post([listener = listener_] { listener->start(); });
 }
 
--- a/src/libcyclamenrun/links/link_server_connection.cpp
+++ b/src/libcyclamenrun/links/link_server_connection.cpp
@@ -20,11 +20,11 @@
 
 link_server_connection::link_server_connection(
     std::shared_ptr<link_reactor> reactor,
-    std::shared_ptr<const link_server_context> shared,
+    std::shared_ptr<const link_server_context> context,
     const Poco::Net::StreamSocket& socket, hooks owner_hooks)
-    : link_connection(std::move(reactor), shared->limits, socket),
-      shared_(std::move(shared)), peer_(std::make_shared<const std::string>(
-                                      socket.peerAddress().toString())),
+    : link_connection(std::move(reactor), context->limits, socket),
+      context_(std::move(context)), peer_(std::make_shared<const std::string>(
+                                        socket.peerAddress().toString())),
       hooks_(std::move(owner_hooks)),
       handshake_deadline_(this->reactor().now() + limits().handshake_timeout)
 {
@@ -102,7 +102,7 @@
         return;
     }
     if (phase_ == phase::open)
-        shared_->handler(found);
+        context_->handler(found);
     else
         handshake(*found);
 }
@@ -126,13 +126,13 @@
     nonces_ = {stream.request(), random_bytes(nonce_bytes)};
     phase_ = phase::awaiting_proof;
     stream.respond_once(nonces_.server +
-                        server_proof(shared_->link_key, nonces_));
+                        server_proof(context_->link_key, nonces_));
 }
 
 void link_server_connection::check_proof(server_stream& stream)
 {
     if (!constant_time_equal(stream.request(),
-                             client_proof(shared_->link_key, nonces_))) {
+                             client_proof(context_->link_key, nonces_))) {
         refuse_peer(stream.id_);
         return;
     }
--- a/src/libcyclamenrun/links/link_server_connection.hpp
+++ b/src/libcyclamenrun/links/link_server_connection.hpp
@@ -34,7 +34,7 @@
     };
 
     link_server_connection(std::shared_ptr<link_reactor> reactor,
-                           std::shared_ptr<const link_server_context> shared,
+                           std::shared_ptr<const link_server_context> context,
                            const Poco::Net::StreamSocket& socket,
                            hooks owner_hooks);
 
@@ -70,7 +70,7 @@
     void check_proof(server_stream& stream);
     void refuse_peer(std::int32_t stream);
 
-    std::shared_ptr<const link_server_context> shared_;
+    std::shared_ptr<const link_server_context> context_;
     std::shared_ptr<const std::string> peer_;
     hooks hooks_;
     phase phase_ = phase::awaiting_hello;
--- a/src/libcyclamenrun/links/server_stream.hpp
+++ b/src/libcyclamenrun/links/server_stream.hpp
@@ -50,8 +50,9 @@
     /** Address of the peer, for log events. */
     const std::string& peer() const { return *peer_; }
 
-    /** Answers with the frames of `pull`; later answers are ignored. */
+    /** Answers with the frames of `pull`; later calls are ignored. */
     void respond(pull_function pull);
+    /** Answers with a single frame. */
     void respond_once(std::string frame);
     /** Pulls again, as more data is available. */
     void wake();
--- a/src/libcyclamenrun/links/socket_event_handler.hpp
+++ b/src/libcyclamenrun/links/socket_event_handler.hpp
@@ -4,7 +4,7 @@
 namespace cyclamenrun
 {
 
-/** Handles the events of one socket on the loop's thread. */
+/** Handles the events of one socket; called on the loop's thread. */
 class socket_event_handler
 {
 public:
@@ -13,10 +13,11 @@
     socket_event_handler& operator=(const socket_event_handler&) = delete;
     virtual ~socket_event_handler() = default;
 
+    /** Called when the socket is ready; after an error both are true. */
     virtual void ready(bool readable, bool writable) = 0;
     /** Called at the end of a loop iteration after a flush_later() call. */
     virtual void flush() = 0;
-    /** The loop is about to end; the watcher must close its socket. */
+    /** Called when the loop is about to end; must close the socket. */
     virtual void loop_stopping() = 0;
 };
 
--- a/tests/links/test_agent_links.cpp
+++ b/tests/links/test_agent_links.cpp
@@ -23,9 +23,9 @@
     std::atomic<bool> callback_running = false;
     std::atomic<bool> links_destroyed = false;
     agent_links_hooks hooks;
-    hooks.request = [](const std::string&) { return link::Heartbeat(); };
-    hooks.reply = [](const std::string&, const link::HeartbeatReply&) {};
-    hooks.failure = [&](const std::string&, link_failure) {
+    hooks.make_heartbeat = [](const std::string&) { return link::Heartbeat(); };
+    hooks.on_reply = [](const std::string&, const link::HeartbeatReply&) {};
+    hooks.on_failure = [&](const std::string&, link_failure) {
         callback_running = true;
         // Waits until only the links' state could still own the loop.
         while (!links_destroyed || loop.use_count() > 1)
--- a/tests/links/test_link_failures.cpp
+++ b/tests/links/test_link_failures.cpp
@@ -93,8 +93,9 @@
 TEST_F(link_streams, a_peer_that_never_authenticates_times_out)
 {
     limits.handshake_timeout = milliseconds(50);
-    Poco::Net::ServerSocket silent(any_port());
-    client = link_client::create(client_loop, silent.address(), "key", limits);
+    Poco::Net::ServerSocket unresponsive(any_port());
+    client =
+        link_client::create(client_loop, unresponsive.address(), "key", limits);
     received_answer answer;
     const stream_end how = request_and_wait(answer, "x");
     EXPECT_EQ(how.failure, link_failure::timed_out);
--- a/tests/links/test_streams.cpp
+++ b/tests/links/test_streams.cpp
@@ -120,10 +120,10 @@
     std::shared_ptr<client_stream> stream;
     std::mutex mutex;
     auto handlers = answer.handlers();
-    handlers.on_frame = [&, keep = handlers.on_frame](std::string frame) {
+    handlers.on_frame = [&, record = handlers.on_frame](std::string frame) {
         const std::lock_guard lock(mutex);
         stream->consumed(frame.size());
-        keep(std::move(frame));
+        record(std::move(frame));
     };
     {
         const std::lock_guard lock(mutex);
--- a/tests/links/test_untrusted_peers.cpp
+++ b/tests/links/test_untrusted_peers.cpp
@@ -79,16 +79,16 @@
 
 TEST_F(link_untrusted_peers, an_idle_peer_is_closed)
 {
-    raw_peer silent(server->address());
-    EXPECT_TRUE(silent.wait_closed());
+    raw_peer idle(server->address());
+    EXPECT_TRUE(idle.wait_closed());
     expect_still_serving();
 }
 
 TEST_F(link_untrusted_peers, a_half_open_peer_is_closed)
 {
-    raw_peer half(server->address());
-    half.send(preface.substr(0, 10));
-    EXPECT_TRUE(half.wait_closed());
+    raw_peer half_open(server->address());
+    half_open.send(preface.substr(0, 10));
+    EXPECT_TRUE(half_open.wait_closed());
     expect_still_serving();
 }
 
@@ -105,7 +105,7 @@
     expect_still_serving();
 }
 
-/** Submits a request whose frame has the size of a nonce or a proof. */
+/** Submits a request whose frame is 32 bytes long, as a nonce or a proof. */
 void submit_request(nghttp2_session* session, const std::string& path,
                     std::string& frame)
 {
