--- a/src/libcyclamenrun/http/http_client.cpp
+++ b/src/libcyclamenrun/http/http_client.cpp
@@ -76,16 +76,16 @@
 
 void http_client::open_connection()
 {
-    http_reader::hooks read;
-    read.head = [this](http_head&& head) {
+    http_reader::hooks on_read;
+    on_read.head = [this](http_head&& head) {
         reply_.status = head.status;
         reply_.fields = std::move(head.fields);
         peer_keep_alive_ = head.keep_alive;
     };
-    read.body = [this](std::string_view bytes) { reply_.body += bytes; };
+    on_read.body = [this](std::string_view bytes) { reply_.body += bytes; };
     reader_ = std::make_unique<http_reader>(
         http_message_kind::response,
-        http_limits{std::size_t(16) << 10, max_reply_bytes}, read);
+        http_limits{std::size_t(16) << 10, max_reply_bytes}, on_read);
     tcp_connection::hooks on;
     on.received = [weak = weak_from_this()](std::string_view bytes) {
         if (const auto self = weak.lock())
@@ -138,8 +138,8 @@
     if (!outcome)
         close();
     const auto self = std::exchange(self_, nullptr);
-    const auto answer = std::exchange(on_answer_, nullptr);
-    answer(std::move(outcome));
+    const auto on_answer = std::exchange(on_answer_, nullptr);
+    on_answer(std::move(outcome));
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/http/http_client.hpp
+++ b/src/libcyclamenrun/http/http_client.hpp
@@ -12,12 +12,14 @@
 namespace cyclamenrun
 {
 
+/** The answer to a call. */
 struct http_reply {
     unsigned status = 0;
     std::string body;
     std::vector<http_field> fields = {};
 };
 
+/** Why a call got no answer that can be used. */
 enum class call_failure : std::uint8_t {
     unreachable, ///< Could not connect: the peer did not receive the call.
     timed_out,   ///< No answer in time: the call may have been executed.
--- a/src/libcyclamenrun/http/http_reader.hpp
+++ b/src/libcyclamenrun/http/http_reader.hpp
@@ -16,6 +16,7 @@
 
 enum class http_message_kind : std::uint8_t { request, response };
 
+/** Limits on one message. */
 struct http_limits {
     std::size_t header_bytes = std::size_t(16) << 10;
     std::size_t body_bytes = std::size_t(4) << 20;
--- a/src/libcyclamenrun/http/http_session.cpp
+++ b/src/libcyclamenrun/http/http_session.cpp
@@ -40,7 +40,7 @@
 
 } // namespace
 
-/** Writes one answer of a session. Has no effect once the answer is over. */
+/** Writes one answer of a session. Has no effect once the answer has ended. */
 class session_writer final : public answer_writer
 {
 public:
@@ -62,7 +62,7 @@
     void write_piece(std::string_view bytes) override
     {
         if (current())
-            session_->piece(bytes);
+            session_->write_piece(bytes);
     }
     void finish() override
     {
@@ -128,7 +128,7 @@
     if (closing_)
         return;
     if (serving_ || reader_->complete()) {
-        // Pipelined bytes wait until the answer is over. Above the bound, TCP
+        // Pipelined bytes wait until the answer has ended. Above the bound, TCP
         // flow control stops the caller.
         (void)reader_->feed(bytes);
         if (reader_->pending_bytes() > max_pipelined_bytes)
@@ -226,7 +226,7 @@
     connection_->send(response_text(head, http_framing::chunked, 0));
 }
 
-void http_session::piece(std::string_view bytes)
+void http_session::write_piece(std::string_view bytes)
 {
     connection_->send(chunk_text(bytes));
 }
--- a/src/libcyclamenrun/http/http_session.hpp
+++ b/src/libcyclamenrun/http/http_session.hpp
@@ -17,10 +17,11 @@
 struct caller_request {
     http_head head;
     std::string body;
-    time_point arrived; ///< when the first byte was received
+    /** Time of its first byte; if pipelined, the time its parsing started. */
+    time_point arrived;
 };
 
-/** Limits on a caller's messages, read again before each message. */
+/** Limits on a caller's requests, fetched again before each request. */
 struct session_limits {
     http_limits message;
     milliseconds header_timeout{3000};
@@ -76,7 +77,7 @@
     // Called by session_writer and, for drained(), by the connection.
     void write_whole(http_head head, std::string_view body);
     void begin(http_head head);
-    void piece(std::string_view bytes);
+    void write_piece(std::string_view bytes);
     void finish();
     void abort();
     void drained();
@@ -98,11 +99,13 @@
     bool serving_ = false;
     bool closing_ = false;
     bool head_only_ = false;
-    std::uint64_t answer_number_ = 0; ///< outdated writers are ignored
+    /** Of the current answer; writers of other answers have no effect. */
+    std::uint64_t answer_number_ = 0;
     session_hooks::disconnect_handler on_disconnect_;
     std::function<void()> on_drained_;
     time_point deadline_;
-    std::optional<time_point> timer_at_; ///< of the timer in effect
+    /** Time of the pending timer; timers set for other times are ignored. */
+    std::optional<time_point> timer_at_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/http/tcp_acceptor.cpp
+++ b/src/libcyclamenrun/http/tcp_acceptor.cpp
@@ -87,7 +87,8 @@
 {
     log_event(log_severity::error, log_event_name::internal_error,
               {{log_key::detail,
-                "out of file descriptors or memory; accepting pauses"}});
+                "out of file descriptors or memory; accepting connections "
+                "is paused"}});
     reactor_->set_interest(watch_, false, false);
     reactor_->post_at(
         reactor_->now() + accept_retry_delay, [weak = weak_from_this()] {
--- a/tests/http/test_http_head.cpp
+++ b/tests/http/test_http_head.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-TEST(http_head, finds_fields_whatever_their_case)
+TEST(http_head, finds_fields_ignoring_case)
 {
     http_head head;
     head.fields = {{"Content-Type", "a"}, {"content-TYPE", "b"}};
--- a/tests/http/test_http_reader.cpp
+++ b/tests/http/test_http_reader.cpp
@@ -8,7 +8,7 @@
 namespace
 {
 
-/** Collects what a reader's hooks receive. */
+/** The message that a reader passes to its hooks, and the number of calls. */
 struct found_message {
     http_head head;
     std::string body;
