--- a/src/libcyclamenrun/base/bearer_token.cpp
+++ b/src/libcyclamenrun/base/bearer_token.cpp
@@ -30,8 +30,8 @@
         return std::nullopt;
     // The scheme name is case-insensitive.
     if (!std::equal(scheme.begin(), scheme.end(), value.begin(),
-                    [](char expected, char given) {
-                        return equals_lower_case(given, expected);
+                    [](char expected, char actual) {
+                        return equals_lower_case(actual, expected);
                     }))
         return std::nullopt;
     const auto token = value.substr(scheme.size());
--- a/src/libcyclamenrun/base/exit_code.hpp
+++ b/src/libcyclamenrun/base/exit_code.hpp
@@ -25,6 +25,7 @@
     not_found = 12,
 };
 
+/** An exit code with the name and description that --help and the docs show. */
 struct exit_code_row {
     exit_code code;
     std::string_view name;
--- a/src/libcyclamenrun/base/generation_id.cpp
+++ b/src/libcyclamenrun/base/generation_id.cpp
@@ -12,7 +12,10 @@
 constexpr char separator = ':';
 constexpr std::size_t max_upstream_bytes = 64;
 
-/** Parses a number up to the separator or the end, and removes both. */
+/**
+ * Parses the number up to the next separator or the end, and removes the number
+ * and the separator from `text`.
+ */
 std::optional<std::uint64_t> parse_number(std::string_view& text, int base)
 {
     const auto field = text.substr(0, text.find(separator));
--- a/src/libcyclamenrun/base/refusal.hpp
+++ b/src/libcyclamenrun/base/refusal.hpp
@@ -75,6 +75,7 @@
 /** Returns the HTTP status code for `reason`. */
 int http_status(refusal_reason reason);
 
+/** A value, or the refusal of the request for it. */
 template <typename Value>
 using outcome = tl::expected<Value, refusal>;
 
--- a/src/libcyclamenrun/daemon/daemon_main.hpp
+++ b/src/libcyclamenrun/daemon/daemon_main.hpp
@@ -34,8 +34,10 @@
     return log;
 }
 
-/** Parses the daemon's command line and runs the daemon; returns the exit
- * status. */
+/**
+ * Parses the daemon's command line and runs the daemon. Returns the exit
+ * status.
+ */
 int daemon_main(const daemon_program& program, int argc, char** argv);
 
 /** Logs that SIGHUP is ignored, as the settings are read at startup only. */
--- a/src/libcyclamenrun/outside/engine_client.cpp
+++ b/src/libcyclamenrun/outside/engine_client.cpp
@@ -58,10 +58,10 @@
 /** An engine that answers 4xx or 503 has not started the work. */
 tl::unexpected<engine_error> status_error(int status)
 {
-    const bool begun =
+    const bool may_have_run =
         status >= server_error_status && status != unavailable_status;
     return tl::unexpected(
-        engine_error{engine_failure::bad_status, status, begun, {}});
+        engine_error{engine_failure::bad_status, status, may_have_run, {}});
 }
 
 tl::unexpected<engine_error> malformed(std::string detail)
@@ -104,9 +104,9 @@
         if (!bytes)
             return to_engine_error(bytes.error());
         if (bytes->empty())
-            return tl::unexpected(engine_error{engine_failure::lost_mid_stream,
-                                               0, true,
-                                               "stream ended before [DONE]"});
+            return tl::unexpected(
+                engine_error{engine_failure::lost_mid_stream, 0, true,
+                             "the stream ended before [DONE]"});
         if (const auto fed = parser.feed(*bytes, on_event); !fed)
             return tl::unexpected(
                 engine_error{engine_failure::too_large, 0, true,
@@ -140,7 +140,7 @@
     auto document = parse_json_object(request.body);
     if (!document)
         return tl::unexpected(engine_error{engine_failure::malformed, 0, false,
-                                           "body is not a JSON object"});
+                                           "the body is not a JSON object"});
     http_exchange exchange(address_, limits_, clock_);
     const auto head = exchange.start({"POST",
                                       request.path,
@@ -206,7 +206,7 @@
     const auto list =
         document ? json_array(*document, "runs") : Poco::JSON::Array::Ptr{};
     if (!list)
-        return malformed("no list of runs");
+        return malformed("the answer has no list of runs");
     std::vector<std::string> ids;
     for (const auto& id : *list) {
         if (!id.isString())
@@ -223,7 +223,7 @@
         return tl::unexpected(answer.error());
     const auto document = parse_json_object(answer->body);
     if (!document)
-        return malformed("load is not a JSON object");
+        return malformed("the load is not a JSON object");
     const auto running = json_u64(*document, "running");
     const auto waiting = json_u64(*document, "waiting");
     const auto used = json_u64(*document, "memory_tokens_used");
--- a/src/libcyclamenrun/outside/engine_client.hpp
+++ b/src/libcyclamenrun/outside/engine_client.hpp
@@ -28,11 +28,13 @@
     std::uint64_t expected_epoch = 0;
 };
 
+/** Callbacks during a generation. */
 struct engine_events {
     /** Called for each token in order; reading waits until it returns. */
     std::function<void(std::string text)> on_token;
 };
 
+/** The end of a complete generation. */
 struct engine_result {
     std::uint64_t tokens = 0;
     std::string finish_reason;
@@ -80,8 +82,10 @@
 
 /** An order to change what the engine has loaded, or its role. */
 struct engine_order {
-    /** Fencing number; an engine may refuse an order whose number is lower than
-     * one it has accepted. */
+    /**
+     * Fencing number; an engine may refuse an order whose number is lower than
+     * one it has accepted.
+     */
     std::uint64_t fence = 0;
     engine_action action = engine_action::load_model;
     std::string value; ///< name of the model, adapter, version or role
@@ -112,8 +116,10 @@
     runs(time_point deadline);
     tl::expected<engine_load, engine_error> load(time_point deadline);
 
-    /** Id of the engine's run, which changes on a restart, from the last answer
-     * that has one; 0: no such answer yet. */
+    /**
+     * The engine's epoch, which changes when it restarts, from its last answer
+     * that contains one; 0: none so far.
+     */
     std::uint64_t epoch() const { return epoch_; }
 
 private:
--- a/src/libcyclamenrun/outside/engine_stream.cpp
+++ b/src/libcyclamenrun/outside/engine_stream.cpp
@@ -36,22 +36,22 @@
     if (event.data == end_marker) {
         done_ = true;
         return result_.finish_reason.empty()
-                   ? fail("stream ended without a finish reason")
+                   ? fail("the stream ended without a finish reason")
                    : false;
     }
     const auto chunk = parse_json_object(event.data);
     if (!chunk)
-        return fail("chunk is not a JSON object");
+        return fail("a chunk is not a JSON object");
     // The caller must not receive the answer to another request.
     if (json_string(*chunk, "id") != request_id_)
-        return fail("chunk belongs to another request");
+        return fail("a chunk belongs to another request");
     const auto choices = json_array(*chunk, "choices");
     const auto choice =
         choices ? choices->getObject(0) : Poco::JSON::Object::Ptr{};
     if (!choice)
-        return fail("chunk has no choice");
+        return fail("a chunk has no choice");
     if (!result_.finish_reason.empty())
-        return fail("chunk after the finish reason");
+        return fail("a chunk followed the finish reason");
     auto text = text_of(*choice);
     if (!text.empty()) {
         ++result_.tokens;
--- a/src/libcyclamenrun/outside/http_exchange.cpp
+++ b/src/libcyclamenrun/outside/http_exchange.cpp
@@ -76,18 +76,20 @@
 http_exchange::start(const http_request& request, cancellation* cancel)
 {
     if (cancel && cancel->cancelled())
-        return tl::unexpected(error(http_failure::cancelled, "before sending"));
+        return tl::unexpected(error(http_failure::cancelled,
+                                    "cancelled before the request was sent"));
     try {
         if (!connect(request.deadline))
             return tl::unexpected(
-                error(http_failure::timed_out, "deadline passed"));
+                error(http_failure::timed_out, "the deadline has passed"));
     } catch (const Poco::Exception& cause) {
         return tl::unexpected(
             error(http_failure::connect_failed, cause.displayText()));
     }
     attach(cancel);
     if (cancellation_ && cancellation_->cancelled())
-        return tl::unexpected(error(http_failure::cancelled, "before sending"));
+        return tl::unexpected(error(http_failure::cancelled,
+                                    "cancelled before the request was sent"));
     try {
         send(request);
         return receive_head();
@@ -111,7 +113,8 @@
         return tl::unexpected(current_error(http_failure::lost_mid_answer));
     }
     if (received_ > limits_.max_answer_bytes)
-        return tl::unexpected(error(http_failure::too_large, "body"));
+        return tl::unexpected(
+            error(http_failure::too_large, "the body is too large"));
     if (buffer_.empty() && !complete())
         return tl::unexpected(current_error(http_failure::lost_mid_answer));
     return std::string_view(buffer_);
@@ -220,9 +223,9 @@
 http_error http_exchange::current_error(http_failure lost) const
 {
     if (cancellation_ && cancellation_->cancelled())
-        return error(http_failure::cancelled, "while waiting");
+        return error(http_failure::cancelled, "cancelled while waiting");
     if (!std::current_exception())
-        return error(lost, "body ended early");
+        return error(lost, "the connection closed before the end of the body");
     try {
         throw;
     } catch (const Poco::TimeoutException& cause) {
--- a/src/libcyclamenrun/outside/http_exchange.hpp
+++ b/src/libcyclamenrun/outside/http_exchange.hpp
@@ -19,6 +19,7 @@
 class cancellation;
 class http_deadline_socket;
 
+/** Why an exchange failed. */
 enum class http_failure : std::uint8_t {
     connect_failed,
     lost_before_answer, ///< closed before the status line
--- a/src/libcyclamenrun/outside/http_json.hpp
+++ b/src/libcyclamenrun/outside/http_json.hpp
@@ -12,8 +12,9 @@
 /** Parses a JSON object; null for other text or nesting over 32 levels. */
 Poco::JSON::Object::Ptr parse_json_object(const std::string& text);
 
-/** The functions below return an empty value unless the member exists and has
- * the requested type. */
+// The functions below return an empty value unless the member exists and has
+// the requested type.
+
 std::optional<std::string> json_string(const Poco::JSON::Object& object,
                                        const std::string& name);
 std::optional<std::uint64_t> json_u64(const Poco::JSON::Object& object,
--- a/src/libcyclamenrun/outside/platform_log.hpp
+++ b/src/libcyclamenrun/outside/platform_log.hpp
@@ -12,6 +12,7 @@
 namespace cyclamenrun
 {
 
+/** Why a call of the log failed, and what became of an append. */
 enum class log_failure : std::uint8_t {
     unavailable,   ///< not appended
     timed_out,     ///< an append may have taken effect
@@ -25,8 +26,8 @@
 
 struct log_error {
     log_failure failure = log_failure::unavailable;
-    milliseconds retry_after = milliseconds(0); ///< with rate_limited
-    std::uint64_t first_retained = 0;           ///< with retained_away
+    milliseconds retry_after = milliseconds(0); ///< only with rate_limited
+    std::uint64_t first_retained = 0;           ///< only with retained_away
 };
 
 struct platform_log_record {
@@ -36,6 +37,7 @@
     bool operator==(const platform_log_record&) const = default;
 };
 
+/** Answer to a read. */
 struct log_page {
     std::uint64_t first_retained = 0;         ///< the oldest offset still kept
     std::uint64_t next = 0;                   ///< offset of the next append
--- a/src/libcyclamenrun/outside/platform_log_client.cpp
+++ b/src/libcyclamenrun/outside/platform_log_client.cpp
@@ -82,7 +82,7 @@
 }
 
 std::optional<platform_log_record>
-entry_of(const Poco::JSON::Object::Ptr& object)
+record_of(const Poco::JSON::Object::Ptr& object)
 {
     if (!object)
         return {};
@@ -109,11 +109,11 @@
         return {};
     log_page page{*first, *next, {}};
     for (std::size_t at = 0; at < records->size(); ++at) {
-        auto entry = entry_of(records->getObject(at));
-        if (!entry || entry->offset < from || entry->offset >= *next)
+        auto record = record_of(records->getObject(at));
+        if (!record || record->offset < from || record->offset >= *next)
             return {};
-        from = entry->offset + 1;
-        page.records.push_back(std::move(*entry));
+        from = record->offset + 1;
+        page.records.push_back(std::move(*record));
     }
     return page;
 }
--- a/src/libcyclamenrun/outside/sse_parser.hpp
+++ b/src/libcyclamenrun/outside/sse_parser.hpp
@@ -11,9 +11,10 @@
 namespace cyclamenrun
 {
 
+/** One server-sent event. */
 struct sse_event {
     std::string id;
-    std::string type; ///< empty: message
+    std::string type; ///< empty: the default type, `message`
     std::string data;
 
     bool operator==(const sse_event&) const = default;
--- a/src/libcyclamenrun/outside/vm_list_client.cpp
+++ b/src/libcyclamenrun/outside/vm_list_client.cpp
@@ -23,12 +23,12 @@
         return json_string(*object, name).value_or("");
     };
     const auto state = vm_state_of(text("state"));
-    vm entry{text("id"),      text("address"),
-             text("region"),  text("failure_domain"),
-             text("service"), state.value_or(vm_state::live)};
-    if (!state || entry.id.empty() || entry.address.empty())
+    vm parsed{text("id"),      text("address"),
+              text("region"),  text("failure_domain"),
+              text("service"), state.value_or(vm_state::live)};
+    if (!state || parsed.id.empty() || parsed.address.empty())
         return {};
-    return entry;
+    return parsed;
 }
 
 std::optional<vm_list> list_of(const std::string& body)
@@ -42,10 +42,10 @@
         return {};
     vm_list list{*revision, {}};
     for (std::size_t at = 0; at < vms->size(); ++at) {
-        auto entry = vm_of(vms->getObject(at));
-        if (!entry)
+        auto parsed = vm_of(vms->getObject(at));
+        if (!parsed)
             return {};
-        list.vms.push_back(std::move(*entry));
+        list.vms.push_back(std::move(*parsed));
     }
     return list;
 }
--- a/src/libcyclamenrun/outside/vm_list_watcher.hpp
+++ b/src/libcyclamenrun/outside/vm_list_watcher.hpp
@@ -15,9 +15,10 @@
 {
 
 /**
- * Watches the platform's list of VMs on its own thread. Each request is
- * answered when the list changes or after 10 s, so few requests are sent while
- * nothing changes. While the list is unavailable, the last one stays valid.
+ * Watches the platform's list of VMs on its own thread and passes each new list
+ * to a hook. A request is answered when the list changes or after 10 s, so few
+ * requests are sent while nothing changes. While the list is unavailable, the
+ * last one stays valid.
  */
 class vm_list_watcher
 {
--- a/src/libcyclamenrun/outside/weight_store_client.hpp
+++ b/src/libcyclamenrun/outside/weight_store_client.hpp
@@ -41,6 +41,7 @@
                         clock_function clock, random_function random,
                         wait_function wait);
 
+    /** Returns the bytes stored under `name`; retries until the deadline. */
     tl::expected<std::string, weight_store_failure>
     fetch(const std::string& name, time_point deadline);
 
--- a/tests/outside/test_http_exchange.cpp
+++ b/tests/outside/test_http_exchange.cpp
@@ -85,8 +85,8 @@
 {
     std::string address;
     {
-        const scripted_server gone(scripted_server::reply(""));
-        address = gone.address();
+        const scripted_server closed(scripted_server::reply(""));
+        address = closed.address();
     }
     const auto answer = send_request(address);
     ASSERT_FALSE(answer);
--- a/tests/outside/test_platform_clients.cpp
+++ b/tests/outside/test_platform_clients.cpp
@@ -67,9 +67,9 @@
     const auto limited = log.append("x").error();
     EXPECT_EQ(limited.failure, log_failure::rate_limited);
     EXPECT_EQ(limited.retry_after, milliseconds(1000));
-    const auto gone = log.read(0, 10, no_wait).error();
-    EXPECT_EQ(gone.failure, log_failure::retained_away);
-    EXPECT_EQ(gone.first_retained, 1);
+    const auto deleted = log.read(0, 10, no_wait).error();
+    EXPECT_EQ(deleted.failure, log_failure::retained_away);
+    EXPECT_EQ(deleted.first_retained, 1);
     platform.set_fault(R"({"log_out":true})");
     EXPECT_EQ(log.append("x").error().failure, log_failure::unavailable);
     EXPECT_EQ(log.read(1, 10, no_wait).error().failure,
