--- a/tests/platform/test_corrupted_messages.cpp
+++ b/tests/platform/test_corrupted_messages.cpp
@@ -67,7 +67,7 @@
     RC_ASSERT(load || load.error() == call_failure::malformed);
 }
 
-RC_GTEST_PROP(corrupted_messages, of_a_move_are_never_taken_for_a_copy, ())
+RC_GTEST_PROP(corrupted_messages, of_a_move_give_a_copy_only_with_a_handle, ())
 {
     const std::string text = R"({"handle":"h1","created":30})";
     const auto status = *rc::gen::element(200U, 404U, 409U, 503U, 500U);
--- a/tests/platform/test_http_dialect.cpp
+++ b/tests/platform/test_http_dialect.cpp
@@ -162,7 +162,7 @@
               R"({"id":"a\"b","to":"10.0.0.1:80","last":true})");
 }
 
-std::string all_of(const std::filesystem::path& file)
+std::string content_of(const std::filesystem::path& file)
 {
     std::ifstream stream(file);
     return {std::istreambuf_iterator<char>(stream), {}};
@@ -184,7 +184,7 @@
          std::filesystem::recursive_directory_iterator(source)) {
         if (!entry.is_regular_file())
             continue;
-        const auto text = all_of(entry.path());
+        const auto text = content_of(entry.path());
         for (const auto& name : names)
             EXPECT_EQ(text.find(name), std::string::npos)
                 << name << " in " << entry.path();
--- a/tests/platform/test_record_parser.cpp
+++ b/tests/platform/test_record_parser.cpp
@@ -14,13 +14,14 @@
     R"("slots":24,"state":"ready","cold_left_ms":0,"born":1790000000000,)"
     R"("sequence":4,"stage":"unified"})";
 
-std::string with(const std::string& from, const std::string& to)
+/** Returns upstream_text with `from` replaced by `to`. */
+std::string text_with(const std::string& from, const std::string& to)
 {
     auto text = upstream_text;
     return text.replace(text.find(from), from.size(), to);
 }
 
-TEST(upstream_record_codec, reads_an_upstream_record)
+TEST(upstream_record_parser, reads_an_upstream_record)
 {
     const auto record = read_upstream("i-1", upstream_text);
     ASSERT_TRUE(record);
@@ -33,32 +34,32 @@
     EXPECT_EQ(record->started_ms, 1790000000000);
 }
 
-TEST(upstream_record_codec, reads_draining_state)
+TEST(upstream_record_parser, reads_draining_state)
 {
-    EXPECT_TRUE(read_upstream("i", with("ready", "draining"))->draining);
+    EXPECT_TRUE(read_upstream("i", text_with("ready", "draining"))->draining);
 }
 
 // A writer has put a record with missing fields or wrong types into the
 // directory. If it were used, requests would go to an invalid address.
-TEST(upstream_record_codec, rejects_invalid_records)
+TEST(upstream_record_parser, rejects_invalid_records)
 {
     EXPECT_FALSE(read_upstream("i", ""));
     EXPECT_FALSE(read_upstream("i", "\xff\xfe"));
     EXPECT_FALSE(read_upstream("i", "[1]"));
-    EXPECT_FALSE(read_upstream("i", with("\"ready\"", "\"asleep\"")));
-    EXPECT_FALSE(read_upstream("i", with("\"ready\"", "7")));
-    EXPECT_FALSE(read_upstream("i", with("24", "\"24\"")));
-    EXPECT_FALSE(read_upstream("i", with("24", "2.5")));
-    EXPECT_FALSE(read_upstream("i", with("24", "0")));
-    EXPECT_FALSE(read_upstream("i", with("24", "true")));
-    EXPECT_FALSE(read_upstream("i", with("10.1.0.9:8080", "host:80")));
-    EXPECT_FALSE(read_upstream("i", with("10.1.0.9:8080", "10.1.0.9")));
-    EXPECT_FALSE(read_upstream("i", with("\"service\":\"s\",", "")));
-    EXPECT_FALSE(read_upstream("i", with("1790000000000", "\"then\"")));
-    EXPECT_FALSE(read_upstream("i", with("\"z\"", "null")));
-}
-
-RC_GTEST_PROP(upstream_record_codec, survives_any_bytes,
+    EXPECT_FALSE(read_upstream("i", text_with("\"ready\"", "\"asleep\"")));
+    EXPECT_FALSE(read_upstream("i", text_with("\"ready\"", "7")));
+    EXPECT_FALSE(read_upstream("i", text_with("24", "\"24\"")));
+    EXPECT_FALSE(read_upstream("i", text_with("24", "2.5")));
+    EXPECT_FALSE(read_upstream("i", text_with("24", "0")));
+    EXPECT_FALSE(read_upstream("i", text_with("24", "true")));
+    EXPECT_FALSE(read_upstream("i", text_with("10.1.0.9:8080", "host:80")));
+    EXPECT_FALSE(read_upstream("i", text_with("10.1.0.9:8080", "10.1.0.9")));
+    EXPECT_FALSE(read_upstream("i", text_with("\"service\":\"s\",", "")));
+    EXPECT_FALSE(read_upstream("i", text_with("1790000000000", "\"then\"")));
+    EXPECT_FALSE(read_upstream("i", text_with("\"z\"", "null")));
+}
+
+RC_GTEST_PROP(upstream_record_parser, survives_any_bytes,
               (const std::string& bytes))
 {
     (void)read_upstream("i", bytes);
@@ -68,7 +69,7 @@
     RC_ASSERT(!batch || batch->records.size() <= bytes.size());
 }
 
-RC_GTEST_PROP(upstream_record_codec, survives_a_corrupted_record, ())
+RC_GTEST_PROP(upstream_record_parser, survives_a_corrupted_record, ())
 {
     auto text = upstream_text;
     const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
@@ -93,7 +94,7 @@
 "header_timeout_ms":3000,"idle_timeout_ms":15000},
 "tenants":[{"name":"t","api_keys":["k1","k2"],"priority":1}]})";
 
-TEST(configuration_codec, reads_a_configuration)
+TEST(configuration_parser, reads_a_configuration)
 {
     const auto read = read_configuration(configuration_text);
     ASSERT_TRUE(read);
@@ -123,21 +124,21 @@
     EXPECT_EQ(read->limits.idle_timeout, milliseconds(15000));
 }
 
-TEST(configuration_codec, unknown_route_type_is_not_idempotent)
+TEST(configuration_parser, unknown_route_type_is_not_idempotent)
 {
     const auto read = read_configuration(configuration_text);
     EXPECT_FALSE(read->routes[2].idempotent);
     EXPECT_FALSE(read->routes[2].resumable);
 }
 
-TEST(configuration_codec, rejects_missing_version_or_routes)
+TEST(configuration_parser, rejects_missing_version_or_routes)
 {
     EXPECT_FALSE(read_configuration(R"({"routes":[]})"));
     EXPECT_FALSE(read_configuration(R"({"version":"7","routes":[]})"));
     EXPECT_FALSE(read_configuration(R"({"version":7})"));
 }
 
-std::string number(std::uint64_t value, int bytes)
+std::string big_endian(std::uint64_t value, int bytes)
 {
     std::string text;
     for (int i = bytes - 1; i >= 0; --i)
@@ -145,16 +146,17 @@
     return text;
 }
 
-std::string keyed(const std::string& key, const std::string& value)
+std::string encoded_record(const std::string& key, const std::string& value)
 {
-    const auto content = number(key.size(), 1) + key + value;
-    return number(content.size(), 4) + content;
+    const auto content = big_endian(key.size(), 1) + key + value;
+    return big_endian(content.size(), 4) + content;
 }
 
 TEST(keyed_records, reads_a_batch)
 {
-    const auto batch = read_record_batch(number(9, 8) + number(3, 8) +
-                                         keyed("a", "x") + keyed("b", ""));
+    const auto batch =
+        read_record_batch(big_endian(9, 8) + big_endian(3, 8) +
+                          encoded_record("a", "x") + encoded_record("b", ""));
     ASSERT_TRUE(batch);
     EXPECT_EQ(batch->end_offset, 9U);
     ASSERT_EQ(batch->records.size(), 2U);
@@ -167,9 +169,9 @@
 // differ from the store's for all later records.
 TEST(keyed_records, counts_unreadable_records)
 {
-    const auto batch =
-        read_record_batch(number(2, 8) + number(0, 8) + number(0, 4) +
-                          number(1, 4) + "\xff" + keyed("b", "y"));
+    const auto batch = read_record_batch(big_endian(2, 8) + big_endian(0, 8) +
+                                         big_endian(0, 4) + big_endian(1, 4) +
+                                         "\xff" + encoded_record("b", "y"));
     ASSERT_TRUE(batch);
     ASSERT_EQ(batch->records.size(), 3U);
     EXPECT_EQ(batch->records[0].key, "");
@@ -179,7 +181,8 @@
 
 TEST(keyed_records, rejects_a_truncated_batch)
 {
-    const auto whole = number(9, 8) + number(3, 8) + keyed("a", "x");
+    const auto whole =
+        big_endian(9, 8) + big_endian(3, 8) + encoded_record("a", "x");
     EXPECT_FALSE(read_record_batch(whole.substr(0, whole.size() - 1)));
     EXPECT_FALSE(read_record_batch(whole.substr(0, 10)));
     EXPECT_TRUE(read_record_batch(whole.substr(0, 16)));
