--- a/tests/configuration/fake_log.hpp
+++ b/tests/configuration/fake_log.hpp
@@ -10,13 +10,13 @@
 namespace cyclamenrun
 {
 
-/** Result of one append. */
+/** How a fake_log handles one call of append(). */
 enum class append_result : std::uint8_t {
-    kept,
-    answer_lost,  ///< kept, but the caller's request times out
-    request_lost, ///< not kept, and the caller's request times out
-    delayed,      ///< kept by deliver_delayed(); the request times out
-    duplicated,   ///< kept twice
+    stored,
+    answer_lost,  ///< stored, but append() times out
+    request_lost, ///< not stored, and append() times out
+    delayed,      ///< stored by deliver_delayed(); append() times out
+    duplicated,   ///< stored twice
 };
 
 /** In-memory log of the platform with fault injection. */
@@ -69,8 +69,8 @@
     }
 
     /**
-     * Queues the result of a later append. Appends without a queued result are
-     * kept.
+     * Queues the result of a later append. An append without a queued result
+     * is stored.
      */
     void queue_result(append_result result)
     {
@@ -139,7 +139,7 @@
     append_result next_result()
     {
         if (results_.empty())
-            return append_result::kept;
+            return append_result::stored;
         const append_result result = results_.front();
         results_.pop_front();
         return result;
--- a/tests/configuration/sample_changes.hpp
+++ b/tests/configuration/sample_changes.hpp
@@ -8,14 +8,15 @@
 namespace cyclamenrun
 {
 
-/** Returns a change that creates a team or sets its weight. */
+/** Returns a change that creates a team or updates its weight. */
 inline v1::ChangeRecord team_change(const std::string& change_id,
-                                    std::uint64_t base, std::uint32_t weight,
+                                    std::uint64_t base_revision,
+                                    std::uint32_t weight,
                                     const std::string& name = "amianto")
 {
     v1::ChangeRecord change;
     change.set_change_id(change_id);
-    change.set_base_revision(base);
+    change.set_base_revision(base_revision);
     change.set_kind(v1::RESOURCE_KIND_TEAM);
     change.set_name(name);
     auto* team = change.mutable_resource()->mutable_team();
@@ -26,13 +27,14 @@
     return change;
 }
 
+/** Returns a change that creates or updates a model service. */
 inline v1::ChangeRecord service_change(const std::string& change_id,
-                                       std::uint64_t base,
+                                       std::uint64_t base_revision,
                                        const std::string& name = "redactor")
 {
     v1::ChangeRecord change;
     change.set_change_id(change_id);
-    change.set_base_revision(base);
+    change.set_base_revision(base_revision);
     change.set_kind(v1::RESOURCE_KIND_SERVICE);
     change.set_name(name);
     auto* service = change.mutable_resource()->mutable_service();
@@ -43,14 +45,15 @@
     return change;
 }
 
+/** Returns a change that creates or updates an assignment. */
 inline v1::ChangeRecord assignment_change(const std::string& change_id,
-                                          std::uint64_t base,
+                                          std::uint64_t base_revision,
                                           const std::string& name,
                                           const std::string& service)
 {
     v1::ChangeRecord change;
     change.set_change_id(change_id);
-    change.set_base_revision(base);
+    change.set_base_revision(base_revision);
     change.set_kind(v1::RESOURCE_KIND_ASSIGNMENT);
     change.set_name(name);
     auto* assignment = change.mutable_resource()->mutable_assignment();
@@ -61,6 +64,7 @@
     return change;
 }
 
+/** Turns a change of a resource into the deletion of that resource. */
 inline v1::ChangeRecord deletion(v1::ChangeRecord change)
 {
     change.clear_resource();
--- a/tests/configuration/simulated_entry.hpp
+++ b/tests/configuration/simulated_entry.hpp
@@ -21,7 +21,7 @@
     time_point now{};
     configuration_history history;
     std::uint64_t last_snapshot_id = 0;
-    int last_entry = 0;
+    int last_entry_number = 0;
 
     void advance(milliseconds by) { now += by; }
 };
@@ -32,7 +32,8 @@
 public:
     explicit simulated_entry(simulated_world& world,
                              snapshot_settings settings = {})
-        : name("entry-" + std::to_string(++world.last_entry)), world_(world),
+        : name("entry-" + std::to_string(++world.last_entry_number)),
+          world_(world),
           tailer_(
               world.log, store, {}, [&world] { return world.now; },
               [] { return 0.5; }),
@@ -50,6 +51,7 @@
         record_state();
     }
 
+    /** Reads often enough to reach the end of a log that is available. */
     void catch_up()
     {
         for (int i = 0; i < 20; ++i)
@@ -62,10 +64,11 @@
         record_state();
     }
 
+    /** Starts a change, which step_submitters() continues. */
     void submit(const v1::ChangeRecord& change,
-                milliseconds limit = milliseconds(10'000))
+                milliseconds timeout = milliseconds(10'000))
     {
-        submitters_.emplace_back(change, world_.now + limit);
+        submitters_.emplace_back(change, world_.now + timeout);
     }
 
     /** Performs one step of each change in progress. */
@@ -80,8 +83,8 @@
     }
 
     /**
-     * Submits a change and runs this entry until all its changes are answered.
-     * Returns the last answer.
+     * Submits a change and runs this entry until all changes submitted to it
+     * are answered. Returns the last answer.
      */
     outcome<v1::ApplyChangeResponse> apply(const v1::ChangeRecord& change)
     {
--- a/tests/configuration/test_change_submitter.cpp
+++ b/tests/configuration/test_change_submitter.cpp
@@ -133,8 +133,8 @@
     operator_commands commands(log, store, steady_now);
     v1::ApplyChangeRequest request;
     *request.mutable_change() = team_change("a", 0, 5);
-    const auto early = commands.apply_change(request, steady_now());
-    EXPECT_EQ(early.error().reason, refusal_reason::not_ready);
+    const auto refused = commands.apply_change(request, steady_now());
+    EXPECT_EQ(refused.error().reason, refusal_reason::not_ready);
     store.set_ready();
     tailer.start();
     const auto answer =
@@ -146,8 +146,9 @@
 }
 
 /**
- * Explores the record protocol exhaustively for two operators, two entries and
- * one fault: every order of steps and every result of one append.
+ * Explores exhaustively how two operators submit a change through an entry
+ * each: every order of the entries' steps, with at most one faulty append of
+ * any kind.
  */
 class protocol_explorer
 {
@@ -175,7 +176,7 @@
     void explore(world current, int depth);
 
 private:
-    bool step_operator(const world& current, std::size_t index, int depth);
+    bool step_submitter(const world& current, std::size_t index, int depth);
     void append(world current, std::size_t index, append_result result,
                 int depth);
     bool step_tail(const world& current, std::size_t index, int depth);
@@ -189,19 +190,19 @@
 void protocol_explorer::explore(world current, int depth)
 {
     ASSERT_LT(depth, 60);
-    bool moved = false;
+    bool any_step = false;
     for (std::size_t i = 0; i < current.participants.size(); ++i) {
-        moved = step_operator(current, i, depth) || moved;
-        moved = step_tail(current, i, depth) || moved;
+        any_step = step_submitter(current, i, depth) || any_step;
+        any_step = step_tail(current, i, depth) || any_step;
     }
     if (!current.delayed.empty()) {
         world next = current;
         next.log.push_back(next.delayed.back());
         next.delayed.clear();
         explore(next, depth + 1);
-        moved = true;
+        any_step = true;
     }
-    if (moved)
+    if (any_step)
         return;
     if (current.participants[0].answered && current.participants[1].answered)
         return finish(current);
@@ -209,27 +210,28 @@
     explore(std::move(current), depth + 1);
 }
 
-bool protocol_explorer::step_operator(const world& current, std::size_t index,
-                                      int depth)
+bool protocol_explorer::step_submitter(const world& current, std::size_t index,
+                                       int depth)
 {
-    const participant& from = current.participants.at(index);
-    if (from.answered)
+    const participant& before = current.participants.at(index);
+    if (before.answered)
         return false;
     world next = current;
-    participant& to = next.participants.at(index);
-    const auto step = to.submitter.next(
-        progress_of(to.state, to.submitter.change()), current.now);
+    participant& after = next.participants.at(index);
+    const auto step = after.submitter.next(
+        progress_of(after.state, after.submitter.change()), current.now);
     if (step == submit_step::wait)
         return false;
     if (step == submit_step::done) {
-        to.answered = true;
-        const auto& answer = to.submitter.result();
+        after.answered = true;
+        const auto& answer = after.submitter.result();
         next.accepted += answer.has_accepted() ? 1 : 0;
-        next.history.record_answer(to.submitter.change().change_id(), answer);
+        next.history.record_answer(after.submitter.change().change_id(),
+                                   answer);
         explore(std::move(next), depth + 1);
         return true;
     }
-    append(current, index, append_result::kept, depth);
+    append(current, index, append_result::stored, depth);
     if (current.fault_available) {
         for (const auto result :
              {append_result::answer_lost, append_result::request_lost,
@@ -248,14 +250,14 @@
         current.now);
     const std::uint64_t offset = current.log.size();
     current.fault_available =
-        current.fault_available && result == append_result::kept;
+        current.fault_available && result == append_result::stored;
     if (result == append_result::delayed)
         current.delayed.push_back(submitter.record());
     else if (result != append_result::request_lost)
         current.log.push_back(submitter.record());
     if (result == append_result::duplicated)
         current.log.push_back(submitter.record());
-    if (result == append_result::kept || result == append_result::duplicated)
+    if (result == append_result::stored || result == append_result::duplicated)
         submitter.on_append(offset, current.now);
     else
         submitter.on_append(
--- a/tests/configuration/test_change_validation.cpp
+++ b/tests/configuration/test_change_validation.cpp
@@ -27,12 +27,13 @@
     return *change.mutable_resource()->mutable_service();
 }
 
-void expect_one_error(const v1::ChangeRecord& change, const invalid_case& bad)
+void expect_one_error(const v1::ChangeRecord& change,
+                      const invalid_case& expected)
 {
     const auto errors = check_change(change);
-    ASSERT_EQ(errors.size(), 1U) << bad.field;
-    EXPECT_EQ(errors[0].field, bad.field);
-    EXPECT_EQ(errors[0].problem, bad.problem) << bad.field;
+    ASSERT_EQ(errors.size(), 1U) << expected.field;
+    EXPECT_EQ(errors[0].field, expected.field);
+    EXPECT_EQ(errors[0].problem, expected.problem) << expected.field;
 }
 
 TEST(change_validation, names_each_bad_field_of_a_team)
--- a/tests/configuration/test_configuration_state.cpp
+++ b/tests/configuration/test_configuration_state.cpp
@@ -42,9 +42,9 @@
     EXPECT_EQ(state.revision(), 3U);
 }
 
-// A team is created and deleted. Much later, a delayed second copy of the
-// creation reaches the log, when its change id is no longer remembered. It must
-// not restore the team, since its base revision is below the tombstone's.
+// A team is created and deleted. A delayed second copy of the creation reaches
+// the log so late that the outcome of its change id is no longer stored. It
+// must not restore the team, since its base revision is below the tombstone's.
 TEST(configuration_state, keeps_a_deleted_resource_deleted)
 {
     configuration_state state;
--- a/tests/configuration/test_interleavings.cpp
+++ b/tests/configuration/test_interleavings.cpp
@@ -138,7 +138,7 @@
      */
     void replace_entry_or_expire_records(const random_step& step)
     {
-        std::uint64_t oldest = world_.log.end();
+        std::uint64_t lowest_revision = world_.log.end();
         auto oldest_entry = entries_.begin();
         if (step.argument % 2 == 0) {
             if (!oldest_entry->is_idle())
@@ -150,15 +150,16 @@
         }
         for (auto& entry : entries_) {
             if (entry.store.ready() && step.argument % 5 != 0)
-                oldest = std::min(oldest, entry.store.revision());
+                lowest_revision =
+                    std::min(lowest_revision, entry.store.revision());
         }
-        // Expires records only while some entry holds them all. An accepted
-        // change that neither the log nor any process holds is lost for good.
-        if (any_entry_holds_all())
-            world_.log.expire_before(oldest);
+        // Records expire only while some entry has applied them all. Otherwise
+        // an accepted change could be lost in the log and in every process.
+        if (any_entry_holds_all_records())
+            world_.log.expire_before(lowest_revision);
     }
 
-    bool any_entry_holds_all()
+    bool any_entry_holds_all_records()
     {
         for (auto& entry : entries_) {
             if (entry.store.ready() &&
@@ -208,13 +209,13 @@
     std::uint64_t gaps = 0;
     const auto result = rc::detail::checkTestable(
         [&gaps] {
-            const auto script = *rc::gen::container<std::vector<
+            const auto steps = *rc::gen::container<std::vector<
                 std::tuple<std::uint8_t, std::uint8_t, std::uint8_t>>>(
                 rc::gen::tuple(rc::gen::arbitrary<std::uint8_t>(),
                                rc::gen::arbitrary<std::uint8_t>(),
                                rc::gen::arbitrary<std::uint8_t>()));
             random_run run;
-            for (const auto& [action, entry_index, argument] : script)
+            for (const auto& [action, entry_index, argument] : steps)
                 run.step({action, entry_index, argument});
             run.clear_faults();
             RC_ASSERT(run.violations() == std::set<violation>{});
--- a/tests/configuration/test_log_tail.cpp
+++ b/tests/configuration/test_log_tail.cpp
@@ -99,10 +99,11 @@
     set_weight(writer, 5);
     reader.catch_up();
     set_weight(writer, 6);
-    const auto old = snapshot_records(writer.store.snapshot(), 77, 1U << 15U);
+    const auto old_snapshot =
+        snapshot_records(writer.store.snapshot(), 77, 1U << 15U);
     set_weight(writer, 7);
     world.log.expire_before(world.log.end());
-    world.log.append(old.at(0));
+    world.log.append(old_snapshot.at(0));
     reader.catch_up();
     EXPECT_EQ(reader.status().state, tail_state::behind_gap);
     EXPECT_EQ(weight_at(reader), 5U);
@@ -143,7 +144,8 @@
     EXPECT_FALSE(recovery.poll(other.status(), peers, world.now));
     other.read_log();
     EXPECT_TRUE(recovery.poll(other.status(), peers, world.now));
-    EXPECT_FALSE(recovery.poll(other.status(), peers, world.now)) << "too soon";
+    EXPECT_FALSE(recovery.poll(other.status(), peers, world.now))
+        << "query_interval has not passed";
     EXPECT_EQ(weight_at(other), 6U);
     world.log.set_unavailable(false);
     other.catch_up();
@@ -160,14 +162,15 @@
     simulated_entry entry(world);
     entry.read_log();
     set_weight(entry, 5);
-    const auto old = snapshot_records(entry.store.snapshot(), 77, 1U << 15U);
-    const auto kept_from = entry.store.revision();
+    const auto old_snapshot =
+        snapshot_records(entry.store.snapshot(), 77, 1U << 15U);
+    const auto first_retained = entry.store.revision();
     set_weight(entry, 6);
-    world.log.append(old.at(0));
+    world.log.append(old_snapshot.at(0));
     entry.catch_up();
     EXPECT_EQ(weight_at(entry), 6U);
-    // A new reader starts from this snapshot and still applies later changes.
-    world.log.expire_before(kept_from);
+    // A new reader starts from this snapshot and must apply the later changes.
+    world.log.expire_before(first_retained);
     simulated_entry new_entry(world);
     for (int i = 0; i < 20 && !new_entry.store.ready(); ++i)
         new_entry.read_log();
@@ -251,25 +254,27 @@
     const std::vector<std::string> entries{"a", "b", "c", "d"};
     snapshot_settings settings;
     std::map<std::size_t, int> ranks;
-    int early = 0;
+    int due_at_once = 0;
     for (const auto& entry : entries) {
         snapshot_schedule schedule(entry, settings, time_point{});
         schedule.on_entries(entries);
         ++ranks[schedule.rank()];
         schedule.on_snapshot(10, 10, time_point{});
         EXPECT_FALSE(schedule.is_due(500, 0, time_point{}));
-        early += schedule.is_due(1010, 0, time_point{}) ? 1 : 0;
+        due_at_once += schedule.is_due(1010, 0, time_point{}) ? 1 : 0;
         const auto later = time_point{} + settings.stagger * entries.size();
         EXPECT_TRUE(schedule.is_due(1010, 0, later));
         schedule.on_snapshot(1010, 1010, later);
         EXPECT_FALSE(schedule.is_due(1011, 0, later));
         EXPECT_FALSE(schedule.is_due(1011, 0, later + settings.max_age / 2));
+        // The delay of the rank starts when is_due() first finds the snapshot
+        // too old.
         schedule.is_due(1011, 0, later + settings.max_age);
         EXPECT_TRUE(schedule.is_due(1011, 0,
                                     later + settings.max_age +
                                         settings.stagger * entries.size()));
     }
-    EXPECT_EQ(early, 1);
+    EXPECT_EQ(due_at_once, 1);
     EXPECT_EQ(ranks.size(), entries.size());
 }
 
--- a/tests/configuration/test_order_lease.cpp
+++ b/tests/configuration/test_order_lease.cpp
@@ -15,12 +15,12 @@
 namespace
 {
 
-/** An engine that may or may not reject orders by their fencing number. */
+/** An engine that checks the fencing numbers of orders or ignores them. */
 struct fake_engine {
     struct accepted_order {
         std::uint64_t incarnation = 0;
         std::uint64_t fence = 0;
-        time_point from{};
+        time_point from{}; ///< start of the execution
         time_point to{};
     };
 
@@ -28,9 +28,9 @@
                               const engine_order& order, time_point from,
                               time_point to)
     {
-        if (honours_fencing && order.fence < highest)
+        if (honours_fencing && order.fence < highest_fence)
             return order_result::stale_fencing_number;
-        highest = std::max(highest, order.fence);
+        highest_fence = std::max(highest_fence, order.fence);
         accepted_orders.push_back({incarnation, order.fence, from, to});
         return order_result::done;
     }
@@ -56,7 +56,7 @@
     }
 
     bool honours_fencing = true;
-    std::uint64_t highest = 0;
+    std::uint64_t highest_fence = 0;
     std::vector<accepted_order> accepted_orders;
 };
 
@@ -89,7 +89,7 @@
                                   1, clock());
     }
 
-    order_runner_state pass()
+    order_runner_state run_step()
     {
         if (clock() < suspended_until_)
             return order_runner_state::claiming;
@@ -106,13 +106,16 @@
     }
     /** Makes each later order last for the whole order limit. */
     void delay_orders() { orders_delayed_ = true; }
-    /** Calls `meanwhile` just before the n-th reading of the clock from now. */
+    /**
+     * Suspends the agent just before the n-th reading of its clock from now;
+     * `meanwhile` runs during the suspension.
+     */
     void suspend_at(int reading, std::function<void()> meanwhile)
     {
         suspend_at_ = readings_ + reading;
         meanwhile_ = std::move(meanwhile);
     }
-    /** Sets how much faster the agent's clock runs; negative for slower. */
+    /** Sets the clock's drift in thousandths; positive if it runs fast. */
     void set_drift(int per_mille) { drift_per_mille_ = per_mille; }
 
     order_runner& runner() { return runner_; }
@@ -165,7 +168,7 @@
 milliseconds run_until_order_sent(engine_world& world, simulated_agent& agent)
 {
     const time_point start = world.now;
-    while (agent.pass() != order_runner_state::acted) {
+    while (agent.run_step() != order_runner_state::acted) {
         world.now += milliseconds(100);
         if (world.now > start + std::chrono::minutes(2))
             break;
@@ -190,16 +193,16 @@
     EXPECT_GE(waited, settings.lease + settings.margin);
     world.now += std::chrono::minutes(1);
     for (int i = 0; i < 50; ++i) {
-        old_agent.pass();
+        old_agent.run_step();
         world.now += milliseconds(100);
     }
-    EXPECT_EQ(old_agent.pass(), order_runner_state::stood_down);
+    EXPECT_EQ(old_agent.run_step(), order_runner_state::stood_down);
     EXPECT_EQ(world.engine.accepted_orders.back().incarnation, 2U);
     EXPECT_FALSE(world.engine.has_order_violation());
 }
 
-// As above, but the old agent is suspended at each point between reading the
-// clock and sending the order.
+// As above, but the old agent is suspended at each point between a reading of
+// its clock and the sending of an order.
 TEST(order_lease, drops_an_order_after_a_suspension_at_any_point)
 {
     int accepted_total = 0;
@@ -213,7 +216,7 @@
         old_agent.suspend_at(reading,
                              [&] { run_until_order_sent(world, new_agent); });
         for (int i = 0; i < 30; ++i)
-            old_agent.pass();
+            old_agent.run_step();
         ASSERT_FALSE(world.engine.has_order_violation())
             << "reading " << reading;
         ASSERT_EQ(world.engine.accepted_orders.back().incarnation, 2U)
@@ -223,7 +226,8 @@
     EXPECT_GT(accepted_total, 90);
 }
 
-// An engine that refuses old fencing numbers makes the wait unnecessary.
+// An engine that refuses old fencing numbers makes it unnecessary to wait until
+// the old agent's lease has expired.
 TEST(order_lease, does_not_wait_where_the_engine_refuses_old_numbers)
 {
     engine_world world;
@@ -236,9 +240,9 @@
         order_result::stale_fencing_number);
 }
 
-// The append of a claim is lost, loses its answer, is duplicated or is delayed.
-// A delayed copy that reaches the log after the new agent's claim must not give
-// the engine back to the old agent.
+// The append of a claim or its answer is lost, or the record is duplicated or
+// delayed. A delayed copy that reaches the log after the new agent's claim must
+// not give the engine back to the old agent.
 TEST(order_lease, handles_lost_duplicated_and_late_claims)
 {
     for (const auto result :
@@ -268,8 +272,8 @@
     EXPECT_TRUE(world.engine.accepted_orders.empty());
 }
 
-// Claims are kept for a limited number of upstreams. An agent whose claim was
-// evicted must neither act on it nor give up for ever.
+// Claims are stored for a limited number of upstreams. An agent whose claim was
+// evicted must not send orders under it, and must append a new claim.
 TEST(order_lease, claims_again_after_its_claim_was_evicted)
 {
     const auto settings = settings_for(false);
@@ -311,8 +315,8 @@
 }
 
 // Up to three agents of one upstream are suspended at random and lose access
-// to the log while their clocks drift. In no order of events may the engine
-// accept an order after one of a later claimant.
+// to the log while their clocks drift. Whatever the order of events, the engine
+// must not accept an order of one claimant after an order of a later one.
 TEST(order_lease, allows_one_claimant_at_a_time)
 {
     std::uint64_t orders = 0;
@@ -328,9 +332,9 @@
             agents.back()->set_drift(static_cast<int>(random() % 21) - 10);
         }
         for (int i = 0; i < 2'000; ++i) {
-            const std::size_t started = 1 + std::min(i / 500, 2);
-            auto& agent = *agents.at(random() % started);
-            agent.pass();
+            const std::size_t started_agents = 1 + std::min(i / 500, 2);
+            auto& agent = *agents.at(random() % started_agents);
+            agent.run_step();
             if (random() % 50 == 0)
                 agent.suspend(milliseconds(random() % 30'000));
             if (random() % 40 == 0)
@@ -374,12 +378,16 @@
     EXPECT_GT(roles["decode"], 25);
 }
 
-/** Requests to the weight store until all agents have loaded the model. */
 struct load_outcome {
-    int refused = 0;
-    milliseconds took{0};
+    int refused = 0;           ///< requests that the weight store refused
+    milliseconds load_time{0}; ///< until all agents have loaded the model
 };
 
+/**
+ * Lets 100 agents load weights from a store that accepts 2 requests per second
+ * and bursts of 4. With `spread`, their first requests are spread over 1.3
+ * times the time that the store needs for all of them.
+ */
 load_outcome restart_domain(bool spread)
 {
     constexpr int agents = 100;
@@ -396,26 +404,26 @@
                                          agents, now);
     }
     load_outcome result;
-    double tokens = 4.0;
+    double store_budget = 4.0; // requests that the store would accept now
     int loaded = 0;
     while (loaded < agents && now < time_point{} + std::chrono::hours(1)) {
         for (auto& queue : queues) {
             const auto order = queue.next(now);
             if (!order)
                 continue;
-            const bool available = tokens >= 1.0;
-            tokens -= available ? 1.0 : 0.0;
-            loaded += available ? 1 : 0;
-            result.refused += available ? 0 : 1;
+            const bool accepted = store_budget >= 1.0;
+            store_budget -= accepted ? 1.0 : 0.0;
+            loaded += accepted ? 1 : 0;
+            result.refused += accepted ? 0 : 1;
             queue.on_result(*order,
-                            available ? order_result::done
-                                      : order_result::store_limited,
+                            accepted ? order_result::done
+                                     : order_result::store_limited,
                             now);
         }
         now += milliseconds(100);
-        tokens = std::min(4.0, tokens + store_rate / 10);
+        store_budget = std::min(4.0, store_budget + store_rate / 10);
     }
-    result.took =
+    result.load_time =
         std::chrono::duration_cast<milliseconds>(now.time_since_epoch());
     return result;
 }
@@ -428,11 +436,11 @@
     const auto spread = restart_domain(true);
     const auto at_once = restart_domain(false);
     std::cout << "refused: " << spread.refused << " spread, " << at_once.refused
-              << " at once; took " << spread.took.count() << " ms and "
-              << at_once.took.count() << " ms\n";
+              << " at once; took " << spread.load_time.count() << " ms and "
+              << at_once.load_time.count() << " ms\n";
     EXPECT_LT(spread.refused, 50);
     EXPECT_GT(at_once.refused, 4 * spread.refused);
-    EXPECT_LT(spread.took, std::chrono::minutes(2));
+    EXPECT_LT(spread.load_time, std::chrono::minutes(2));
 }
 
 } // namespace
