--- a/src/libcyclamenrun/configuration/change_submitter.hpp
+++ b/src/libcyclamenrun/configuration/change_submitter.hpp
@@ -46,8 +46,10 @@
 
     const std::string& record() const { return record_; }
     const v1::ChangeRecord& change() const { return change_; }
+    /** Returns when next() must be called again at the latest. */
     time_point wake_at() const;
 
+    /** Returns the response to the operator once next() returned `done`. */
     const v1::ApplyChangeResponse& result() const { return result_; }
 
 private:
--- a/src/libcyclamenrun/configuration/configuration_recovery.hpp
+++ b/src/libcyclamenrun/configuration/configuration_recovery.hpp
@@ -34,9 +34,10 @@
                            query_function query_peer);
 
     /**
-     * Queries the peers that last reported a higher revision than this
-     * entry's, highest first, until one returns a newer state. Returns true if
-     * the store was restored from it. May block while it queries a peer.
+     * If the log can't provide the configuration, queries the peers that last
+     * reported a higher revision than this entry's, highest first, until one
+     * returns a newer state. Returns true if the store was restored from it.
+     * May block while it queries a peer.
      */
     bool poll(const tail_status& tail,
               const std::vector<v1::ProcessRevision>& peers, time_point now);
--- a/src/libcyclamenrun/configuration/configuration_resources.hpp
+++ b/src/libcyclamenrun/configuration/configuration_resources.hpp
@@ -52,13 +52,14 @@
     std::uint64_t revision_of(v1::ResourceKind kind,
                               const std::string& name) const;
 
+    /** Returns the number of resources of a kind, without tombstones. */
     std::size_t live_count(v1::ResourceKind kind) const;
+    /** Returns the number of resources and tombstones of all kinds. */
     std::size_t size() const { return resources_.size(); }
 
     /**
-     * Adds or replaces a resource. Drops the oldest tombstone when there are
-     * more than max_tombstones. Its revision decides which one, so that every
-     * reader drops the same.
+     * Adds or replaces a resource. Drops the tombstone with the lowest revision
+     * if there are more than max_tombstones; all readers drop the same one.
      */
     void put(v1::ResourceState state);
 
--- a/src/libcyclamenrun/configuration/configuration_revisions.cpp
+++ b/src/libcyclamenrun/configuration/configuration_revisions.cpp
@@ -24,10 +24,10 @@
     const std::lock_guard lock(mutex_);
     if (rows_.size() >= max_processes && !rows_.contains(identity.process))
         make_room(now);
-    row& found = rows_[identity.process];
-    found.identity = identity;
-    found.revision = std::max(found.revision, revision);
-    found.reported_at = now;
+    row& updated = rows_[identity.process];
+    updated.identity = identity;
+    updated.revision = std::max(updated.revision, revision);
+    updated.reported_at = now;
 }
 
 void configuration_revisions::remove(const std::string& process)
@@ -55,16 +55,16 @@
 {
     const std::lock_guard lock(mutex_);
     std::vector<v1::ProcessRevision> processes;
-    for (const auto& [name, found] : rows_) {
-        if (found.reported_at + max_report_age <= now)
+    for (const auto& [name, reported] : rows_) {
+        if (reported.reported_at + max_report_age <= now)
             continue;
         v1::ProcessRevision& added = processes.emplace_back();
         added.set_process(name);
-        added.set_role(std::string(name_of(found.identity.role)));
-        added.set_failure_domain(found.identity.failure_domain);
-        added.set_revision(found.revision);
-        const auto report_age =
-            std::chrono::duration_cast<milliseconds>(now - found.reported_at);
+        added.set_role(std::string(name_of(reported.identity.role)));
+        added.set_failure_domain(reported.identity.failure_domain);
+        added.set_revision(reported.revision);
+        const auto report_age = std::chrono::duration_cast<milliseconds>(
+            now - reported.reported_at);
         added.set_heard_ms_ago(static_cast<std::uint64_t>(
             std::max(report_age, milliseconds(0)).count()));
     }
--- a/src/libcyclamenrun/configuration/configuration_state.cpp
+++ b/src/libcyclamenrun/configuration/configuration_state.cpp
@@ -245,11 +245,11 @@
     if (delta.from_revision() > next_offset_)
         return false;
     for (const auto& record : delta.records()) {
-        // The delta omits records that do not change the state.
         if (record.offset() < next_offset_)
             continue;
         if (record.offset() >= delta.to_revision())
             return false;
+        // The delta omits records that do not change the state.
         next_offset_ = record.offset();
         apply(record.offset(), record.record());
     }
--- a/src/libcyclamenrun/configuration/configuration_state.hpp
+++ b/src/libcyclamenrun/configuration/configuration_state.hpp
@@ -16,18 +16,18 @@
 {
 
 /**
- * Outcome of applying one record of the log. The first four change the state,
- * as changes_state() relies on.
+ * Outcome of applying one record of the log. The first four change the state;
+ * changes_state() relies on this order.
  */
 enum class apply_result : std::uint8_t {
     accepted,     ///< the change is in force
     conflict,     ///< the change's base revision was not current
     invalid,      ///< the change failed a check
-    claimed,      ///< a claim to send an engine orders took effect
+    claimed,      ///< an agent's claim to send orders took effect
     duplicate,    ///< another copy of a change that has an outcome
     reused_id,    ///< a different change already used this id
-    stale_claim,  ///< the claim's base number was not current
-    snapshot,     ///< repeats what earlier records contain
+    stale_claim,  ///< the claim's base fencing number was not current
+    snapshot,     ///< only repeats the content of earlier records
     unparsable,   ///< not a record, or one without content
     newer_schema, ///< written with the schema of a later release
     oversized,    ///< larger than change_limits::max_record_bytes
@@ -99,12 +99,14 @@
 
     /**
      * Returns the number of records with this result since the process
-     * started. Shown in the dump.
+     * started, for the state dump.
      */
     std::uint64_t count(apply_result result) const;
 
+    /** Schema number of the records that this release writes. */
     static constexpr std::uint32_t schema = 1;
     static constexpr std::size_t max_outcomes = 1024;
+    /** Above this, the claim with the lowest fencing number is dropped. */
     static constexpr std::size_t max_claims = 8192;
     static constexpr std::size_t max_recent_records = 512;
 
--- a/src/libcyclamenrun/configuration/configuration_store.hpp
+++ b/src/libcyclamenrun/configuration/configuration_store.hpp
@@ -18,7 +18,8 @@
 /** The parts of the state that a change_submitter needs, read atomically. */
 struct change_progress {
     std::uint64_t revision = 0;
-    std::optional<v1::ChangeOutcome> outcome;
+    std::optional<v1::ChangeOutcome> outcome; ///< of the change, if applied
+    /** The resource to change, or its tombstone. */
     configuration_resources::resource_pointer current;
     configuration_resources resources;
 };
--- a/src/libcyclamenrun/configuration/log_tailer.cpp
+++ b/src/libcyclamenrun/configuration/log_tailer.cpp
@@ -18,11 +18,11 @@
                      double random)
 {
     const auto doublings = std::min<std::uint32_t>(failures, 16) - 1;
-    const auto longest = std::min(settings.max_backoff,
-                                  settings.first_backoff * (1 << doublings));
-    return longest / 2 +
+    const auto max_delay = std::min(settings.max_backoff,
+                                    settings.first_backoff * (1 << doublings));
+    return max_delay / 2 +
            milliseconds(static_cast<std::int64_t>(
-               random * static_cast<double>(longest.count()) / 2));
+               random * static_cast<double>(max_delay.count()) / 2));
 }
 
 } // namespace
--- a/src/libcyclamenrun/configuration/log_tailer.hpp
+++ b/src/libcyclamenrun/configuration/log_tailer.hpp
@@ -19,13 +19,13 @@
 
 /** Page size and timing of reads of the log. */
 struct tail_settings {
-    std::uint32_t page_records = 256;
-    milliseconds read_wait{10'000}; ///< for the first new record to arrive
+    std::uint32_t page_records = 256; ///< maximum per read
+    milliseconds read_wait{10'000};   ///< maximum wait for a new record
     milliseconds first_backoff{200};
     milliseconds max_backoff{5'000};
 };
 
-/** Position, state and failures of a log_tailer, shown in the dump. */
+/** Position, state and failures of a log_tailer, shown in the state dump. */
 struct tail_status {
     tail_state state = tail_state::following;
     std::uint64_t first_retained = 0;
@@ -89,6 +89,7 @@
     void report_read_problem() const;
     void on_page(const log_page& page);
     milliseconds on_error(const log_error& error);
+    /** Passes the end of the log as first seen to the snapshot writer. */
     void record_first_end(std::uint64_t end);
 
     platform_log& log_;
--- a/src/libcyclamenrun/configuration/operator_queries.cpp
+++ b/src/libcyclamenrun/configuration/operator_queries.cpp
@@ -45,8 +45,8 @@
     if (!store_.ready())
         return tl::unexpected(no_configuration());
     v1::FindChangeResponse response;
-    // Reads the revision before the outcome. If a record is applied in
-    // between, the outcome is newer than the revision states, never older.
+    // The revision is read first: if a record is applied in between, the
+    // outcome is newer than the reported revision, never older.
     response.set_revision(store_.revision());
     const auto known = store_.find_change(request.change_id());
     response.set_found(known.has_value());
--- a/src/libcyclamenrun/configuration/snapshot_parts.cpp
+++ b/src/libcyclamenrun/configuration/snapshot_parts.cpp
@@ -65,8 +65,8 @@
     std::vector<v1::SnapshotRecord> parts_;
 };
 
-constexpr std::size_t item_overhead_bytes =
-    8; ///< bytes for the tag and length of an item
+/** Upper bound of the size of an item's tag and length. */
+constexpr std::size_t item_overhead_bytes = 8;
 
 bool is_well_formed(const v1::SnapshotRecord& part)
 {
--- a/src/libcyclamenrun/configuration/snapshot_schedule.cpp
+++ b/src/libcyclamenrun/configuration/snapshot_schedule.cpp
@@ -58,8 +58,7 @@
     if (!snapshot_seen_)
         return first_retained > 0 || revision >= settings_.max_records ||
                now >= refresh_at_;
-    // A new reader needs the snapshot and all records from its next_offset
-    // on.
+    // A new reader needs the snapshot and all records from its next_offset on.
     if (snapshot_next_offset_ < first_retained)
         return true;
     return now >= refresh_at_ ||
--- a/src/libcyclamenrun/configuration/snapshot_writer.cpp
+++ b/src/libcyclamenrun/configuration/snapshot_writer.cpp
@@ -55,8 +55,8 @@
     const auto records =
         snapshot_records(store_.snapshot(), generate_id_(), part_bytes);
     for (const auto& record : records) {
-        // Readers ignore a snapshot with a missing part. Since it is not read
-        // back, the schedule has another snapshot written later.
+        // Readers ignore a snapshot with a missing part. Since this one is
+        // never read back, the schedule makes another one due later.
         if (!log_.append(record))
             return false;
     }
--- a/src/libcyclamenrun/configuration/snapshot_writer.hpp
+++ b/src/libcyclamenrun/configuration/snapshot_writer.hpp
@@ -20,6 +20,7 @@
 class snapshot_writer
 {
 public:
+    /** Returns a new snapshot id, unique among all entries. */
     using id_function = std::function<std::uint64_t()>;
 
     snapshot_writer(platform_log& log, const configuration_store& store,
