--- a/src/libcyclamenrun/operators/change_sender.hpp
+++ b/src/libcyclamenrun/operators/change_sender.hpp
@@ -26,10 +26,10 @@
 /**
  * Sends an operator's change to an entry until its outcome is known.
  *
- * Guards against an answer that is lost after the change came into force, which
- * would be reported as the failure of a change that took effect. All attempts
- * have the same change id: FindChange returns the outcome if there is one, and
- * a second record with the same id has no effect.
+ * Guards against an answer that is lost after the change took effect: the
+ * change would be reported as failed. All attempts have the same change id:
+ * FindChange returns the outcome if there is one, and a second record with the
+ * same id has no effect.
  */
 class change_sender
 {
@@ -47,6 +47,7 @@
     time_point attempt_deadline(time_point deadline) const;
     rpc_outcome<v1::ApplyChangeResponse>
     send_once(const v1::ChangeRecord& change, time_point deadline) const;
+    /** Sets `response` and returns true if the change was accepted. */
     bool find(const v1::ChangeRecord& change, time_point deadline,
               v1::ApplyChangeResponse& response) const;
 
--- a/src/libcyclamenrun/operators/parsed_log_line.cpp
+++ b/src/libcyclamenrun/operators/parsed_log_line.cpp
@@ -55,16 +55,16 @@
     const auto event = json_string(*object, "event");
     if (!time || !event)
         return std::nullopt;
-    parsed_log_line record;
-    record.time = *time;
-    record.event = *event;
-    record.process = json_string(*object, "process").value_or("");
-    record.request_id = json_string(*object, "request_id").value_or("");
+    parsed_log_line parsed_line;
+    parsed_line.time = *time;
+    parsed_line.event = *event;
+    parsed_line.process = json_string(*object, "process").value_or("");
+    parsed_line.request_id = json_string(*object, "request_id").value_or("");
     for (const auto& name : object->getNames()) {
         if (!is_separate_member(name))
-            record.fields.emplace_back(name, object->get(name).toString());
+            parsed_line.fields.emplace_back(name, object->get(name).toString());
     }
-    return record;
+    return parsed_line;
 }
 
 std::optional<long long> ms_between(const std::string& earlier,
--- a/src/libcyclamenrun/operators/parsed_log_line.hpp
+++ b/src/libcyclamenrun/operators/parsed_log_line.hpp
@@ -15,12 +15,13 @@
     std::string time; ///< RFC 3339 in UTC, so that string order is time order
     std::string process;
     std::string event;
-    std::string
-        request_id; ///< empty for an event that is not about one request
+    /** Empty for an event that is not about one request. */
+    std::string request_id;
     /** The other fields except the severity, as text, in the order of the JSON
      * object. */
     std::vector<std::pair<std::string, std::string>> fields;
 
+    /** Returns the value of a field; empty if there is none. */
     std::string field(std::string_view name) const;
 };
 
@@ -31,8 +32,8 @@
  */
 std::optional<parsed_log_line> parse_log_line(const std::string& line);
 
-/** Milliseconds from one record's time to another's; empty if a time cannot be
- * parsed. */
+/** Returns the milliseconds between two times of log lines; empty if one cannot
+ * be parsed. */
 std::optional<long long> ms_between(const std::string& earlier,
                                     const std::string& later);
 
--- a/src/libcyclamenrun/operators/request_timeline.cpp
+++ b/src/libcyclamenrun/operators/request_timeline.cpp
@@ -19,7 +19,7 @@
 
 /** A log event that changes a part of a process's state. */
 struct state_event_row {
-    std::string_view about;
+    std::string_view part; ///< name of the part, as printed
     log_event_name event;
 };
 
@@ -48,10 +48,10 @@
     return found == state_events.end() ? nullptr : &*found;
 }
 
-/** Whether the state is about one upstream and not the whole process. */
-bool is_about_one_upstream(std::string_view about)
+/** Returns whether this part of the state exists once for each upstream. */
+bool is_state_of_upstream(std::string_view part)
 {
-    return about == "upstream";
+    return part == "upstream";
 }
 
 /** Returns the arrival time of a request. A line that is logged at the end of
@@ -60,15 +60,17 @@
 {
     const bool is_end =
         first.event != name_of(log_event_name::request_admitted);
-    const auto took = is_end ? first.field("duration_ms") : std::string();
+    const auto duration_ms =
+        is_end ? first.field("duration_ms") : std::string();
     long long ms = 0;
-    std::from_chars(took.data(), took.data() + took.size(), ms);
+    std::from_chars(duration_ms.data(), duration_ms.data() + duration_ms.size(),
+                    ms);
     return ms > 0 ? time_before(first.time, ms) : first.time;
 }
 
-void print_fields(std::ostream& to, const parsed_log_line& record)
+void print_fields(std::ostream& to, const parsed_log_line& line)
 {
-    for (const auto& [name, value] : record.fields) {
+    for (const auto& [name, value] : line.fields) {
         if (!value.empty())
             to << ' ' << name << '=' << value;
     }
@@ -84,14 +86,14 @@
 
 void request_timeline::add_line(const std::string& line)
 {
-    auto record = parse_log_line(line);
-    if (!record)
+    auto parsed = parse_log_line(line);
+    if (!parsed)
         return;
-    if (record->request_id == request_id_)
-        steps_.push_back(std::move(*record));
-    else if (record->request_id.empty() &&
-             find_state_event(record->event) != nullptr)
-        state_events_.push_back(std::move(*record));
+    if (parsed->request_id == request_id_)
+        steps_.push_back(std::move(*parsed));
+    else if (parsed->request_id.empty() &&
+             find_state_event(parsed->event) != nullptr)
+        state_events_.push_back(std::move(*parsed));
 }
 
 void request_timeline::sort()
@@ -134,24 +136,25 @@
     const auto first = std::find_if(
         steps_.begin(), steps_.end(),
         [&](const parsed_log_line& step) { return step.process == process; });
-    const auto moment = arrival_time(*first);
-    to << "\nwhat " << process << " believed at " << moment << ":\n";
-    // Each feed of the directory is lost and regained separately.
+    const auto arrival = arrival_time(*first);
+    to << "\nwhat " << process << " believed at " << arrival << ":\n";
+    // The key contains the name of the feed, since each feed of the directory
+    // is lost and regained separately.
     std::map<std::pair<std::string, std::string>, const parsed_log_line*>
         newest;
     for (const auto& state_event : state_events_) {
-        const auto about = find_state_event(state_event.event)->about;
-        if (state_event.process == process && state_event.time <= moment &&
-            !is_about_one_upstream(about))
-            newest[{std::string(about), state_event.field("name")}] =
+        const auto part = find_state_event(state_event.event)->part;
+        if (state_event.process == process && state_event.time <= arrival &&
+            !is_state_of_upstream(part))
+            newest[{std::string(part), state_event.field("name")}] =
                 &state_event;
     }
     if (newest.empty())
         to << "  nothing is in the logs\n";
     for (const auto& [key, state_event] : newest) {
-        const auto ago = ms_between(state_event->time, moment);
+        const auto age_ms = ms_between(state_event->time, arrival);
         to << "  " << std::left << std::setw(14) << key.first << ' '
-           << state_event->event << ' ' << ago.value_or(-1) << " ms before";
+           << state_event->event << ' ' << age_ms.value_or(-1) << " ms before";
         print_fields(to, *state_event);
     }
 }
@@ -160,15 +163,14 @@
 {
     const auto begin = arrival_time(steps_.front());
     const auto own_processes = processes();
-    const auto peers = upstreams();
+    const auto own_upstreams = upstreams();
     auto lines = steps_;
     for (const auto& state_event : state_events_) {
         const bool is_during_request =
             state_event.time >= begin && state_event.time <= steps_.back().time;
         const bool is_relevant =
-            !is_about_one_upstream(
-                find_state_event(state_event.event)->about) ||
-            peers.contains(state_event.field("upstream"));
+            !is_state_of_upstream(find_state_event(state_event.event)->part) ||
+            own_upstreams.contains(state_event.field("upstream"));
         if (is_during_request && is_relevant &&
             own_processes.contains(state_event.process))
             lines.push_back(state_event);
@@ -177,8 +179,8 @@
     to << "\nwhat happened, in ms since " << begin
        << " (*: not of this request alone):\n";
     for (const auto& line : lines) {
-        const auto at = ms_between(begin, line.time);
-        to << std::right << std::setw(8) << at.value_or(-1)
+        const auto offset_ms = ms_between(begin, line.time);
+        to << std::right << std::setw(8) << offset_ms.value_or(-1)
            << (line.request_id.empty() ? " * " : "   ") << line.process << ' '
            << line.event;
         print_fields(to, line);
--- a/src/libcyclamenrun/operators/request_timeline.hpp
+++ b/src/libcyclamenrun/operators/request_timeline.hpp
@@ -25,11 +25,12 @@
     {
     }
 
-    /** Adds one line of a log; lines may be added in any order. */
+    /** Adds one line of a log, in any order; skips lines that are no events. */
     void add_line(const std::string& line);
 
-    /** Whether no line has the id of the request. */
+    /** Returns whether no line has the id of the request. */
     bool empty() const { return steps_.empty(); }
+    /** Must not be called on an empty timeline. */
     void print(std::ostream& to);
 
 private:
--- a/src/libcyclamenrun/operators/resource_file.cpp
+++ b/src/libcyclamenrun/operators/resource_file.cpp
@@ -38,58 +38,61 @@
     return std::nullopt;
 }
 
-/** Copies a table's values into a resource; returns the errors found. */
-settings_errors convert(const service_table& entry, v1::Resource& resource,
+/**
+ * Copies a table's values into a resource; returns the errors found. `where`
+ * has the file, the line and the prefix of the keys for these errors.
+ */
+settings_errors convert(const service_table& table, v1::Resource& resource,
                         const settings_error& where)
 {
     auto& service = *resource.mutable_service();
-    const bool is_model = entry.kind == upstream_kind::model;
-    const auto objective = parse_objective(entry.objective);
+    const bool is_model = table.kind == upstream_kind::model;
+    const auto objective = parse_objective(table.objective);
     if (!objective)
         return {{settings_problem::not_allowed, where.file, where.line,
                  where.key + "objective",
                  "\"stall_time\" or \"token_latency\""}};
-    service.set_name(entry.name);
+    service.set_name(table.name);
     service.set_kind(is_model ? v1::SERVICE_KIND_MODEL
                               : v1::SERVICE_KIND_APPLICATION);
     service.set_objective(*objective);
-    service.set_model(entry.model);
-    service.set_max_output_tokens(entry.max_output_tokens);
-    service.set_max_prompt_tokens(entry.max_prompt_tokens);
-    service.set_default_deadline_ms(entry.default_deadline_ms);
+    service.set_model(table.model);
+    service.set_max_output_tokens(table.max_output_tokens);
+    service.set_max_prompt_tokens(table.max_prompt_tokens);
+    service.set_default_deadline_ms(table.default_deadline_ms);
     return {};
 }
 
-settings_errors convert(const team_table& entry, v1::Resource& resource,
+settings_errors convert(const team_table& table, v1::Resource& resource,
                         const settings_error& where)
 {
     auto& team = *resource.mutable_team();
-    const auto hash = parse_key_hash(entry.key_hash);
+    const auto hash = parse_key_hash(table.key_hash);
     if (!hash)
         return {{settings_problem::not_allowed, where.file, where.line,
                  where.key + "key_hash",
                  "SALT:HASH from `cyclamenrunctl key new TEAM`"}};
-    team.set_name(entry.name);
+    team.set_name(table.name);
     team.set_key_salt(hash->salt);
     team.set_key_hash(hash->hash);
-    team.set_weight(entry.weight);
-    team.set_max_concurrent(entry.max_concurrent);
-    team.set_tokens_per_second(entry.tokens_per_second);
-    for (const auto& service : entry.services)
+    team.set_weight(table.weight);
+    team.set_max_concurrent(table.max_concurrent);
+    team.set_tokens_per_second(table.tokens_per_second);
+    for (const auto& service : table.services)
         team.add_services(service);
     return {};
 }
 
-settings_errors convert(const assignment_table& entry, v1::Resource& resource,
+settings_errors convert(const assignment_table& table, v1::Resource& resource,
                         const settings_error& /*where*/)
 {
     auto& assignment = *resource.mutable_assignment();
-    assignment.set_name(entry.name);
-    assignment.set_service(entry.service);
-    assignment.set_model(entry.model);
-    assignment.set_adapter(entry.adapter);
-    assignment.set_version(entry.version);
-    assignment.set_role(entry.role);
+    assignment.set_name(table.name);
+    assignment.set_service(table.service);
+    assignment.set_model(table.model);
+    assignment.set_adapter(table.adapter);
+    assignment.set_version(table.version);
+    assignment.set_role(table.role);
     return {};
 }
 
@@ -114,8 +117,8 @@
     }
 
 private:
-    template <typename Entry>
-    void read_kind(std::string_view kind, settings_table (*rows)(Entry&))
+    template <typename Table>
+    void read_kind(std::string_view kind, settings_table (*rows)(Table&))
     {
         const auto* node = document_.get(kind);
         if (node == nullptr)
@@ -128,22 +131,22 @@
             return;
         }
         for (const auto& element : *list)
-            read_entry(*element.as_table(), kind, rows);
+            read_table(*element.as_table(), kind, rows);
     }
 
-    template <typename Entry>
-    void read_entry(const toml::table& table, std::string_view kind,
-                    settings_table (*rows)(Entry&))
+    template <typename Table>
+    void read_table(const toml::table& source, std::string_view kind,
+                    settings_table (*rows)(Table&))
     {
-        Entry entry;
-        const auto line = table.source().begin.line;
+        Table table;
+        const auto line = source.source().begin.line;
         const auto prefix = std::string(kind) + '.';
-        const auto row_table = rows(entry);
+        const auto row_table = rows(table);
         auto errors =
-            settings_table_reader(row_table, file_, prefix).read(table, line);
+            settings_table_reader(row_table, file_, prefix).read(source, line);
         v1::Resource resource;
         if (errors.empty())
-            errors = convert(entry, resource, {{}, file_, line, prefix, {}});
+            errors = convert(table, resource, {{}, file_, line, prefix, {}});
         for (auto& error : errors)
             report(std::move(error));
         resources_.push_back(std::move(resource));
@@ -170,62 +173,62 @@
 
 } // namespace
 
-settings_table service_rows(service_table& entry)
+settings_table service_rows(service_table& table)
 {
     return {
-        {"name", &entry.name, required, 1, max_name_bytes, "",
+        {"name", &table.name, required, 1, max_name_bytes, "",
          "Name, of a-z, 0-9 and '-'."},
-        {"kind", &entry.kind, required, 0, 0, "",
+        {"kind", &table.kind, required, 0, 0, "",
          "Whether the service's upstreams are model engines or application "
          "runners."},
-        {"objective", &entry.objective, optional, 0, 32, "",
+        {"objective", &table.objective, optional, 0, 32, "",
          "Objective that scheduling optimizes: stall_time or token_latency; "
          "models only."},
-        {"model", &entry.model, optional, 0, max_model_bytes, "",
+        {"model", &table.model, optional, 0, max_model_bytes, "",
          "Name of the model in callers' requests; models only."},
-        {"max_output_tokens", &entry.max_output_tokens, optional, 0, 1048576,
+        {"max_output_tokens", &table.max_output_tokens, optional, 0, 1048576,
          "tokens", "Maximum length of an answer; 0 means 65536."},
-        {"max_prompt_tokens", &entry.max_prompt_tokens, optional, 0, 4194304,
+        {"max_prompt_tokens", &table.max_prompt_tokens, optional, 0, 4194304,
          "tokens", "Maximum length of a prompt; 0 means 131072."},
-        {"default_deadline_ms", &entry.default_deadline_ms, optional, 0, day_ms,
+        {"default_deadline_ms", &table.default_deadline_ms, optional, 0, day_ms,
          "ms", "Deadline of a request that sets none; 0 means 600000."},
     };
 }
 
-settings_table team_rows(team_table& entry)
+settings_table team_rows(team_table& table)
 {
     return {
-        {"name", &entry.name, required, 1, max_name_bytes, "",
+        {"name", &table.name, required, 1, max_name_bytes, "",
          "Name, of a-z, 0-9 and '-'."},
-        {"key_hash", &entry.key_hash, required, 1, 128, "",
+        {"key_hash", &table.key_hash, required, 1, 128, "",
          "Salted hash of the team's key, from `cyclamenrunctl key new TEAM`."},
-        {"weight", &entry.weight, optional, 1, 1000, "",
+        {"weight", &table.weight, optional, 1, 1000, "",
          "Weight of the team's share when teams compete."},
-        {"max_concurrent", &entry.max_concurrent, optional, 0, 1e6, "requests",
+        {"max_concurrent", &table.max_concurrent, optional, 0, 1e6, "requests",
          "Maximum number of concurrent requests; 0 means no limit."},
-        {"tokens_per_second", &entry.tokens_per_second, optional, 0, 1e9,
+        {"tokens_per_second", &table.tokens_per_second, optional, 0, 1e9,
          "tokens/s",
          "Maximum rate of prompt and output tokens together; 0 means no "
          "limit."},
-        {"services", &entry.services, optional, 0, max_services, "",
+        {"services", &table.services, optional, 0, max_services, "",
          "Services that the team may use; empty means all."},
     };
 }
 
-settings_table assignment_rows(assignment_table& entry)
+settings_table assignment_rows(assignment_table& table)
 {
     return {
-        {"name", &entry.name, required, 1, max_name_bytes, "",
+        {"name", &table.name, required, 1, max_name_bytes, "",
          "Name, of a-z, 0-9 and '-'."},
-        {"service", &entry.service, required, 1, max_name_bytes, "",
+        {"service", &table.service, required, 1, max_name_bytes, "",
          "Service to whose engines the assignment applies."},
-        {"model", &entry.model, required, 1, max_model_bytes, "",
+        {"model", &table.model, required, 1, max_model_bytes, "",
          "Model to load."},
-        {"adapter", &entry.adapter, optional, 0, max_model_bytes, "",
+        {"adapter", &table.adapter, optional, 0, max_model_bytes, "",
          "Adapter to load, if any."},
-        {"version", &entry.version, optional, 0, max_model_bytes, "",
+        {"version", &table.version, optional, 0, max_model_bytes, "",
          "Version of the model."},
-        {"role", &entry.role, optional, 0, 16, "",
+        {"role", &table.role, optional, 0, 16, "",
          "Role of the engines: mixed, prefill or decode; empty means mixed."},
     };
 }
--- a/src/libcyclamenrun/operators/resource_file.hpp
+++ b/src/libcyclamenrun/operators/resource_file.hpp
@@ -43,9 +43,10 @@
     std::string role;
 };
 
-settings_table service_rows(service_table& entry);
-settings_table team_rows(team_table& entry);
-settings_table assignment_rows(assignment_table& entry);
+/** Rows whose targets are members of `table`, which must outlive them. */
+settings_table service_rows(service_table& table);
+settings_table team_rows(team_table& table);
+settings_table assignment_rows(assignment_table& table);
 
 /**
  * Parses a file that an operator wrote for `cyclamenrunctl apply`. Returns the
--- a/src/libcyclamenrun/operators/rpc_codec.hpp
+++ b/src/libcyclamenrun/operators/rpc_codec.hpp
@@ -22,8 +22,8 @@
 bool decode_rpc_body(rpc_encoding encoding, const std::string& body,
                      google::protobuf::Message& message);
 
-/** Empty if the message cannot be encoded, for example because a string is not
- * valid UTF-8. */
+/** Returns the encoded message; empty if it cannot be encoded, for example
+ * because a string is not valid UTF-8. */
 std::optional<std::string>
 encode_rpc_body(rpc_encoding encoding,
                 const google::protobuf::Message& message);
--- a/src/libcyclamenrun/operators/rpc_error.cpp
+++ b/src/libcyclamenrun/operators/rpc_error.cpp
@@ -26,20 +26,20 @@
 
 rpc_error parse_rpc_error(std::string_view body, int http_status)
 {
-    rpc_error unreadable{rpc_code::unknown,
-                         "HTTP status " + std::to_string(http_status),
-                         http_status >= 500};
+    rpc_error unknown_error{rpc_code::unknown,
+                            "HTTP status " + std::to_string(http_status),
+                            http_status >= 500};
     try {
         const auto object = Poco::JSON::Parser()
                                 .parse(std::string(body))
                                 .extract<Poco::JSON::Object::Ptr>();
         const auto code = parse_rpc_code(object->getValue<std::string>("code"));
         if (!code)
-            return unreadable;
+            return unknown_error;
         return {*code, object->optValue<std::string>("message", {}),
                 object->optValue("may_have_run", http_status >= 500)};
     } catch (const Poco::Exception&) {
-        return unreadable;
+        return unknown_error;
     }
 }
 
--- a/src/libcyclamenrun/operators/rpc_http_handler.cpp
+++ b/src/libcyclamenrun/operators/rpc_http_handler.cpp
@@ -18,6 +18,7 @@
 
 constexpr int method_not_allowed = 405;
 constexpr int content_too_large = 413;
+/** Timeout of a call without a valid `Connect-Timeout-Ms` header. */
 constexpr milliseconds default_timeout{10000};
 constexpr milliseconds max_timeout{60000};
 constexpr milliseconds write_timeout{10000};
