--- a/src/libcyclamenrun/settings/entry_settings.hpp
+++ b/src/libcyclamenrun/settings/entry_settings.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun
 {
 
-/** Limits on the sizes, connections and times of callers. */
+/** Limits on callers: sizes of messages, connections and timeouts. */
 struct entry_limits {
     std::uint64_t header_bytes = 16384;
     std::uint64_t body_bytes = 1048576;
@@ -32,11 +32,13 @@
     milliseconds heartbeat_interval{10000};
 };
 
+/** Deadlines of requests. */
 struct entry_deadlines {
     milliseconds default_value{600000};
     milliseconds max_value{3600000};
 };
 
+/** Times of a planned stop. */
 struct entry_drain {
     milliseconds balancer_wait{5000};
     milliseconds timeout{600000};
--- a/src/libcyclamenrun/settings/gateway_settings.hpp
+++ b/src/libcyclamenrun/settings/gateway_settings.hpp
@@ -42,11 +42,17 @@
     milliseconds balancer_wait{2500};
 };
 
+/** Rows whose targets are members of `settings`, which must outlive them. */
 settings_table gateway_rows(gateway_settings& settings);
+
+/** Messages name `file`. */
 settings_outcome<gateway_settings>
 parse_gateway_settings(std::string_view text, const std::string& file);
+
 settings_outcome<gateway_settings>
 read_gateway_settings(const std::string& file);
+
+/** Returns the text of a settings file with all defaults, as a template. */
 std::string default_gateway_settings();
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/settings/monitor_settings.hpp
+++ b/src/libcyclamenrun/settings/monitor_settings.hpp
@@ -24,11 +24,17 @@
     ip_endpoint directory{"127.0.0.1", 0};
 };
 
+/** Rows whose targets are members of `settings`, which must outlive them. */
 settings_table monitor_rows(monitor_settings& settings);
+
+/** Messages name `file`. */
 settings_outcome<monitor_settings>
 parse_monitor_settings(std::string_view text, const std::string& file);
+
 settings_outcome<monitor_settings>
 read_monitor_settings(const std::string& file);
+
+/** Returns the text of a settings file with all defaults, as a template. */
 std::string default_monitor_settings();
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/settings/process_settings.hpp
+++ b/src/libcyclamenrun/settings/process_settings.hpp
@@ -34,6 +34,7 @@
 
 /** Rows of the keys above the first section of the file. */
 settings_table process_rows(process_settings& settings);
+/** Rows of the section `[platform]`. */
 settings_table platform_rows(process_settings& settings);
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/settings/settings_file.hpp
+++ b/src/libcyclamenrun/settings/settings_file.hpp
@@ -8,7 +8,7 @@
 namespace cyclamenrun
 {
 
-/** Larger files are refused, since a wrong path may name any file. */
+/** Larger files are rejected, since a mistyped path may name any file. */
 inline constexpr std::size_t max_settings_file_bytes = 1U << 20U;
 
 /** Returns the file's bytes. The only error is `unreadable`. */
--- a/src/libcyclamenrun/settings/settings_link_key.cpp
+++ b/src/libcyclamenrun/settings/settings_link_key.cpp
@@ -11,9 +11,9 @@
 {
 
 settings_errors one_error(settings_problem problem, const std::string& file,
-                          std::string key, std::string allowed)
+                          std::string key, std::string detail)
 {
-    return {{problem, file, 0, std::move(key), std::move(allowed)}};
+    return {{problem, file, 0, std::move(key), std::move(detail)}};
 }
 
 std::string path_of(const std::string& key_file, const std::string& file)
--- a/src/libcyclamenrun/settings/settings_row.hpp
+++ b/src/libcyclamenrun/settings/settings_row.hpp
@@ -23,6 +23,7 @@
                  ip_endpoint*, secret*, std::vector<key_hash>*,
                  std::vector<std::string>*, log_severity*, upstream_kind*>;
 
+/** Whether a settings file may omit a setting. */
 enum class settings_presence : std::uint8_t {
     optional, ///< The member's initial value is the default.
     required, ///< The file must contain the setting.
@@ -41,7 +42,7 @@
     double minimum = 0;
     double maximum = 0;
     std::string_view unit;
-    std::string_view doc;
+    std::string_view doc; ///< description
 };
 
 using settings_table = std::vector<settings_row>;
--- a/src/libcyclamenrun/settings/settings_table_reader.cpp
+++ b/src/libcyclamenrun/settings/settings_table_reader.cpp
@@ -9,7 +9,7 @@
 namespace
 {
 
-using problem = std::optional<settings_problem>;
+using optional_problem = std::optional<settings_problem>;
 
 bool in_range(const settings_row& row, double number)
 {
@@ -24,7 +24,7 @@
     });
 }
 
-/** Stores one value in a row's target, or returns why it is refused. */
+/** Stores one value in a row's target, or returns why it is rejected. */
 class value_reader
 {
 public:
@@ -33,7 +33,7 @@
     {
     }
 
-    problem operator()(std::string* target) const
+    optional_problem operator()(std::string* target) const
     {
         const auto text = node_.value_exact<std::string>();
         if (!text)
@@ -45,7 +45,7 @@
         return {};
     }
 
-    problem operator()(std::uint64_t* target) const
+    optional_problem operator()(std::uint64_t* target) const
     {
         const auto number = node_.value_exact<std::int64_t>();
         if (!number)
@@ -56,7 +56,7 @@
         return {};
     }
 
-    problem operator()(double* target) const
+    optional_problem operator()(double* target) const
     {
         const auto number = node_.value<double>();
         if (!number || !node_.is_number())
@@ -67,7 +67,7 @@
         return {};
     }
 
-    problem operator()(bool* target) const
+    optional_problem operator()(bool* target) const
     {
         const auto flag = node_.value_exact<bool>();
         if (!flag)
@@ -76,40 +76,40 @@
         return {};
     }
 
-    problem operator()(milliseconds* target) const
+    optional_problem operator()(milliseconds* target) const
     {
         std::uint64_t number = 0;
-        const auto wrong = (*this)(&number);
-        if (!wrong)
+        const auto problem = (*this)(&number);
+        if (!problem)
             *target = milliseconds(number);
-        return wrong;
+        return problem;
     }
 
-    problem operator()(ip_endpoint* target) const
+    optional_problem operator()(ip_endpoint* target) const
     {
         return parse_text(target, parse_ip_endpoint);
     }
 
-    problem operator()(log_severity* target) const
+    optional_problem operator()(log_severity* target) const
     {
         return parse_text(target, parse_log_severity);
     }
 
-    problem operator()(upstream_kind* target) const
+    optional_problem operator()(upstream_kind* target) const
     {
         return parse_text(target, parse_upstream_kind);
     }
 
-    problem operator()(secret* target) const
+    optional_problem operator()(secret* target) const
     {
         std::string text;
-        const auto wrong = (*this)(&text);
-        if (!wrong)
+        const auto problem = (*this)(&text);
+        if (!problem)
             *target = secret(std::move(text));
-        return wrong;
+        return problem;
     }
 
-    problem operator()(std::vector<std::string>* target) const
+    optional_problem operator()(std::vector<std::string>* target) const
     {
         const auto* list = node_.as_array();
         if (list == nullptr)
@@ -125,12 +125,12 @@
         return {};
     }
 
-    problem operator()(std::vector<key_hash>* target) const
+    optional_problem operator()(std::vector<key_hash>* target) const
     {
         std::vector<std::string> texts;
-        const auto wrong = (*this)(&texts);
-        if (wrong)
-            return wrong;
+        const auto problem = (*this)(&texts);
+        if (problem)
+            return problem;
         for (const auto& text : texts) {
             const auto hash = parse_key_hash(text);
             if (!hash)
@@ -142,7 +142,7 @@
 
 private:
     template <typename Value, typename Parser>
-    problem parse_text(Value* target, Parser parser) const
+    optional_problem parse_text(Value* target, Parser parser) const
     {
         const auto text = node_.value_exact<std::string>();
         if (!text)
@@ -206,9 +206,9 @@
                                        std::uint32_t line)
 {
     seen_.insert(row.key);
-    const auto wrong = std::visit(value_reader(row, node), row.target);
-    if (wrong)
-        report(*wrong, line, row.key, allowed_values(row));
+    const auto problem = std::visit(value_reader(row, node), row.target);
+    if (problem)
+        report(*problem, line, row.key, allowed_values(row));
 }
 
 const settings_row* settings_table_reader::find_row(std::string_view key) const
@@ -227,7 +227,6 @@
     });
 }
 
-/** Lists the known keys of the section that has an unknown key. */
 std::string
 settings_table_reader::known_keys_in(const std::string& prefix) const
 {
@@ -242,10 +241,10 @@
 }
 
 void settings_table_reader::report(settings_problem what, std::uint32_t line,
-                                   std::string_view key, std::string allowed)
+                                   std::string_view key, std::string detail)
 {
-    errors_.push_back({what, file_, line, key_prefix_ + std::string(key),
-                       std::move(allowed)});
+    errors_.push_back(
+        {what, file_, line, key_prefix_ + std::string(key), std::move(detail)});
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/settings/settings_table_reader.hpp
+++ b/src/libcyclamenrun/settings/settings_table_reader.hpp
@@ -29,9 +29,10 @@
                     std::uint32_t line);
     const settings_row* find_row(std::string_view key) const;
     bool is_section(const std::string& key) const;
+    /** Lists the known keys of a section, for the report of an unknown one. */
     std::string known_keys_in(const std::string& prefix) const;
     void report(settings_problem what, std::uint32_t line, std::string_view key,
-                std::string allowed);
+                std::string detail);
 
     const settings_table& table_;
     const std::string& file_;
