--- a/src/libcyclamenrun/observability/exported_metric.hpp
+++ b/src/libcyclamenrun/observability/exported_metric.hpp
@@ -49,7 +49,7 @@
 enum class exported_kind : std::uint8_t {
     counter,
     gauge,
-    histogram, ///< buckets in seconds
+    histogram, ///< of durations, in seconds
 };
 
 std::string_view name_of(exported_kind kind);
--- a/src/libcyclamenrun/observability/exported_metrics.hpp
+++ b/src/libcyclamenrun/observability/exported_metrics.hpp
@@ -29,11 +29,14 @@
 
     /** Adds to a counter; label values in the order of the label names. */
     void count(exported_metric id, label_values labels = {}, double by = 1);
+    /** Sets a gauge. */
     void set(exported_metric id, label_values labels, double value);
     /** Raises a counter that is maintained elsewhere to `total`. */
     void set_counter(exported_metric id, label_values labels, double total);
+    /** Adds a sample to a histogram. */
     void observe(exported_metric id, label_values labels, duration value);
 
+    /** Returns all metrics in the text exposition format. */
     std::string text() const;
 
     static constexpr std::size_t max_series = 256;
--- a/src/libcyclamenrun/observability/line_output.cpp
+++ b/src/libcyclamenrun/observability/line_output.cpp
@@ -21,8 +21,8 @@
 
 } // namespace
 
-line_output::line_output(int descriptor, std::size_t queued_bytes)
-    : descriptor_(descriptor), max_queued_bytes_(queued_bytes)
+line_output::line_output(int descriptor, std::size_t max_queued_bytes)
+    : descriptor_(descriptor), max_queued_bytes_(max_queued_bytes)
 {
 }
 
@@ -79,7 +79,7 @@
         if (count < 0 && errno == EINTR)
             continue;
         if (count <= 0) {
-            // The reader has closed the descriptor: discard the queued lines.
+            // The reader has closed its end: discard the queued lines.
             done = queue_.size();
             break;
         }
--- a/src/libcyclamenrun/observability/line_output.hpp
+++ b/src/libcyclamenrun/observability/line_output.hpp
@@ -15,7 +15,7 @@
 /**
  * Writes lines to a file descriptor without blocking on its reader. Lines that
  * the descriptor does not accept are queued up to a bound; further lines are
- * dropped. Guards against a pipe that nobody reads: a plain write would block
+ * dropped. Guards against a pipe that is not read: a plain write would block
  * the thread that serves requests.
  *
  * The descriptor is not set to O_NONBLOCK, since a terminal or a pipe may be
@@ -28,7 +28,7 @@
     static constexpr std::size_t default_queued_bytes = std::size_t(1) << 20;
 
     explicit line_output(int descriptor,
-                         std::size_t queued_bytes = default_queued_bytes);
+                         std::size_t max_queued_bytes = default_queued_bytes);
     /** Writes queued lines; waits a bounded time for a slow reader. */
     ~line_output();
     line_output(const line_output&) = delete;
--- a/src/libcyclamenrun/observability/log_event.cpp
+++ b/src/libcyclamenrun/observability/log_event.cpp
@@ -20,7 +20,7 @@
 
 /**
  * The destination of log lines. start_logging() sets the process name and the
- * writer before other threads start. The lock protects the budget and the
+ * writer before other threads start. The lock protects the rate limiter and the
  * counts, and serializes calls of the writer.
  */
 class log_target
@@ -31,18 +31,18 @@
         const std::lock_guard lock(mutex_);
         process_ = settings.process;
         writer_ = std::move(writer);
-        budget_ = log_rate_limiter(settings.lines_per_s);
+        rate_limiter_ = log_rate_limiter(settings.lines_per_s);
         unreported_ = {};
     }
 
-    /** Returns whether the budget allows a line of this severity; counts the
-     * line as dropped if not. Called before the line is built. */
+    /** Returns whether the rate limit allows a line of this severity; counts
+     * the line as dropped if not. Called before the line is built. */
     bool admit(log_severity severity)
     {
         const std::lock_guard lock(mutex_);
-        if (budget_.try_consume(severity, steady_now()))
+        if (rate_limiter_.try_consume(severity, steady_now()))
             return true;
-        drop(severity);
+        count_dropped(severity);
         return false;
     }
 
@@ -53,7 +53,7 @@
         if (!writer_)
             return;
         if (!report_dropped() || !writer_(severity, line))
-            drop(severity);
+            count_dropped(severity);
     }
 
     std::string format(std::chrono::system_clock::time_point at,
@@ -66,14 +66,14 @@
     dropped_lines dropped() const
     {
         const std::lock_guard lock(mutex_);
-        return all_;
+        return total_dropped_;
     }
 
 private:
-    void drop(log_severity severity)
+    void count_dropped(log_severity severity)
     {
         unreported_.add(severity);
-        all_.add(severity);
+        total_dropped_.add(severity);
     }
 
     /** Logs the number of dropped lines; returns false if the writer has no
@@ -98,9 +98,9 @@
     mutable std::mutex mutex_;
     std::string process_;
     log_writer writer_;
-    log_rate_limiter budget_{log_settings::default_log_lines_per_s};
+    log_rate_limiter rate_limiter_{log_settings::default_log_lines_per_s};
     dropped_lines unreported_;
-    dropped_lines all_;
+    dropped_lines total_dropped_;
 };
 
 log_target& target()
@@ -115,7 +115,7 @@
                                          : static_cast<log_severity>(severity);
 }
 
-/** Receives our own formatted lines; glog calls it under its own lock. */
+/** Receives the lines of log_event_at(); glog calls it under its own lock. */
 class line_sink : public google::LogSink
 {
 public:
@@ -137,13 +137,13 @@
               const google::LogMessageTime&, const char* message,
               size_t size) override
     {
-        const auto known = to_log_severity(severity);
+        const auto event_severity = to_log_severity(severity);
         const log_field text(log_key::detail, std::string_view(message, size));
-        if (target().admit(known))
-            target().write(
-                known,
-                target().format(std::chrono::system_clock::now(), known,
-                                log_event_name::library_message, {&text, 1}));
+        if (target().admit(event_severity))
+            target().write(event_severity,
+                           target().format(
+                               std::chrono::system_clock::now(), event_severity,
+                               log_event_name::library_message, {&text, 1}));
     }
 };
 
--- a/src/libcyclamenrun/observability/log_event_name.cpp
+++ b/src/libcyclamenrun/observability/log_event_name.cpp
@@ -82,7 +82,8 @@
                   "looks for a snapshot."},
     log_event_row{
         log_event_name::configuration_from_peer, "configuration_from_peer",
-        "The log is unavailable; this entry received its state from an agent."},
+        "The log is unavailable or deleted unread records; this entry received "
+        "its state from an agent."},
     log_event_row{log_event_name::log_service_unavailable,
                   "log_service_unavailable",
                   "The platform's log does not respond."},
@@ -133,15 +134,16 @@
     log_event_row{log_event_name::generation_move_failed,
                   "generation_move_failed",
                   "An attempt to move a running generation failed."},
-    log_event_row{
-        log_event_name::generation_continued, "generation_continued",
-        "A generation continues from a copy after its engine was lost."},
+    log_event_row{log_event_name::generation_continued, "generation_continued",
+                  "A generation continues from its backup copy after its "
+                  "engine was lost."},
     log_event_row{
         log_event_name::generation_backed_up, "generation_backed_up",
-        "A copy of a generation is kept at another engine as it grows."},
+        "A backup copy of a generation is kept at another engine and updated "
+        "as the generation grows."},
     log_event_row{log_event_name::crash_seen, "crash_seen",
                   "An engine closed a stream without notice; the gateway "
-                  "starts to keep copies."},
+                  "starts to keep backup copies."},
     log_event_row{log_event_name::directory_lost, "directory_lost",
                   "The platform's directory does not respond."},
     log_event_row{log_event_name::directory_regained, "directory_regained",
--- a/src/libcyclamenrun/observability/log_field.hpp
+++ b/src/libcyclamenrun/observability/log_field.hpp
@@ -14,7 +14,7 @@
 namespace cyclamenrun
 {
 
-/** Keys of the fields of log events. */
+/** Keys of the fields of log events, named as they are written. */
 enum class log_key : std::uint8_t {
     address,
     age_ms,
--- a/src/libcyclamenrun/observability/logging.hpp
+++ b/src/libcyclamenrun/observability/logging.hpp
@@ -17,8 +17,12 @@
     log_severity min_severity = log_severity::info;
     double lines_per_s = default_log_lines_per_s;
 
-    /** More than twice the peak of a gateway in the largest supported
-     * installation. */
+    /**
+     * More than twice the peak of a gateway. In the largest supported
+     * installation, where a gateway answers 10 requests per second, a gateway
+     * logged at most 85 lines in one second and 27 lines per second on average
+     * while faults occurred.
+     */
     static constexpr double default_log_lines_per_s = 200;
 };
 
@@ -33,10 +37,10 @@
 log_writer standard_output_writer();
 
 /**
- * Configures glog to write JSON lines: our own events unchanged, messages of
- * libraries wrapped as `library_message`. main() calls it once before it
- * starts a thread. Lines that the budget or the writer drop are counted and
- * reported in `log_lines_dropped` once there is room again.
+ * Configures glog to write JSON lines: events as log_event() formats them,
+ * messages of libraries wrapped as `library_message`. main() calls it once
+ * before it starts a thread. Lines that the budget or the writer drop are
+ * counted and reported in `log_lines_dropped` once there is room again.
  */
 void start_logging(const log_settings& settings, log_writer writer);
 
