--- a/src/ctl/change_command.cpp
+++ b/src/ctl/change_command.cpp
@@ -38,7 +38,7 @@
 } // namespace
 
 change_command::change_command(const ctl_options& options)
-    : session_(options), json_(options.json)
+    : client_(options), json_(options.json)
 {
 }
 
@@ -72,7 +72,7 @@
         return report_rpc_error(current.error());
     if (!*current || !(*current)->has_resource()) {
         std::cerr << "error: there is no " << describe(kind, name)
-                  << "\n`cyclamenrunctl show` lists what there is.\n";
+                  << "\n`cyclamenrunctl show` lists the existing resources.\n";
         return exit_code::not_found;
     }
     v1::ChangeRecord record;
@@ -85,7 +85,7 @@
 exit_code change_command::wait_in_force() const
 {
     for (;;) {
-        const auto response = session_.list_revisions();
+        const auto response = client_.list_revisions();
         if (!response)
             return report_rpc_error(response.error());
         if (all_reached(*response, newest_revision_)) {
@@ -94,12 +94,13 @@
                           << " processes\n";
             return exit_code::ok;
         }
-        if (steady_now() + poll_interval >= session_.deadline()) {
+        if (steady_now() + poll_interval >= client_.deadline()) {
             std::cerr << "error: revision " << newest_revision_
                       << " is accepted but not yet in force everywhere\n";
             print_revisions(*response, std::cerr);
-            std::cerr << "It stays accepted. Check the processes with an older "
-                         "revision, or watch `cyclamenrunctl revisions`.\n";
+            std::cerr
+                << "The change stays accepted. Check the processes with "
+                   "an older revision, or watch `cyclamenrunctl revisions`.\n";
             return exit_code::not_in_force;
         }
         std::this_thread::sleep_for(poll_interval);
@@ -109,7 +110,7 @@
 exit_code change_command::change(v1::ChangeRecord record)
 {
     record.set_change_id(make_change_id());
-    const auto answer = session_.apply_change(record);
+    const auto answer = client_.apply_change(record);
     if (!answer) {
         std::cerr << describe(record.kind(), record.name()) << ":\n";
         return report_rpc_error(answer.error());
@@ -165,7 +166,7 @@
 change_command::find(v1::ResourceKind kind, const std::string& name)
 {
     if (!listed_.contains(kind)) {
-        auto response = session_.list_resources(kind, true);
+        auto response = client_.list_resources(kind, true);
         if (!response)
             return tl::unexpected(response.error());
         listed_.emplace(kind, std::move(*response));
--- a/src/ctl/change_command.hpp
+++ b/src/ctl/change_command.hpp
@@ -22,12 +22,13 @@
 
     /** Creates or updates a resource unless it already has this content. */
     exit_code put(const v1::Resource& resource);
+    /** Deletes a resource; exit_code::not_found if there is none. */
     exit_code remove(v1::ResourceKind kind, const std::string& name);
 
     /**
      * Waits until all changes made by this command are in force in every known
-     * process. Returns exit_code::not_in_force if they are not by the session's
-     * deadline, or the exit code of the error if an RPC fails.
+     * process. Returns exit_code::not_in_force if they are not by the deadline,
+     * or the exit code of the error if an RPC fails.
      */
     exit_code wait_in_force() const;
 
@@ -37,13 +38,15 @@
                      const v1::ApplyChangeResponse& response);
     exit_code report_conflict(const v1::ChangeRecord& record,
                               const v1::Conflict& conflict) const;
+    /** Returns the resource or its tombstone; empty if there is neither. */
     rpc_outcome<std::optional<v1::ResourceState>> find(v1::ResourceKind kind,
                                                        const std::string& name);
 
-    operator_client session_;
+    operator_client client_;
     bool json_;
     /** Resources of each kind, as first queried. */
     std::map<v1::ResourceKind, v1::ListResourcesResponse> listed_;
+    /** The revision that wait_in_force() waits for. */
     std::uint64_t newest_revision_ = 0;
 };
 
--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -28,6 +28,7 @@
     return text;
 }
 
+/** Converts the name of a kind, in singular or plural. */
 v1::ResourceKind kind_of(const std::string& word)
 {
     if (word.starts_with("service"))
@@ -43,9 +44,9 @@
 {
     constexpr std::size_t max_bytes = 63;
     constexpr const char* allowed = "abcdefghijklmnopqrstuvwxyz0123456789-";
-    const bool is_good = !name.empty() && name.size() <= max_bytes &&
-                         name.find_first_not_of(allowed) == std::string::npos;
-    return is_good ? "" : "a name has 1 to 63 of a-z, 0-9 and '-'";
+    const bool is_valid = !name.empty() && name.size() <= max_bytes &&
+                          name.find_first_not_of(allowed) == std::string::npos;
+    return is_valid ? "" : "a name has 1 to 63 of a-z, 0-9 and '-'";
 }
 
 std::string without_line_end(std::string text)
--- a/src/ctl/commands.hpp
+++ b/src/ctl/commands.hpp
@@ -14,8 +14,9 @@
 
 /**
  * The commands of cyclamenrunctl. Each prints its result and returns the exit
- * code of the process. `wait`: after the changes, wait until they are in force
- * in every known process; exit_code::not_in_force if the deadline passes first.
+ * code of the process. With `wait`, a command then waits until its changes are
+ * in force in every known process, and returns exit_code::not_in_force if the
+ * deadline passes first.
  */
 exit_code run_apply(const ctl_options& options, const std::string& file,
                     bool wait);
