--- a/tests/settings/test_docs.cpp
+++ b/tests/settings/test_docs.cpp
@@ -34,13 +34,14 @@
     return {std::istreambuf_iterator<char>(file), {}};
 }
 
+/** Returns the text of a file in docs/. */
 std::string page(const std::string& name)
 {
     return read_all(std::filesystem::path(CYCLAMENRUN_SOURCE_DIR) / "docs" /
                     name);
 }
 
-/** All sources of the library except the files with this name. */
+/** Returns all sources of the library except those with this stem. */
 std::string sources_except(const std::string& name)
 {
     std::string text;
@@ -54,13 +55,14 @@
     return text;
 }
 
-template <typename Entry>
-std::string reference_of(settings_table (*rows)(Entry&))
+template <typename Settings>
+std::string reference_of(settings_table (*rows)(Settings&))
 {
-    Entry entry;
-    return write_settings_reference(rows(entry));
+    Settings settings;
+    return write_settings_reference(rows(settings));
 }
 
+/** Returns a row of a Markdown table. */
 std::string row(std::initializer_list<std::string_view> cells)
 {
     std::string text = "|";
@@ -103,18 +105,18 @@
 TEST(docs, log_events_and_metrics_are_documented_and_used)
 {
     const auto text = page("OPERATIONS.md");
-    const auto sources = sources_except("log_event_name");
+    const auto event_users = sources_except("log_event_name");
     for (const auto& each : log_event_table()) {
         EXPECT_THAT(text, HasSubstr(row({code(each.name), each.doc})));
-        EXPECT_NE(sources.find("log_event_name::" + std::string(each.name)),
+        EXPECT_NE(event_users.find("log_event_name::" + std::string(each.name)),
                   std::string::npos)
             << each.name << " is never logged";
     }
-    const auto others = sources_except("metric");
+    const auto metric_users = sources_except("metric");
     for (const auto& each : metric_table()) {
         EXPECT_THAT(text,
                     HasSubstr(row({code(each.name), each.unit, each.doc})));
-        EXPECT_NE(others.find("metric::" + std::string(each.name)),
+        EXPECT_NE(metric_users.find("metric::" + std::string(each.name)),
                   std::string::npos)
             << each.name << " is never recorded";
     }
@@ -194,13 +196,13 @@
         const auto dot = name.find('.');
         ASSERT_NE(dot, std::string::npos) << line;
         const auto call = name.substr(0, dot) + ", " + name.substr(dot + 1);
-        const bool there =
+        const bool exists =
             sources.find("TEST(" + call + ")") != std::string::npos ||
             sources.find("TEST_F(" + call + ")") != std::string::npos ||
             sources.find("RC_GTEST_PROP(" + call + ",") != std::string::npos ||
             sources.find("TEST_F(" + name.substr(0, dot) + ",\n       " +
                          name.substr(dot + 1) + ")") != std::string::npos;
-        EXPECT_TRUE(there) << name;
+        EXPECT_TRUE(exists) << name;
         ++named;
     }
     EXPECT_GE(named, 30);
