--- a/bench/bench_entry.cpp
+++ b/bench/bench_entry.cpp
@@ -95,7 +95,7 @@
     if (kind_ == policy_kind::least_load)
         reports_[latest.upstream] = latest;
     else
-        router_.report(latest, now);
+        router_.update_report(latest, now);
 }
 
 } // namespace cyclamenrun::bench
--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -107,7 +107,8 @@
     auto routes = std::make_shared<route_table>(settings);
     routes->members().on_list(agents_of_one_service(agents), start);
     for (const auto& agent : routes->members().subset())
-        routes->report(report_of(std::stoul(agent.upstream.substr(3))), start);
+        routes->update_report(report_of(std::stoul(agent.upstream.substr(3))),
+                              start);
     return routes;
 }
 
@@ -293,7 +294,7 @@
     return time_each(50'000, [&](int) {
         link::HeartbeatReply parsed;
         parsed.ParseFromString(bytes);
-        routes->report(parsed.load(), start);
+        routes->update_report(parsed.load(), start);
         (void)heartbeat().SerializeAsString();
     });
 }
--- a/bench/decision_cost_command.cpp
+++ b/bench/decision_cost_command.cpp
@@ -71,7 +71,7 @@
         load.running = i % 40;
         load.memory_tokens_used = 800 * (i % 40);
         load.memory_tokens_total = 32'768;
-        routes.report(load, begin);
+        routes.update_report(load, begin);
     }
 }
 
--- a/src/libcyclamenrun/entry/entry_core.cpp
+++ b/src/libcyclamenrun/entry/entry_core.cpp
@@ -226,7 +226,7 @@
         routes_.completed(service, upstream, clock_());
     };
     hooks.load = [this](const link::LoadReport& load) {
-        routes_.report(load, clock_());
+        routes_.update_report(load, clock_());
     };
     hooks.tokens_sent = [this](const std::string& team, std::uint64_t tokens) {
         teams_.record_output(team, tokens);
@@ -362,7 +362,7 @@
 {
     const auto now = clock_();
     routes_.members().on_connected(upstream);
-    routes_.report(reply.load(), now);
+    routes_.update_report(reply.load(), now);
     poison_.read_marks(upstream, reply, now);
     agent_states_.with(upstream, [&](agent_state_map& states) {
         auto& state = states[upstream];
--- a/src/libcyclamenrun/entry/entry_process.cpp
+++ b/src/libcyclamenrun/entry/entry_process.cpp
@@ -298,7 +298,7 @@
     link::LoadReport load;
     if (!load.ParseFromString(*answer))
         return tl::unexpected(outcome_unknown(refusal_reason::protocol_error));
-    core_->routes().report(load, steady_now());
+    core_->routes().update_report(load, steady_now());
     v1::DrainUpstreamResponse response;
     response.set_running(load.running());
     return response;
--- a/src/libcyclamenrun/membership/agent_uptimes.hpp
+++ b/src/libcyclamenrun/membership/agent_uptimes.hpp
@@ -13,9 +13,9 @@
 {
 
 /**
- * Estimates agents' uptimes from their last reports, so that a ticket's expiry
- * can be expressed as its agent's uptime. The transit time of a report makes
- * the estimate too low, so that a ticket may expire early but never late.
+ * Estimates agents' uptimes from their last reports. A ticket's expiry is given
+ * as an uptime of its agent. The transit time of a report makes the estimate
+ * too low, so that a ticket may expire early but never late.
  */
 class agent_uptimes
 {
@@ -28,6 +28,7 @@
     void record_report(const std::string& upstream, std::uint64_t incarnation,
                        std::uint64_t uptime_ms, time_point now);
     void remove(const std::string& upstream);
+    /** Empty if the upstream's agent has sent no report. */
     std::optional<estimate> estimate_of(const std::string& upstream,
                                         time_point now) const;
 
--- a/src/libcyclamenrun/membership/domain_cut_detector.hpp
+++ b/src/libcyclamenrun/membership/domain_cut_detector.hpp
@@ -12,8 +12,8 @@
 /**
  * Distinguishes a failure domain that is cut off from single failed upstreams.
  * A domain counts as cut off when at least half of its known upstreams, and at
- * least two, become suspects at about the same time. It counts as connected
- * again when a suspect is cleared and fewer than that number remain.
+ * least two, become suspects within `suspect_window`. It counts as connected
+ * again when a suspect is cleared and fewer suspects than that remain.
  */
 class domain_cut_detector
 {
--- a/src/libcyclamenrun/membership/membership.cpp
+++ b/src/libcyclamenrun/membership/membership.cpp
@@ -102,8 +102,8 @@
             return known.second.is_forgotten(now);
         });
     }
-    for (const auto& lost : unlisted_suspects)
-        record_suspicion(lost, false, now);
+    for (const auto& unlisted : unlisted_suspects)
+        record_suspicion(unlisted, false, now);
 }
 
 void membership::choose_subsets()
--- a/src/libcyclamenrun/membership/membership.hpp
+++ b/src/libcyclamenrun/membership/membership.hpp
@@ -70,8 +70,10 @@
     void on_connected(const std::string& upstream);
     void on_connection_lost(const std::string& upstream, time_point now);
     void on_missed_heartbeat(const std::string& upstream, time_point now);
-    /** Records that the agent of the upstream was lost while it had work of
-     * this entry. */
+    /**
+     * Records that the agent of the upstream was lost while it had work of
+     * this entry.
+     */
     void on_failure(const std::string& upstream, time_point now);
     /** Handles the report that comes with an answer or heartbeat reply. */
     void on_reply(const std::string& upstream, const agent_report& report,
@@ -86,7 +88,7 @@
     /** The subsets of all services: upstreams to keep connections to. */
     std::vector<candidate> subset() const;
 
-    /** Ids of the entries that are live in the list, and of this entry. */
+    /** Ids of this entry and of the entries that are live in the list. */
     std::vector<std::string> entries() const;
 
     /**
@@ -95,6 +97,7 @@
      */
     bool is_cut_off(const std::string& failure_domain) const;
 
+    /** Bound on the VMs of a list; further ones are ignored. */
     static constexpr std::size_t max_vms = 8192;
 
 private:
--- a/src/libcyclamenrun/membership/route_table.cpp
+++ b/src/libcyclamenrun/membership/route_table.cpp
@@ -111,26 +111,26 @@
                   [&](router& router) { router.completed(upstream, now); });
 }
 
-void route_table::report(const link::LoadReport& load, time_point now)
+void route_table::update_report(const link::LoadReport& load, time_point now)
 {
     if (load.upstream().empty())
         return;
     members_.on_reply(load.upstream(),
                       {load.incarnation(), load.leaving(), load.ready()}, now);
-    clocks_.record_report(load.upstream(), load.incarnation(), load.uptime_ms(),
-                          now);
+    uptimes_.record_report(load.upstream(), load.incarnation(),
+                           load.uptime_ms(), now);
     const auto known = members_.find(load.upstream());
     if (!known)
         return;
     const auto latest = read_report(load);
     routers_.with(known->service,
-                  [&](router& router) { router.report(latest, now); });
+                  [&](router& router) { router.update_report(latest, now); });
 }
 
 std::optional<agent_uptimes::estimate>
 route_table::agent_uptime(const std::string& upstream, time_point now) const
 {
-    return clocks_.estimate_of(upstream, now);
+    return uptimes_.estimate_of(upstream, now);
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/route_table.hpp
+++ b/src/libcyclamenrun/membership/route_table.hpp
@@ -41,6 +41,7 @@
 public:
     explicit route_table(const route_table_settings& settings);
 
+    /** Chooses an upstream; `suspect`: the request may crash the engine. */
     outcome<route_target> choose(const relay_request& request, objective goal,
                                  const std::vector<std::string>& excluded,
                                  bool suspect, time_point now);
@@ -48,8 +49,8 @@
                     time_point now);
     void completed(const std::string& service, const std::string& upstream,
                    time_point now);
-    /** Applies a report that came with an answer or a heartbeat. */
-    void report(const link::LoadReport& load, time_point now);
+    /** Applies a report that came with an answer or a heartbeat reply. */
+    void update_report(const link::LoadReport& load, time_point now);
     /** The agent's incarnation and estimated uptime, for a ticket. */
     std::optional<agent_uptimes::estimate>
     agent_uptime(const std::string& upstream, time_point now) const;
@@ -64,7 +65,7 @@
     route_table_settings settings_;
     membership members_;
     sharded<router> routers_;
-    agent_uptimes clocks_;
+    agent_uptimes uptimes_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/router.cpp
+++ b/src/libcyclamenrun/membership/router.cpp
@@ -68,7 +68,7 @@
 {
 }
 
-void router::report(const load_report& latest, time_point now)
+void router::update_report(const load_report& latest, time_point now)
 {
     state_of(latest.upstream).load.update_report(latest, now);
 }
--- a/src/libcyclamenrun/membership/router.hpp
+++ b/src/libcyclamenrun/membership/router.hpp
@@ -49,8 +49,8 @@
 public:
     router(router_settings settings, std::uint64_t seed);
 
-    void report(const load_report& latest, time_point now);
-    /** Applies a cache event of an upstream. Events may be late or lost. */
+    void update_report(const load_report& latest, time_point now);
+    // Cache events of an upstream. They may be late or lost.
     void cached(const std::string& upstream,
                 std::span<const std::uint64_t> blocks);
     void evicted(const std::string& upstream, std::uint64_t block);
@@ -80,9 +80,14 @@
 
     tracked_upstream& state_of(const std::string& upstream);
     const tracked_upstream* find(const std::string& upstream) const;
+    /** Sets `sampled_` to the candidates to compare. */
     void sample(const route_request& request,
                 std::span<const candidate> candidates);
-    /** Uses rendezvous hashing, so that entries agree without coordination. */
+    /**
+     * Adds the upstreams that the prompt's prefix, or a suspect request's
+     * fingerprint, selects by rendezvous hashing. All entries select the same
+     * ones without coordination.
+     */
     void add_affinity_candidates(const route_request& request,
                                  std::span<const candidate> candidates);
     bool usable(const route_request& request, const candidate& target) const;
@@ -92,7 +97,7 @@
     router_settings settings_;
     std::mt19937_64 random_;
     std::unordered_map<std::string, tracked_upstream> upstreams_;
-    std::vector<std::size_t> sampled_; ///< kept to reuse its memory
+    std::vector<std::size_t> sampled_; ///< indexes; kept to reuse its memory
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/subset.cpp
+++ b/src/libcyclamenrun/membership/subset.cpp
@@ -55,7 +55,7 @@
 
 /**
  * Sets quotas by the largest remainder method. Each domain whose quota is 0
- * then gets one place of the domain with the largest quota, as long as that
+ * then takes one place from the domain with the largest quota, as long as that
  * quota is at least 2.
  */
 void set_quotas(std::map<domain_name, ranked_domain>& domains,
--- a/src/libcyclamenrun/membership/subset.hpp
+++ b/src/libcyclamenrun/membership/subset.hpp
@@ -24,8 +24,9 @@
 };
 
 /**
- * Returns a subset size at which each of `upstreams` is in the subsets of about
- * `overlap` of the `entries`.
+ * Returns the subset size, within the bounds of `settings`, at which each
+ * upstream is in the subsets of about `overlap` entries. `upstreams` and
+ * `entries` are counts.
  */
 std::size_t subset_size(const subset_settings& settings, std::size_t upstreams,
                         std::size_t entries);
@@ -34,8 +35,8 @@
  * Returns at most `size` of the upstreams. Each failure domain gets a number of
  * places in proportion to its upstreams, and at least one while `size` allows.
  * A rendezvous hash of entry and upstream selects the upstreams of a domain, so
- * that subsets differ between entries, upstreams are in about equally many
- * subsets, and one that joins or leaves changes about one place.
+ * that subsets differ between entries, each upstream is in about equally many
+ * subsets, and an upstream that joins or leaves changes about one place.
  */
 std::vector<std::string> choose_subset(std::string_view entry,
                                        const std::vector<vm>& upstreams,
--- a/src/libcyclamenrun/membership/suspicion.cpp
+++ b/src/libcyclamenrun/membership/suspicion.cpp
@@ -8,7 +8,9 @@
 namespace
 {
 
-constexpr int connection_points = 2;
+// A lost connection, recent failures and up to four missed heartbeats give at
+// most 2 points each, fewer than points_to_suspect.
+constexpr int lost_connection_points = 2;
 constexpr std::uint32_t max_failure_points = 2;
 
 } // namespace
@@ -26,7 +28,7 @@
 
 void suspicion::on_missed_heartbeat(time_point now)
 {
-    ++missed_;
+    ++missed_heartbeats_;
     reevaluate(now);
 }
 
@@ -42,7 +44,7 @@
 void suspicion::on_reply(time_point now)
 {
     connection_lost_ = false;
-    missed_ = 0;
+    missed_heartbeats_ = 0;
     ++replies_;
     // A single reply may have been buffered since before the failure.
     if (suspected_ && replies_ >= replies_to_clear &&
@@ -63,7 +65,7 @@
 {
     int sum = missed_heartbeat_points();
     if (connection_lost_)
-        sum += connection_points;
+        sum += lost_connection_points;
     if (now < failures_expire_at_)
         sum += static_cast<int>(std::min(failures_, max_failure_points));
     return sum;
@@ -71,9 +73,9 @@
 
 int suspicion::missed_heartbeat_points() const
 {
-    if (missed_ >= missed_heartbeats_to_suspect)
+    if (missed_heartbeats_ >= missed_heartbeats_to_suspect)
         return points_to_suspect;
-    return static_cast<int>(std::min<std::uint32_t>(missed_, 2));
+    return static_cast<int>(std::min<std::uint32_t>(missed_heartbeats_, 2));
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/membership/upstream_view.cpp
+++ b/src/libcyclamenrun/membership/upstream_view.cpp
@@ -47,7 +47,7 @@
             replaced_.at(replacements_++ % replaced_.size()) = incarnation_;
         incarnation_ = report.incarnation;
         agent_leaving_ = false;
-        signals_ = suspicion();
+        failure_suspicion_ = suspicion();
     }
     // An incarnation that is leaving stays so. A report that was sent before
     // the drain began may arrive after it and must not reset the state.
@@ -64,7 +64,7 @@
         return upstream_state::leaving;
     if (!ready_)
         return upstream_state::unready;
-    if (signals_.suspected())
+    if (failure_suspicion_.suspected())
         return upstream_state::suspect;
     return incarnation_ == 0 ? upstream_state::joining : upstream_state::live;
 }
--- a/src/libcyclamenrun/membership/upstream_view.hpp
+++ b/src/libcyclamenrun/membership/upstream_view.hpp
@@ -18,8 +18,8 @@
     joining, ///< listed, but no report received yet
     live,
     suspect, ///< probably failed: used only if no other upstream is usable
-    leaving, ///< reported by the list or by the agent
-    gone,    ///< not listed
+    leaving, ///< by the list or by the agent's report
+    gone,    ///< no longer listed
     unready, ///< its agent responds, but the upstream itself does not
 };
 
@@ -35,22 +35,29 @@
     bool ready = true; ///< the upstream itself responds to its agent
 };
 
-/** The state of one upstream as one entry knows it, from the list, reports and
- * failures. */
+/**
+ * One entry's view of one upstream, from the list, the agent's reports and
+ * signs of failure.
+ */
 class upstream_view
 {
 public:
     void on_listed(const vm& listed);
+    /** Handles an upstream that is not in the list; see is_forgotten(). */
     void on_unlisted(time_point forget_at);
 
-    /** Returns false, without effect, for a report of a replaced agent. */
+    /**
+     * Handles a report of the upstream's agent. Returns false, without effect,
+     * if the report comes from an incarnation that was replaced.
+     */
     bool on_report(const agent_report& report);
 
-    suspicion& failure_suspicion() { return signals_; }
-    const suspicion& failure_suspicion() const { return signals_; }
+    suspicion& failure_suspicion() { return failure_suspicion_; }
+    const suspicion& failure_suspicion() const { return failure_suspicion_; }
     const vm& listed() const { return listed_; }
     std::uint64_t incarnation() const { return incarnation_; }
     upstream_state state() const;
+    /** Whether the upstream left the list and its view is to be dropped. */
     bool is_forgotten(time_point now) const;
 
 private:
@@ -60,11 +67,11 @@
     bool in_list_ = false;
     time_point forget_at_ = time_point::max();
     std::uint64_t incarnation_ = 0;
-    std::array<std::uint64_t, 4> replaced_{};
-    std::size_t replacements_ = 0;
+    std::array<std::uint64_t, 4> replaced_{}; ///< latest old incarnations
+    std::size_t replacements_ = 0;            ///< of incarnations, in total
     bool agent_leaving_ = false;
     bool ready_ = true;
-    suspicion signals_;
+    suspicion failure_suspicion_;
 };
 
 } // namespace cyclamenrun
--- a/tests/decisions/test_router.cpp
+++ b/tests/decisions/test_router.cpp
@@ -16,14 +16,14 @@
 
 std::vector<candidate> runners(std::size_t count)
 {
-    std::vector<candidate> made;
+    std::vector<candidate> all;
     for (std::size_t i = 0; i < count; ++i) {
         candidate one;
         one.upstream = "runner-" + std::to_string(i);
         one.failure_domain = "mendoza-a";
-        made.push_back(one);
+        all.push_back(one);
     }
-    return made;
+    return all;
 }
 
 load_report report_of(const std::string& upstream, milliseconds uptime)
@@ -56,7 +56,7 @@
     for (const auto& one : candidates) {
         load_report load = report_of(one.upstream, 1s);
         load.memory_tokens_used = one.upstream == "runner-2" ? 4'900 : 5'000;
-        routes.report(load, start);
+        routes.update_report(load, start);
     }
     std::map<std::size_t, int> sent;
     for (int i = 0; i < 50; ++i) {
@@ -78,16 +78,16 @@
     router routes({}, 1);
     const auto candidates = runners(2);
     for (const auto& one : candidates)
-        routes.report(report_of(one.upstream, 1s), start);
+        routes.update_report(report_of(one.upstream, 1s), start);
     const auto request = request_of(0);
     for (int i = 0; i < 5; ++i)
         routes.dispatched("runner-0", request, start + 3s);
-    routes.report(report_of("runner-0", 2s), start + 3s + 1ms);
+    routes.update_report(report_of("runner-0", 2s), start + 3s + 1ms);
     EXPECT_EQ(routes.choose(request, candidates, start + 3s).value(), 1U);
-    routes.report(report_of("runner-0", 5s), start + 4s);
+    routes.update_report(report_of("runner-0", 5s), start + 4s);
     load_report busy = report_of("runner-1", 5s);
     busy.memory_tokens_used = 100;
-    routes.report(busy, start + 4s);
+    routes.update_report(busy, start + 4s);
     for (int i = 0; i < 5; ++i)
         routes.completed("runner-0", start + 4s);
     EXPECT_EQ(routes.choose(request, candidates, start + 4s).value(), 0U);
@@ -98,19 +98,21 @@
     router routes({}, 1);
     const auto candidates = runners(8);
     for (const auto& one : candidates)
-        routes.report(report_of(one.upstream, 1s), start);
+        routes.update_report(report_of(one.upstream, 1s), start);
     const auto request = request_of(77);
-    const std::size_t home = *routes.choose(request, candidates, start);
-    const std::string& name = candidates[home].upstream;
+    const std::size_t preferred = *routes.choose(request, candidates, start);
+    const std::string& name = candidates[preferred].upstream;
     routes.cached(name, request.prefix_blocks);
     load_report load = report_of(name, 2s);
     load.memory_tokens_used = 2'000;
-    routes.report(load, start + 1s);
-    EXPECT_EQ(routes.choose(request, candidates, start + 1s).value(), home);
+    routes.update_report(load, start + 1s);
+    EXPECT_EQ(routes.choose(request, candidates, start + 1s).value(),
+              preferred);
     load.uptime = 3s;
     load.memory_tokens_used = 6'000;
-    routes.report(load, start + 2s);
-    EXPECT_NE(routes.choose(request, candidates, start + 2s).value(), home);
+    routes.update_report(load, start + 2s);
+    EXPECT_NE(routes.choose(request, candidates, start + 2s).value(),
+              preferred);
 }
 
 TEST(router, entries_agree_on_the_preferred_upstreams_of_a_suspect)
@@ -122,14 +124,14 @@
         for (const auto& one : candidates) {
             load_report load = report_of(one.upstream, 1s);
             load.memory_tokens_used = 5'000;
-            routes.report(load, start);
+            routes.update_report(load, start);
         }
         route_request request = request_of(99);
         request.suspect = true;
         request.fingerprint = 4711;
         chosen.insert(*routes.choose(request, candidates, start));
     }
-    // The preferred upstreams of a suspect request are the same at all entries.
+    // A suspect request has three preferred upstreams, the same at all entries.
     EXPECT_LE(chosen.size(), 3U);
 }
 
@@ -139,11 +141,11 @@
     const auto candidates = runners(3);
     load_report leaving = report_of("runner-0", 1s);
     leaving.leaving = true;
-    routes.report(leaving, start);
+    routes.update_report(leaving, start);
     load_report full = report_of("runner-2", 1s);
     full.queued = 100;
     full.expected_wait = 50s;
-    routes.report(full, start);
+    routes.update_report(full, start);
     route_request request = request_of(0);
     EXPECT_EQ(routes.choose(request, candidates, start).value(), 1U);
     request.excluded = {"runner-1"};
@@ -162,7 +164,7 @@
     settings.max_upstreams = 10;
     router routes(settings, 1);
     for (const auto& one : runners(100))
-        routes.report(report_of(one.upstream, 1s), start);
+        routes.update_report(report_of(one.upstream, 1s), start);
     EXPECT_EQ(routes.size(), 10U);
 }
 
--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -101,7 +101,7 @@
     EXPECT_FALSE(candidate_ids().contains("vm-0"));
     reply("vm-0");
     EXPECT_FALSE(candidate_ids().contains("vm-0"));
-    EXPECT_TRUE(members.find("vm-0").has_value()) << "for resumes";
+    EXPECT_TRUE(members.find("vm-0").has_value()) << "needed for resumes";
 }
 
 // A lagging replica of the list service answers after a newer one. An upstream
@@ -235,21 +235,21 @@
 TEST(subset, covers_each_upstream_at_about_equally_many_entries)
 {
     const auto vms = fleet(200);
-    std::map<std::string, int> known;
+    std::map<std::string, int> subset_counts;
     for (int entry = 0; entry < 370; ++entry) {
         for (const auto& id :
              choose_subset("entry-" + std::to_string(entry), vms, 24))
-            ++known[id];
+            ++subset_counts[id];
     }
-    int min_known = 370;
-    int max_known = 0;
+    int min_count = 370;
+    int max_count = 0;
     for (const auto& each : vms) {
-        min_known = std::min(min_known, known[each.id]);
-        max_known = std::max(max_known, known[each.id]);
+        min_count = std::min(min_count, subset_counts[each.id]);
+        max_count = std::max(max_count, subset_counts[each.id]);
     }
     // Average: 24 places * 370 entries / 200 upstreams = 44.
-    EXPECT_GE(min_known, 20);
-    EXPECT_LE(max_known, 75);
+    EXPECT_GE(min_count, 20);
+    EXPECT_LE(max_count, 75);
 }
 
 TEST(subset, changes_little_when_one_leaves)
