--- a/src/libcyclamenrun/agent/agent_process.cpp
+++ b/src/libcyclamenrun/agent/agent_process.cpp
@@ -86,7 +86,9 @@
                                                 steady_now))
 {
     gate_hooks hooks;
-    hooks.start = [this](const admitted_work& order) { driver_->start(order); };
+    hooks.start = [this](const admitted_work& admitted) {
+        driver_->start(admitted);
+    };
     hooks.stop = [this](work_id work) { driver_->stop(work); };
     hooks.wake = [this](reader_id reader) { server_->wake(reader); };
     hooks.state_changed = [this] { server_->on_state_changed(); };
--- a/src/libcyclamenrun/agent/agent_process.hpp
+++ b/src/libcyclamenrun/agent/agent_process.hpp
@@ -61,7 +61,7 @@
     std::unique_ptr<gate> gate_;
     link_loop loop_;
     std::unique_ptr<agent_server> server_;
-    std::unique_ptr<order_worker> orders_; // model engines only
+    std::unique_ptr<order_worker> orders_; ///< model engines only
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/agent/agent_server.cpp
+++ b/src/libcyclamenrun/agent/agent_server.cpp
@@ -193,9 +193,10 @@
         return;
     }
     hooks_.apply_configuration(pending.request);
-    entries_.record({pending.request.entry(), process_role::entry,
-                     pending.request.failure_domain()},
-                    pending.request.config_revision(), pending.deadline);
+    entry_revisions_.record({pending.request.entry(), process_role::entry,
+                             pending.request.failure_domain()},
+                            pending.request.config_revision(),
+                            pending.deadline);
     gate_.merge_marks(
         {pending.request.marks().begin(), pending.request.marks().end()},
         pending.deadline);
@@ -253,7 +254,7 @@
 std::string agent_server::entry_revisions() const
 {
     v1::ListRevisionsResponse response;
-    for (auto& row : entries_.list(clock_()))
+    for (auto& row : entry_revisions_.list(clock_()))
         *response.add_processes() = std::move(row);
     return response.SerializeAsString();
 }
--- a/src/libcyclamenrun/agent/agent_server.hpp
+++ b/src/libcyclamenrun/agent/agent_server.hpp
@@ -79,6 +79,7 @@
     void serve_reader(const stream_pointer& stream,
                       const std::string& request_id,
                       const outcome<reader_id>& reader);
+    /** Replies to the heartbeats whose wait has ended or that have changes. */
     void answer_heartbeats();
     bool has_changes(const link::Heartbeat& request) const;
     link::HeartbeatReply reply_to(const link::Heartbeat& request) const;
@@ -94,7 +95,7 @@
     std::mutex mutex_;
     std::unordered_map<reader_id, std::weak_ptr<server_stream>> streams_;
     std::list<pending_heartbeat> heartbeats_;
-    configuration_revisions entries_;
+    configuration_revisions entry_revisions_;
 
     /** Checked by timer callbacks, since they can outlive this object. */
     std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/src/libcyclamenrun/agent/upstream_driver.cpp
+++ b/src/libcyclamenrun/agent/upstream_driver.cpp
@@ -20,9 +20,9 @@
 constexpr milliseconds cancel_timeout{5'000};
 constexpr milliseconds cancel_poll_interval{50};
 
-std::string engine_request_id(const admitted_work& order)
+std::string engine_request_id(const admitted_work& admitted)
 {
-    return order.request_id;
+    return admitted.request_id;
 }
 
 refusal refusal_of(const engine_error& error)
@@ -68,22 +68,23 @@
 class upstream_driver::run_task : public Poco::Runnable
 {
 public:
-    run_task(upstream_driver& driver, admitted_work order,
+    run_task(upstream_driver& driver, admitted_work admitted,
              std::shared_ptr<active_run> active)
-        : driver_(driver), order_(std::move(order)), active_(std::move(active))
+        : driver_(driver), admitted_(std::move(admitted)),
+          active_(std::move(active))
     {
     }
 
     void run() override
     {
         const std::unique_ptr<run_task> self(this);
-        driver_.run(order_, *active_);
-        driver_.remove_run(order_.work);
+        driver_.run(admitted_, *active_);
+        driver_.remove_run(admitted_.work);
     }
 
 private:
     upstream_driver& driver_;
-    admitted_work order_;
+    admitted_work admitted_;
     std::shared_ptr<active_run> active_;
 };
 
@@ -109,33 +110,33 @@
     poll_thread_ = std::thread([this] { poll_until_stopped(); });
 }
 
-void upstream_driver::start(const admitted_work& order)
+void upstream_driver::start(const admitted_work& admitted)
 {
     const auto active = std::make_shared<active_run>();
-    active->deadline = order.deadline;
+    active->deadline = admitted.deadline;
     {
         const std::scoped_lock lock(mutex_);
         if (active_.empty()) {
             poll_now_ = true;
             wake_up_.notify_all();
         }
-        active_[order.work] = active;
+        active_[admitted.work] = active;
     }
     // Guards against a stop() that came before the run was added to active_
-    // and so had no effect. The gate does not need the run any more then.
-    if (!gate_->should_run(order.work)) {
-        remove_run(order.work);
+    // and so had no effect. should_run() is false then.
+    if (!gate_->should_run(admitted.work)) {
+        remove_run(admitted.work);
         return;
     }
     // NOLINTNEXTLINE(cppcoreguidelines-owning-memory): deletes itself
-    auto task = std::make_unique<run_task>(*this, order, active);
+    auto task = std::make_unique<run_task>(*this, admitted, active);
     try {
         threads_.start(*task);
         (void)task.release();
     } catch (const Poco::NoThreadAvailableException&) {
-        remove_run(order.work);
+        remove_run(admitted.work);
         gate_->run_failed(
-            order.work,
+            admitted.work,
             not_run(refusal_reason::queue_full,
                     "the agent has no free thread for the request"),
             clock_());
@@ -190,68 +191,69 @@
     engine_ready_hook_ = std::move(hook);
 }
 
-void upstream_driver::run(const admitted_work& order, active_run& active)
+void upstream_driver::run(const admitted_work& admitted, active_run& active)
 {
-    if (order.kind == link::WORK_KIND_CALL)
-        run_call(order, active);
+    if (admitted.kind == link::WORK_KIND_CALL)
+        run_call(admitted, active);
     else
-        run_generation(order, active);
+        run_generation(admitted, active);
 }
 
-void upstream_driver::run_generation(const admitted_work& order,
+void upstream_driver::run_generation(const admitted_work& admitted,
                                      active_run& active)
 {
     engine_request request;
-    request.request_id = engine_request_id(order);
-    request.path = order.path;
-    request.body = order.body;
-    request.priority = order.priority;
-    request.deadline = order.deadline;
+    request.request_id = engine_request_id(admitted);
+    request.path = admitted.path;
+    request.body = admitted.body;
+    request.priority = admitted.priority;
+    request.deadline = admitted.deadline;
     {
         const std::scoped_lock lock(mutex_);
         request.expected_epoch = epoch_;
     }
-    const engine_events events{[this, &order](const std::string& text) {
+    const engine_events events{[this, &admitted](const std::string& text) {
         const auto now = clock_();
         last_token_at_ = now;
-        gate_->token_made(order.work, text, now);
+        gate_->token_made(admitted.work, text, now);
     }};
     const auto result = engine_.run(request, events, active.cancel);
     if (result)
-        gate_->finished(order.work, result->finish_reason, clock_());
+        gate_->finished(admitted.work, result->finish_reason, clock_());
     else
-        handle_generation_failure(order, result.error());
+        handle_generation_failure(admitted, result.error());
 }
 
-void upstream_driver::handle_generation_failure(const admitted_work& order,
+void upstream_driver::handle_generation_failure(const admitted_work& admitted,
                                                 const engine_error& error)
 {
     // A lost engine can make the request a suspect; a failure of only this run
     // does not. The engine is polled at once to tell the two cases apart.
-    if (may_be_engine_loss(error.failure) && gate_->should_run(order.work) &&
+    if (may_be_engine_loss(error.failure) && gate_->should_run(admitted.work) &&
         !poll_engine()) {
         handle_engine_loss();
         return;
     }
-    gate_->run_failed(order.work, refusal_of(error), clock_());
+    gate_->run_failed(admitted.work, refusal_of(error), clock_());
 }
 
-void upstream_driver::run_call(const admitted_work& order, active_run& active)
+void upstream_driver::run_call(const admitted_work& admitted,
+                               active_run& active)
 {
     runner_request request;
-    request.request_id = order.request_id;
-    request.path = order.path;
+    request.request_id = admitted.request_id;
+    request.path = admitted.path;
     request.content_type = "application/json";
-    request.body = order.body;
-    request.deadline = order.deadline;
+    request.body = admitted.body;
+    request.deadline = admitted.deadline;
     auto result = runner_.call(request, active.cancel);
     if (result)
-        gate_->answered(order.work,
+        gate_->answered(admitted.work,
                         {result->status, std::move(result->content_type),
                          std::move(result->body)},
                         clock_());
     else
-        gate_->run_failed(order.work, refusal_of(result.error()), clock_());
+        gate_->run_failed(admitted.work, refusal_of(result.error()), clock_());
 }
 
 void upstream_driver::remove_run(work_id work)
@@ -288,8 +290,8 @@
         if (epoch_ == 0 || engine_.epoch() != epoch_)
             return false;
     }
-    gate_->engine_load({load->running, load->waiting, load->memory_tokens_used},
-                       clock_());
+    gate_->update_engine_load(
+        {load->running, load->waiting, load->memory_tokens_used}, clock_());
     return true;
 }
 
@@ -367,11 +369,11 @@
     gate_->engine_lost(clock_());
 }
 
-bool upstream_driver::pause(milliseconds pause)
+bool upstream_driver::pause(milliseconds timeout)
 {
     std::unique_lock lock(mutex_);
     const bool woken = wake_up_.wait_for(
-        lock, pause, [this] { return stopping_ || poll_now_; });
+        lock, timeout, [this] { return stopping_ || poll_now_; });
     poll_now_ = false;
     return woken;
 }
--- a/src/libcyclamenrun/agent/upstream_driver.hpp
+++ b/src/libcyclamenrun/agent/upstream_driver.hpp
@@ -48,7 +48,7 @@
 
     /** Sets the gate and starts polling. Call once, before start(). */
     void attach(gate& gate);
-    void start(const admitted_work& order);
+    void start(const admitted_work& admitted);
     void stop(work_id work);
     /** Cancels all runs and waits for all threads to end. */
     void shut_down();
@@ -65,10 +65,10 @@
     };
     class run_task;
 
-    void run(const admitted_work& order, active_run& active);
-    void run_generation(const admitted_work& order, active_run& active);
-    void run_call(const admitted_work& order, active_run& active);
-    void handle_generation_failure(const admitted_work& order,
+    void run(const admitted_work& admitted, active_run& active);
+    void run_generation(const admitted_work& admitted, active_run& active);
+    void run_call(const admitted_work& admitted, active_run& active);
+    void handle_generation_failure(const admitted_work& admitted,
                                    const engine_error& error);
     void remove_run(work_id work);
 
@@ -80,7 +80,7 @@
     /** Waits until the next poll of the engine is due. */
     void wait_for_next_poll();
     /** Waits; returns true if woken before the time is up. */
-    bool pause(milliseconds pause);
+    bool pause(milliseconds timeout);
     bool stopping() const;
     void handle_engine_loss();
 
@@ -93,7 +93,7 @@
     mutable std::mutex mutex_;
     std::condition_variable wake_up_;
     std::unordered_map<work_id, std::shared_ptr<active_run>> active_;
-    std::uint64_t epoch_ = 0; // the engine's epoch; 0: no engine
+    std::uint64_t epoch_ = 0; ///< of the engine; 0: no engine is available
     bool stopping_ = false;
     bool poll_now_ = false;
     std::function<void()> engine_ready_hook_;
--- a/src/libcyclamenrun/outcomes/gate.cpp
+++ b/src/libcyclamenrun/outcomes/gate.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t max_request_id_bytes = 128;
 constexpr milliseconds short_retry_after{1000};
 
-milliseconds clamp_deadline(std::uint64_t time_left_ms, milliseconds longest)
+milliseconds clamp_time_left(std::uint64_t time_left_ms, milliseconds longest)
 {
     const auto bound = static_cast<std::uint64_t>(longest.count());
     return milliseconds(std::min(time_left_ms, bound));
@@ -33,7 +33,7 @@
                    short_retry_after);
 }
 
-waiting_work describe(work_id work, const work_session& session)
+waiting_work waiting_work_of(work_id work, const work_session& session)
 {
     const auto& request = session.request;
     waiting_work waiting;
@@ -161,14 +161,14 @@
                                       time_point now)
 {
     const auto time_left =
-        clamp_deadline(dispatch.time_left_ms(), settings_.max_deadline);
+        clamp_time_left(dispatch.time_left_ms(), settings_.max_deadline);
     const auto [work, session] = sessions_.add(dispatch, now + time_left);
     session.generation = {settings_.upstream, settings_.incarnation, work,
                           random_u64()};
     session.suspect =
         dispatch.suspect() ||
         poison_.verdict(dispatch.fingerprint(), now) == poison_verdict::suspect;
-    const auto queued = admission_.enqueue(describe(work, session), now);
+    const auto queued = admission_.enqueue(waiting_work_of(work, session), now);
     if (!queued) {
         sessions_.remove(work);
         return tl::unexpected(queued.error());
@@ -461,7 +461,7 @@
     run(deferred);
 }
 
-void gate::engine_load(const engine_load_hint& hint, time_point now)
+void gate::update_engine_load(const engine_load_hint& hint, time_point now)
 {
     deferred_calls deferred;
     {
@@ -687,8 +687,8 @@
 {
     for (const auto work : deferred.stops)
         hooks_.stop(work);
-    for (const auto& order : deferred.starts)
-        hooks_.start(order);
+    for (const auto& admitted : deferred.starts)
+        hooks_.start(admitted);
     for (const auto reader : deferred.wakes)
         hooks_.wake(reader);
     if (deferred.state_changed)
--- a/src/libcyclamenrun/outcomes/gate.hpp
+++ b/src/libcyclamenrun/outcomes/gate.hpp
@@ -19,7 +19,7 @@
 namespace cyclamenrun
 {
 
-/** One work item that the upstream is to run. */
+/** A work item that the gate has admitted and the upstream is to run. */
 struct admitted_work {
     work_id work = 0;
     std::string request_id;
@@ -35,7 +35,7 @@
     std::function<void(const admitted_work&)> start;
     std::function<void(work_id)> stop;
     std::function<void(reader_id)> wake; ///< pull() has data for the reader
-    /// load_change() or marks_version() advanced.
+    /// load_change() or marks_version() may have advanced.
     std::function<void()> state_changed;
 };
 
@@ -75,8 +75,8 @@
      * earlier incarnation still occupies.
      */
     void engine_ready(std::uint64_t external_tokens, time_point now);
-    /** Handles a load report of the engine, which arrives with a delay. */
-    void engine_load(const engine_load_hint& hint, time_point now);
+    /** Handles a load report of the engine, which lags the actual load. */
+    void update_engine_load(const engine_load_hint& hint, time_point now);
 
     // Commands from operators and the platform.
     void drain(time_point now);
@@ -97,12 +97,12 @@
     bool should_run(work_id work) const;
     bool draining() const;
     /**
-     * Whether the gate is draining, no work is running, every answer was
+     * Whether the drain is complete: no work is left, every answer was
      * acknowledged or has expired, and no dispatch can still be in transit.
      */
     bool drained(time_point now) const;
     link::LoadReport load(time_point now) const;
-    /** Counts the load changes that are reported to peers immediately. */
+    /** Counts the load changes that entries must learn of immediately. */
     std::uint64_t load_change() const;
     std::uint64_t marks_version() const;
     std::vector<link::PoisonMark> marks_since(std::uint64_t version) const;
@@ -130,7 +130,7 @@
     void end(work_session& session, time_point now, deferred_calls& deferred);
     void refuse(work_session& session, const refusal& why, time_point now,
                 deferred_calls& deferred);
-    /** Ends work for `reason`; a cancelled call that is running continues. */
+    /** Ends work for `reason`. A running call that is cancelled continues. */
     void abort_work(work_id work, work_session& session, refusal_reason reason,
                     time_point now, deferred_calls& deferred);
     void expire(time_point now, deferred_calls& deferred);
--- a/src/libcyclamenrun/outcomes/gate_settings.hpp
+++ b/src/libcyclamenrun/outcomes/gate_settings.hpp
@@ -10,7 +10,7 @@
 namespace cyclamenrun
 {
 
-/** Settings of an agent's gate. All bounds are per agent. */
+/** Settings of an agent's gate. All bounds are for the whole agent. */
 struct gate_settings {
     std::string upstream;
     std::uint64_t incarnation = 0;
@@ -23,14 +23,14 @@
     std::size_t tombstone_capacity = 65536;
     std::size_t ticket_capacity = 65536;
     std::size_t poison_capacity = 4096;
-    /** Limit for one answer: the text of its tokens, or its body. */
+    /** Limit for one answer: the text of its tokens, or the call's body. */
     std::size_t max_answer_bytes = std::size_t{4} << 20U;
     /** Limit for all kept answers; once reached, new work is refused. */
     std::size_t max_kept_bytes = std::size_t{64} << 20U;
     /** Number of tokens kept for resumption behind the slowest reader. */
     std::uint64_t replay_window_tokens = 8192;
 
-    /** How long work continues to run without a reader. */
+    /** How long work continues without a reader, for a caller that resumes. */
     milliseconds resume_grace{15'000};
     /** How long an unacknowledged answer is kept. */
     milliseconds answer_grace{60'000};
--- a/src/libcyclamenrun/outcomes/poison_mark_sync.cpp
+++ b/src/libcyclamenrun/outcomes/poison_mark_sync.cpp
@@ -32,8 +32,8 @@
     // agent report the same loss.
     const auto loss = hash64(agent.upstream, agent.incarnation);
     marks_.mark(fingerprint, loss, now);
-    if (reported_.size() < max_reported_losses)
-        reported_.insert(loss);
+    if (reported_losses_.size() < max_reported_losses)
+        reported_losses_.insert(loss);
 }
 
 void poison_mark_sync::engine_lost(std::uint64_t fingerprint,
@@ -67,7 +67,7 @@
     known.merged_version = same_incarnation ? known.sent_version : 0;
     known.received_version = reply.marks_version();
     const auto loss = hash64(upstream, known.incarnation);
-    if (reported_.erase(loss) > 0)
+    if (reported_losses_.erase(loss) > 0)
         marks_.clear_loss(loss, now);
     for (const auto& mark : reply.marks())
         marks_.merge(mark, now);
--- a/src/libcyclamenrun/outcomes/poison_mark_sync.hpp
+++ b/src/libcyclamenrun/outcomes/poison_mark_sync.hpp
@@ -58,11 +58,8 @@
     mutable std::mutex mutex_;
     poison_register marks_;
     std::unordered_map<std::string, peer> peers_;
-    /**
-     * Losses of agents that this entry reported, and clears if the agent
-     * responds again.
-     */
-    std::set<std::uint64_t> reported_;
+    /** Ids of reported agent losses, to clear if the agent responds again. */
+    std::set<std::uint64_t> reported_losses_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/outcomes/poison_register.hpp
+++ b/src/libcyclamenrun/outcomes/poison_register.hpp
@@ -57,10 +57,11 @@
     struct record {
         std::vector<std::uint64_t> active_losses;
         std::vector<std::uint64_t> cleared_losses;
-        std::uint64_t changed = 0;
-        time_point deadline;
+        std::uint64_t changed = 0; ///< version of the last change
+        time_point deadline;       ///< when the marks expire
     };
 
+    /** Returns the record, with a new version and lifetime, for a change. */
     record& touch(std::uint64_t fingerprint, time_point now);
     void make_room(time_point now);
 
--- a/src/libcyclamenrun/outcomes/relay.hpp
+++ b/src/libcyclamenrun/outcomes/relay.hpp
@@ -16,7 +16,7 @@
 
 /** Functions of the entry that a relay calls. */
 struct relay_hooks {
-    /** Chooses an upstream for the request, other than those `excluded`. */
+    /** Chooses an upstream that is not in `excluded`. */
     std::function<outcome<route_target>(
         const relay_request& request, const std::vector<std::string>& excluded,
         bool suspect, time_point now)>
@@ -58,7 +58,7 @@
  * A state machine without I/O: events are its input, actions its output. It
  * enforces the entry's guarantees. Tokens are delivered in order and from one
  * generation. Work is sent again only if it has not run, or if it is idempotent
- * and the caller has received no token. A refusal claims no more than is known.
+ * and the caller has received no token. A refusal states no more than is known.
  */
 class relay
 {
@@ -87,6 +87,7 @@
 
 private:
     bool is_call() const { return request_.kind == link::WORK_KIND_CALL; }
+    /** Whether the work may run again if an earlier attempt may have run. */
     bool may_run_again() const;
     std::string attempt_id() const;
 
--- a/src/libcyclamenrun/outcomes/relay_action.hpp
+++ b/src/libcyclamenrun/outcomes/relay_action.hpp
@@ -14,7 +14,7 @@
 namespace cyclamenrun
 {
 
-/** Number of a relay's stream, in the order of opening, from 1. */
+/** Number of a relay's stream, counted from 1 in the order of opening. */
 using stream_number = std::uint32_t;
 
 /** Open a stream to an agent; the stream's events carry `stream`. */
--- a/src/libcyclamenrun/outcomes/session_table.cpp
+++ b/src/libcyclamenrun/outcomes/session_table.cpp
@@ -100,7 +100,8 @@
     if (!session.replay.contains(next_index))
         return tl::unexpected(
             failed(refusal_reason::resume_out_of_range,
-                   "tokens from this index on are not kept or not made yet"));
+                   "tokens from this index on are no longer kept or not "
+                   "generated yet"));
     session.orphan_deadline.reset();
     readers_[++last_reader_] = {work, request_id, next_index, false};
     session.readers.push_back(last_reader_);
--- a/src/libcyclamenrun/outcomes/session_table.hpp
+++ b/src/libcyclamenrun/outcomes/session_table.hpp
@@ -19,10 +19,10 @@
 /** An entry's stream that reads the answer of a work item. */
 using reader_id = std::uint64_t;
 
-/** Frames for one reader; `end` is set when no more will follow. */
+/** Frames for one reader. */
 struct reader_frames {
     std::vector<link::AgentFrame> frames;
-    bool end = false;
+    bool end = false; ///< no more frames will follow
 };
 
 /** Limits of a session_table. */
--- a/src/libcyclamenrun/outcomes/ticket_use_registry.hpp
+++ b/src/libcyclamenrun/outcomes/ticket_use_registry.hpp
@@ -23,7 +23,7 @@
  * A ticket runs one call: its first use is recorded here and every later use
  * finds the record. A record is kept at least until its ticket has expired;
  * from then on a use without a record is refused as expired, so a later use is
- * never taken for the first.
+ * never mistaken for the first.
  */
 class ticket_use_registry
 {
