--- a/src/libcyclamenrun/orders/order_lease.cpp
+++ b/src/libcyclamenrun/orders/order_lease.cpp
@@ -114,8 +114,8 @@
         phase_ = phase::superseded;
         return;
     }
-    // No claim of this agent took effect with the old base number, and none can
-    // take effect with it any more.
+    // No claim of this agent with the old base number took effect, nor can one
+    // do so any more.
     if (number != base_number_)
         first_sent_at_.reset();
     base_number_ = number;
--- a/src/libcyclamenrun/orders/order_lease.hpp
+++ b/src/libcyclamenrun/orders/order_lease.hpp
@@ -14,7 +14,7 @@
 
 struct order_lease_settings {
     bool engine_honours_fencing = true;
-    milliseconds lease{10'000};      ///< from when the claim was sent
+    milliseconds lease{10'000};      ///< counted from when the claim was sent
     milliseconds margin{2'000};      ///< for clock drift and orders in transit
     milliseconds order_limit{3'000}; ///< time limit of one order
     milliseconds retry_after{500};
@@ -69,11 +69,11 @@
 
 private:
     enum class phase : std::uint8_t {
-        unread,
-        unclaimed,
-        sent,
+        unread,    ///< the current claim was not read yet
+        unclaimed, ///< the claim, or its renewal, is to be sent
+        sent,      ///< the claim was sent, but not read back yet
         held,
-        superseded
+        superseded ///< another agent has claimed
     };
 
     void handle_own_claim(std::uint64_t number, time_point read_started_at,
@@ -86,12 +86,12 @@
     std::uint64_t incarnation_;
     order_lease_settings settings_;
     phase phase_ = phase::unread;
-    std::uint64_t base_number_ = 0;
-    std::uint64_t held_number_ = 0;
+    std::uint64_t base_number_ = 0; ///< of the claim that was read last
+    std::uint64_t held_number_ = 0; ///< 0: no claim is held
     std::optional<time_point> first_sent_at_; ///< of the unconfirmed claim
     time_point lease_end_ = time_point::min();
     time_point exclusive_from_ = time_point::max();
-    bool exclusive_ = false; ///< no wait for earlier leases is left
+    bool exclusive_ = false; ///< no earlier lease has to be waited for
     time_point wake_at_ = time_point::min();
 };
 
--- a/src/libcyclamenrun/orders/order_queue.hpp
+++ b/src/libcyclamenrun/orders/order_queue.hpp
@@ -69,21 +69,26 @@
     /** Queues all orders again, since a restarted engine has nothing loaded. */
     void on_engine_restarted(time_point now);
 
-    /** Returns the order to send now, if any. Report its result to
-     * on_result(). */
+    /**
+     * Returns the order to send now, if any. The caller reports its result to
+     * on_result().
+     */
     std::optional<desired_order> next(time_point now) const;
     void on_result(const desired_order& order, order_result result,
                    time_point now);
 
     /** Whether all orders are done. */
     bool is_complete() const { return !pending(); }
-    /** Time before which next() returns no order: the end of the random delay
-     * or backoff, also if no order is pending. */
+    /**
+     * Time before which next() returns no order: the end of the random delay
+     * or backoff, also if no order is pending.
+     */
     time_point wake_at() const { return start_at_; }
 
     static constexpr std::size_t max_orders = 1024;
 
 private:
+    /** Returns the first order that is not done. */
     std::optional<desired_order> pending() const;
     void randomize_start(time_point now);
 
--- a/src/libcyclamenrun/orders/order_runner.cpp
+++ b/src/libcyclamenrun/orders/order_runner.cpp
@@ -86,9 +86,9 @@
 order_runner_state order_runner::act(const desired_order& order)
 {
     const time_point now = clock_();
-    // The process may have been frozen for longer than its lease since next()
-    // returned `act`. An engine that ignores fencing numbers would then execute
-    // this order after those of the next agent.
+    // The process may have been frozen for longer than its lease since
+    // order_lease::next() returned `act`. An engine that ignores fencing
+    // numbers would then execute this order after those of the next agent.
     if (!lease_.may_send_order(now))
         return order_runner_state::lease_lapsed;
     const auto result = engine_({lease_.fencing_number(), order.action,
