--- a/tests/faults/fake_upstream.cpp
+++ b/tests/faults/fake_upstream.cpp
@@ -53,31 +53,32 @@
     // A new agent cancels generations that it did not start; calls run to
     // their end.
     std::erase_if(runs_, [](const auto& known) {
-        return known.second.order.kind == link::WORK_KIND_GENERATION;
+        return known.second.admitted.kind == link::WORK_KIND_GENERATION;
     });
     if (alive_)
         gate_->engine_ready(0, time_.now());
 }
 
-void fake_upstream::start(const admitted_work& order)
+void fake_upstream::start(const admitted_work& admitted)
 {
     if (!alive_) {
-        gate_->run_failed(order.work, not_run(refusal_reason::no_upstream),
+        gate_->run_failed(admitted.work, not_run(refusal_reason::no_upstream),
                           time_.now());
         return;
     }
     const auto id = next_run_id();
-    runs_[id] = {order, 0, gate_};
+    runs_[id] = {admitted, 0, gate_};
     record(event_kind::run_begun, id, runs_[id], 0);
-    on_moment_(run_moment::begun, order.request_id);
+    on_moment_(run_moment::begun, admitted.request_id);
     time_.after(step_time, [this, id] { step(id); });
 }
 
 void fake_upstream::stop(work_id work)
 {
     std::erase_if(runs_, [&](const auto& known) {
-        return known.second.owner == gate_ && known.second.order.work == work &&
-               known.second.order.kind == link::WORK_KIND_GENERATION;
+        return known.second.owner == gate_ &&
+               known.second.admitted.work == work &&
+               known.second.admitted.kind == link::WORK_KIND_GENERATION;
     });
 }
 
@@ -117,7 +118,7 @@
         time_.after(delay(), [this, id] { step(id); });
         return;
     }
-    if (found->second.order.kind == link::WORK_KIND_CALL)
+    if (found->second.admitted.kind == link::WORK_KIND_CALL)
         finish_call(id, found->second);
     else
         step_generation(id, found->second);
@@ -125,8 +126,8 @@
 
 void fake_upstream::step_generation(std::uint64_t id, run& running)
 {
-    const auto request_id = running.order.request_id;
-    const auto work = running.order.work;
+    const auto request_id = running.admitted.request_id;
+    const auto work = running.admitted.work;
     auto* const owner = running.owner;
     if (running.tokens_made == 0)
         on_moment_(run_moment::prompt_processed, request_id);
@@ -159,9 +160,9 @@
 
 void fake_upstream::finish_call(std::uint64_t id, run& running)
 {
-    const auto work = running.order.work;
+    const auto work = running.admitted.work;
     record(event_kind::run_ended, id, running, 0);
-    on_moment_(run_moment::effect, running.order.request_id);
+    on_moment_(run_moment::effect, running.admitted.request_id);
     const auto found = runs_.find(id);
     if (found == runs_.end())
         return;
@@ -184,8 +185,8 @@
     event observed;
     observed.kind = kind;
     observed.at_ms = time_.now_ms();
-    observed.work = work_of_body(running.order.body);
-    observed.exchange = exchange_of(running.order.request_id);
+    observed.work = work_of_body(running.admitted.body);
+    observed.exchange = exchange_of(running.admitted.request_id);
     observed.upstream = incarnation_name();
     observed.run = id;
     observed.index = index;
--- a/tests/faults/fake_upstream.hpp
+++ b/tests/faults/fake_upstream.hpp
@@ -37,7 +37,7 @@
 
     /** Sets the gate that receives events; null while the agent is down. */
     void attach(gate* gate);
-    void start(const admitted_work& order);
+    void start(const admitted_work& admitted);
     void stop(work_id work);
 
     /** Crashes the process with all of its runs; it restarts after a delay. */
@@ -46,7 +46,7 @@
     void pause(milliseconds pause);
     /** Loses the answer of the next call that completes, after its effect. */
     void lose_next_answer() { loses_next_answer_ = true; }
-    /** Identifies the upstream during one incarnation of its agent. */
+    /** Identifies the upstream and the incarnation of its agent. */
     std::string incarnation_name() const
     {
         return name_ + '#' + std::to_string(incarnations_);
@@ -56,9 +56,9 @@
 
 private:
     struct run {
-        admitted_work order;
+        admitted_work admitted;
         std::uint64_t tokens_made = 0;
-        gate* owner = nullptr;
+        gate* owner = nullptr; ///< null if its agent is down or was replaced
     };
 
     void step(std::uint64_t id);
--- a/tests/faults/fault_kinds.hpp
+++ b/tests/faults/fault_kinds.hpp
@@ -40,7 +40,7 @@
     answer_of_another,
     answer_out_of_order, ///< two frames of the answer are swapped
     answer_with_gap,     ///< one frame of the answer is missing
-    connection_stuck,    ///< sent messages are delayed; new connections work
+    connection_stuck,    ///< messages on it are delayed; new connections work
     agent_frozen,
     entry_frozen,
     memory_full,
--- a/tests/faults/fault_world.cpp
+++ b/tests/faults/fault_world.cpp
@@ -105,8 +105,8 @@
     settings.resume_grace = milliseconds(5'000);
     settings.replay_window_tokens = replay_window;
     gate_hooks hooks;
-    hooks.start = [this, index](const admitted_work& order) {
-        agents_[index].upstream->start(order);
+    hooks.start = [this, index](const admitted_work& admitted) {
+        agents_[index].upstream->start(admitted);
     };
     hooks.stop = [this, index](work_id work) {
         agents_[index].upstream->stop(work);
@@ -127,12 +127,12 @@
         return;
     node.upstream->attach(nullptr);
     node.stopped_gates.push_back(std::move(node.agent_gate));
-    for (const auto& open : streams_) {
-        if (open->agent != index || open->agent_closed)
+    for (const auto& stream : streams_) {
+        if (stream->agent != index || stream->agent_closed)
             continue;
-        open->agent_closed = true;
-        link_pair_of(open->entry, index).to_entry.send([this, open] {
-            handle_stream_lost(open, true);
+        stream->agent_closed = true;
+        link_pair_of(stream->entry, index).to_entry.send([this, stream] {
+            handle_stream_lost(stream, true);
         });
     }
     time_.after(restart_time, [this, index] {
@@ -148,9 +148,9 @@
             continue;
         node.agent_gate->tick(time_.now());
         marks_.clear_loss(node.incarnation, time_.now());
-        for (const auto& open : streams_) {
-            if (&agents_[open->agent] == &node && open->attached)
-                pull(open);
+        for (const auto& stream : streams_) {
+            if (&agents_[stream->agent] == &node && stream->attached)
+                pull(stream);
         }
         if (node.leaving && node.agent_gate->drained(time_.now()))
             kill_agent(index_of(node.name));
@@ -248,48 +248,48 @@
 void fault_world::perform(std::uint64_t id, const open_stream& action)
 {
     auto& current = sessions_.at(id);
-    const auto open = std::make_shared<stream>();
-    open->entry = current.entry;
-    open->agent = index_of(action.upstream);
-    open->session = id;
-    open->number = action.stream;
-    open->caller_paused = caller_slow_;
-    streams_.push_back(open);
+    const auto stream = std::make_shared<link_stream>();
+    stream->entry = current.entry;
+    stream->agent = index_of(action.upstream);
+    stream->session = id;
+    stream->number = action.stream;
+    stream->caller_paused = caller_slow_;
+    streams_.push_back(stream);
     if (action.path == "/dispatch") {
-        running_agent_ = open->agent;
+        running_agent_ = stream->agent;
         reach_step(step::chosen);
     }
-    auto& links = link_pair_of(open->entry, open->agent);
-    if (!agents_[open->agent].agent_gate) {
+    auto& links = link_pair_of(stream->entry, stream->agent);
+    if (!agents_[stream->agent].agent_gate) {
         // The agent is down and refuses the connection.
         time_.after(milliseconds(2),
-                    [this, open] { handle_stream_lost(open, false); });
+                    [this, stream] { handle_stream_lost(stream, false); });
         return;
     }
     // A dispatch uses an open connection. A resume follows the loss of the
     // agent, so it needs a new connection, which fails over a stalled link.
     if (links.to_agent.stalled() && action.path == "/resume") {
         time_.after(connect_time,
-                    [this, open] { handle_stream_lost(open, false); });
+                    [this, stream] { handle_stream_lost(stream, false); });
         return;
     }
-    links.to_agent.send([this, open, path = action.path, frame = action.frame] {
-        deliver(open, path, frame);
-    });
+    links.to_agent.send(
+        [this, stream, path = action.path, frame = action.frame] {
+            deliver(stream, path, frame);
+        });
     if (action.path == "/dispatch")
         reach_step(step::dispatch_sent);
-    watch_keepalive(open);
+    watch_keepalive(stream);
 }
 
 void fault_world::perform(std::uint64_t id, const close_stream& action)
 {
-    for (const auto& open : streams_) {
-        if (open->session != id || open->number != action.stream)
+    for (const auto& stream : streams_) {
+        if (stream->session != id || stream->number != action.stream)
             continue;
-        open->entry_closed = true;
-        link_pair_of(open->entry, open->agent).to_agent.send([this, open] {
-            close_agent_side(open);
-        });
+        stream->entry_closed = true;
+        link_pair_of(stream->entry, stream->agent)
+            .to_agent.send([this, stream] { close_agent_side(stream); });
     }
 }
 
@@ -361,18 +361,18 @@
     if (!entry_alive_.at(entry))
         return;
     entry_alive_.at(entry) = false;
-    for (const auto& open : streams_) {
-        if (open->entry != entry || open->entry_closed)
+    for (const auto& stream : streams_) {
+        if (stream->entry != entry || stream->entry_closed)
             continue;
-        open->entry_closed = true;
-        link_pair_of(entry, open->agent).to_agent.send([this, open] {
-            close_agent_side(open);
+        stream->entry_closed = true;
+        link_pair_of(entry, stream->agent).to_agent.send([this, stream] {
+            close_agent_side(stream);
         });
     }
     for (auto& [id, current] : sessions_) {
         if (current.entry == entry && !current.finished)
             time_.after(milliseconds(1),
-                        [this, id = id] { handle_caller_lost(id); });
+                        [this, id = id] { handle_caller_disconnected(id); });
     }
 }
 
@@ -404,17 +404,17 @@
     return *link_pairs_.at(entry * agent_count + agent);
 }
 
-void fault_world::deliver(const stream_pointer& open, const std::string& path,
+void fault_world::deliver(const stream_pointer& stream, const std::string& path,
                           const std::string& frame)
 {
-    auto& node = agents_[open->agent];
+    auto& node = agents_[stream->agent];
     if (!node.agent_gate) {
-        link_pair_of(open->entry, open->agent).to_entry.send([this, open] {
-            handle_stream_lost(open, true);
-        });
+        link_pair_of(stream->entry, stream->agent)
+            .to_entry.send(
+                [this, stream] { handle_stream_lost(stream, true); });
         return;
     }
-    open->incarnation = node.incarnation;
+    stream->incarnation = node.incarnation;
     std::string request_id;
     outcome<reader_id> reader = tl::unexpected(refusal{});
     if (path == "/dispatch") {
@@ -434,133 +434,135 @@
         auto& why = *refused.mutable_refused();
         why.set_kind(static_cast<std::uint32_t>(reader.error().kind));
         why.set_reason(static_cast<std::uint32_t>(reader.error().reason));
-        open->agent_closed = true;
-        to_relay(open, refused);
-        link_pair_of(open->entry, open->agent).to_entry.send([this, open] {
-            handle_stream_lost(open, true);
-        });
+        stream->agent_closed = true;
+        to_relay(stream, refused);
+        link_pair_of(stream->entry, stream->agent)
+            .to_entry.send(
+                [this, stream] { handle_stream_lost(stream, true); });
         return;
     }
-    open->reader = *reader;
-    open->attached = true;
-    pull(open);
+    stream->reader = *reader;
+    stream->attached = true;
+    pull(stream);
 }
 
-void fault_world::pull(const stream_pointer& open)
+void fault_world::pull(const stream_pointer& stream)
 {
-    auto& node = agents_[open->agent];
-    if (!open->attached || open->agent_closed || open->caller_paused ||
-        !node.agent_gate || node.incarnation != open->incarnation)
+    auto& node = agents_[stream->agent];
+    if (!stream->attached || stream->agent_closed || stream->caller_paused ||
+        !node.agent_gate || node.incarnation != stream->incarnation)
         return;
-    const auto pulled = node.agent_gate->pull(open->reader, 16, time_.now());
+    const auto pulled = node.agent_gate->pull(stream->reader, 16, time_.now());
     for (const auto& frame : pulled.frames)
-        to_relay(open, frame);
+        to_relay(stream, frame);
     if (!pulled.end)
         return;
-    close_agent_side(open);
-    link_pair_of(open->entry, open->agent).to_entry.send([this, open] {
-        handle_stream_lost(open, true);
+    close_agent_side(stream);
+    link_pair_of(stream->entry, stream->agent).to_entry.send([this, stream] {
+        handle_stream_lost(stream, true);
     });
 }
 
 void fault_world::wake(std::size_t agent, reader_id reader)
 {
-    for (const auto& open : streams_) {
-        if (open->agent == agent && open->reader == reader &&
-            open->incarnation == agents_[agent].incarnation)
-            time_.after(milliseconds(0), [this, open] { pull(open); });
+    for (const auto& stream : streams_) {
+        if (stream->agent == agent && stream->reader == reader &&
+            stream->incarnation == agents_[agent].incarnation)
+            time_.after(milliseconds(0), [this, stream] { pull(stream); });
     }
 }
 
-void fault_world::to_relay(const stream_pointer& open,
+void fault_world::to_relay(const stream_pointer& stream,
                            const link::AgentFrame& frame)
 {
-    if (std::exchange(open->drop_next_frame, false))
+    if (std::exchange(stream->drop_next_frame, false))
         return;
-    if (std::exchange(open->swap_next_frame, false)) {
-        open->swapped_frame = frame;
+    if (std::exchange(stream->swap_next_frame, false)) {
+        stream->swapped_frame = frame;
         return;
     }
-    send_frame(open, frame);
-    if (const auto late = std::exchange(open->swapped_frame, std::nullopt))
-        send_frame(open, *late);
+    send_frame(stream, frame);
+    if (const auto late = std::exchange(stream->swapped_frame, std::nullopt))
+        send_frame(stream, *late);
 }
 
-void fault_world::send_frame(const stream_pointer& open,
+void fault_world::send_frame(const stream_pointer& stream,
                              const link::AgentFrame& frame)
 {
-    link_pair_of(open->entry, open->agent).to_entry.send([this, open, frame] {
-        if (open->entry_closed || !entry_runs(open->entry))
-            return;
-        auto& current = sessions_.at(open->session);
-        perform(open->session, current.session_relay->on_frame(
-                                   open->number, frame, time_.now()));
-    });
+    link_pair_of(stream->entry, stream->agent)
+        .to_entry.send([this, stream, frame] {
+            if (stream->entry_closed || !entry_runs(stream->entry))
+                return;
+            auto& current = sessions_.at(stream->session);
+            perform(stream->session, current.session_relay->on_frame(
+                                         stream->number, frame, time_.now()));
+        });
 }
 
-void fault_world::handle_stream_lost(const stream_pointer& open,
+void fault_world::handle_stream_lost(const stream_pointer& stream,
                                      bool request_may_have_run)
 {
-    if (open->entry_closed || !entry_runs(open->entry))
+    if (stream->entry_closed || !entry_runs(stream->entry))
         return;
-    open->entry_closed = true;
-    auto& current = sessions_.at(open->session);
-    perform(open->session,
+    stream->entry_closed = true;
+    auto& current = sessions_.at(stream->session);
+    perform(stream->session,
             current.session_relay->on_stream_lost(
-                open->number, request_may_have_run, time_.now()));
+                stream->number, request_may_have_run, time_.now()));
 }
 
-void fault_world::close_agent_side(const stream_pointer& open)
+void fault_world::close_agent_side(const stream_pointer& stream)
 {
-    if (open->agent_closed)
+    if (stream->agent_closed)
         return;
-    open->agent_closed = true;
-    auto& node = agents_[open->agent];
-    if (open->attached && node.agent_gate &&
-        node.incarnation == open->incarnation)
-        node.agent_gate->detach(open->reader, time_.now());
+    stream->agent_closed = true;
+    auto& node = agents_[stream->agent];
+    if (stream->attached && node.agent_gate &&
+        node.incarnation == stream->incarnation)
+        node.agent_gate->detach(stream->reader, time_.now());
 }
 
 /**
  * Closes a stream at both ends if its link is stalled when the keepalive timer
  * fires.
  */
-void fault_world::watch_keepalive(const stream_pointer& open)
+void fault_world::watch_keepalive(const stream_pointer& stream)
 {
-    time_.after(keepalive, [this, open] {
-        if (open->entry_closed && open->agent_closed)
+    time_.after(keepalive, [this, stream] {
+        if (stream->entry_closed && stream->agent_closed)
             return;
-        auto& links = link_pair_of(open->entry, open->agent);
+        auto& links = link_pair_of(stream->entry, stream->agent);
         const bool stalled = links.to_agent.stalled() ||
                              links.to_entry.stalled() ||
                              links.to_agent.blocked();
         if (!stalled) {
-            watch_keepalive(open);
+            watch_keepalive(stream);
             return;
         }
-        const auto& frozen_until = entry_frozen_until_.at(open->entry);
+        const auto& frozen_until = entry_frozen_until_.at(stream->entry);
         const bool entry_is_frozen =
             frozen_until && time_.now() < *frozen_until;
         // The close of the old connection reaches the agent after all messages
         // in transit on it. Messages on a new connection overtake it.
         const bool was_blocked = links.to_agent.blocked();
         if (was_blocked) {
-            links.to_agent.send([this, open] { close_agent_side(open); });
+            links.to_agent.send([this, stream] { close_agent_side(stream); });
             links.to_agent.reconnect();
         }
         if (!entry_is_frozen)
-            handle_stream_lost(open, true);
+            handle_stream_lost(stream, true);
         if (was_blocked) {
             links.to_entry.send(
-                [this, open] { handle_stream_lost(open, true); });
+                [this, stream] { handle_stream_lost(stream, true); });
             return;
         }
-        if (!frozen(agents_[open->agent]))
-            close_agent_side(open);
+        if (!frozen(agents_[stream->agent]))
+            close_agent_side(stream);
         // A frozen process notices the close when it resumes, after the
         // messages that arrived before.
-        links.to_agent.send([this, open] { close_agent_side(open); });
-        links.to_entry.send([this, open] { handle_stream_lost(open, true); });
+        links.to_agent.send([this, stream] { close_agent_side(stream); });
+        links.to_entry.send(
+            [this, stream] { handle_stream_lost(stream, true); });
     });
 }
 
@@ -598,15 +600,15 @@
     perform(id, current.session_relay->start(time_.now()));
 }
 
-void fault_world::handle_caller_lost(std::uint64_t id)
+void fault_world::handle_caller_disconnected(std::uint64_t id)
 {
     auto& current = sessions_.at(id);
     if (current.finished)
         return;
     current.finished = true;
-    record(event_kind::caller_left, id);
+    record(event_kind::caller_disconnected, id);
     const auto other = 1 - current.entry;
-    if (caller_left_ || !entry_runs(other) || resends_left_-- == 0)
+    if (caller_disconnected_ || !entry_runs(other) || resends_left_-- == 0)
         return;
     const bool resumes = shape_ == work_shape::stream && last_received_;
     // A non-idempotent call without a ticket is not sent again.
@@ -720,22 +722,22 @@
         node.upstream->lose_next_answer();
         break;
     case fault::answer_of_another:
-        for (const auto& open : streams_) {
-            if (open->entry_closed || open->agent != agent)
+        for (const auto& stream : streams_) {
+            if (stream->entry_closed || stream->agent != agent)
                 continue;
             link::AgentFrame frame;
             frame.set_request_id("somebody-else.1");
             frame.mutable_tokens()->add_text("999");
-            to_relay(open, frame);
+            to_relay(stream, frame);
         }
         break;
     case fault::answer_out_of_order:
     case fault::answer_with_gap:
-        for (const auto& open : streams_) {
-            if (open->entry_closed || open->agent != agent)
+        for (const auto& stream : streams_) {
+            if (stream->entry_closed || stream->agent != agent)
                 continue;
-            open->drop_next_frame = what == fault::answer_with_gap;
-            open->swap_next_frame = what == fault::answer_out_of_order;
+            stream->drop_next_frame = what == fault::answer_with_gap;
+            stream->swap_next_frame = what == fault::answer_out_of_order;
         }
         break;
     case fault::connection_stuck:
@@ -752,12 +754,12 @@
         break;
     case fault::caller_gone:
         defer([this, entry] {
-            caller_left_ = true;
+            caller_disconnected_ = true;
             for (auto& [id, current] : sessions_) {
                 if (current.entry != entry || current.finished)
                     continue;
                 current.finished = true;
-                record(event_kind::caller_left, id);
+                record(event_kind::caller_disconnected, id);
                 perform(id, current.session_relay->on_caller_disconnected(
                                 time_.now()));
             }
@@ -765,13 +767,13 @@
         break;
     case fault::caller_slow:
         caller_slow_ = true;
-        for (const auto& open : streams_)
-            open->caller_paused = true;
+        for (const auto& stream : streams_)
+            stream->caller_paused = true;
         time_.after(milliseconds(1'500), [this] {
             caller_slow_ = false;
-            for (const auto& open : streams_) {
-                open->caller_paused = false;
-                pull(open);
+            for (const auto& stream : streams_) {
+                stream->caller_paused = false;
+                pull(stream);
             }
         });
         break;
@@ -781,7 +783,7 @@
             const auto id = last_session_;
             if (sessions_.at(id).finished || !entry_runs(1 - entry))
                 return;
-            handle_caller_lost(id);
+            handle_caller_disconnected(id);
             perform(id, sessions_.at(id).session_relay->on_caller_disconnected(
                             time_.now()));
         });
--- a/tests/faults/fault_world.hpp
+++ b/tests/faults/fault_world.hpp
@@ -58,7 +58,7 @@
         }
     };
     /** One stream between an entry's relay and an agent's gate. */
-    struct stream {
+    struct link_stream {
         std::size_t entry = 0;
         std::size_t agent = 0;
         std::uint64_t incarnation = 0;
@@ -74,13 +74,13 @@
         bool swap_next_frame = false;
         std::optional<link::AgentFrame> swapped_frame;
     };
-    using stream_pointer = std::shared_ptr<stream>;
+    using stream_pointer = std::shared_ptr<link_stream>;
     /** One HTTP request of the caller, served by one entry. */
     struct session {
         std::size_t entry = 0;
         std::string exchange;
         std::unique_ptr<relay> session_relay;
-        bool finished = false; // the caller has an outcome or left
+        bool finished = false; ///< the caller has an outcome or disconnected
         bool acknowledged = false;
     };
 
@@ -102,28 +102,31 @@
     void perform(std::uint64_t session, const write_end& action);
     void perform(std::uint64_t session, const write_answer& action);
     void perform(std::uint64_t session, const write_refusal& action);
+    /** Schedules the relay's on_time() for its next_event(). */
     void arm_timer(std::uint64_t session);
     void kill_entry(std::size_t entry);
     void freeze_entry(std::size_t entry, milliseconds pause);
     bool entry_runs(std::size_t entry) const;
 
     // Streams.
-    void deliver(const stream_pointer& open, const std::string& path,
+    void deliver(const stream_pointer& stream, const std::string& path,
                  const std::string& frame);
-    void pull(const stream_pointer& open);
+    void pull(const stream_pointer& stream);
     void wake(std::size_t agent, reader_id reader);
-    void to_relay(const stream_pointer& open, const link::AgentFrame& frame);
-    void send_frame(const stream_pointer& open, const link::AgentFrame& frame);
-    void handle_stream_lost(const stream_pointer& open,
+    void to_relay(const stream_pointer& stream, const link::AgentFrame& frame);
+    void send_frame(const stream_pointer& stream,
+                    const link::AgentFrame& frame);
+    void handle_stream_lost(const stream_pointer& stream,
                             bool request_may_have_run);
-    void close_agent_side(const stream_pointer& open);
-    void watch_keepalive(const stream_pointer& open);
+    void close_agent_side(const stream_pointer& stream);
+    void watch_keepalive(const stream_pointer& stream);
     link_pair& link_pair_of(std::size_t entry, std::size_t agent);
 
     // The caller.
     void send_request(std::size_t entry,
                       std::optional<stream_position> resume_after);
-    void handle_caller_lost(std::uint64_t session);
+    /** The caller sends its request again at the other entry, if it may. */
+    void handle_caller_disconnected(std::uint64_t session);
     void record_tokens(std::uint64_t session,
                        const std::vector<std::string>& texts);
     void record(event_kind kind, std::uint64_t session, std::uint64_t run = 0,
@@ -149,7 +152,7 @@
     std::size_t serving_entry_ = 0;
     std::size_t running_agent_ = 0;
     int resends_left_ = 4;
-    bool caller_left_ = false;
+    bool caller_disconnected_ = false; ///< for good: it sends nothing more
     bool caller_slow_ = false;
     poison_register marks_;
     std::optional<step> fault_step_;
--- a/tests/faults/history.cpp
+++ b/tests/faults/history.cpp
@@ -61,7 +61,7 @@
         case event_kind::refused:
             refused(observed);
             break;
-        case event_kind::caller_left:
+        case event_kind::caller_disconnected:
             open_.erase(observed.exchange);
             break;
         }
--- a/tests/faults/history.hpp
+++ b/tests/faults/history.hpp
@@ -19,16 +19,16 @@
 };
 
 enum class event_kind : std::uint8_t {
-    exchange_begun,  ///< a caller sent a request
-    run_begun,       ///< an upstream began to run a request
-    run_token,       ///< an engine produced a token
-    run_ended,       ///< an engine or runner completed a run
-    drain_begun,     ///< an agent began to refuse new work
-    token_received,  ///< a caller received a token
-    end_received,    ///< a caller received the end of a complete answer
-    answer_received, ///< a caller received a runner's answer
-    refused,         ///< a caller received a refusal
-    caller_left,     ///< the caller closed its connection, or it broke
+    exchange_begun,      ///< a caller sent a request
+    run_begun,           ///< an upstream began to run a request
+    run_token,           ///< an engine produced a token
+    run_ended,           ///< an engine or runner completed a run
+    drain_begun,         ///< an agent began to refuse new work
+    token_received,      ///< a caller received a token
+    end_received,        ///< a caller received the end of a complete answer
+    answer_received,     ///< a caller received a runner's answer
+    refused,             ///< a caller received a refusal
+    caller_disconnected, ///< the caller closed its connection, or it broke
 };
 
 /** An event observed by a fake. The system under test records none. */
@@ -47,6 +47,7 @@
     refusal_reason reason = refusal_reason::internal;
 };
 
+/** The events of one run of the simulation, and what is required of them. */
 struct history {
     work_shape shape = work_shape::stream;
     /** Whether the caller must get its answer; see preserves_answer(). */
--- a/tests/faults/test_faults_page.cpp
+++ b/tests/faults/test_faults_page.cpp
@@ -41,7 +41,7 @@
             outcome = std::string(name_of(each.refused)) + " " +
                       std::string(name_of(each.reason));
             break;
-        case event_kind::caller_left:
+        case event_kind::caller_disconnected:
             outcome = "left";
             break;
         default:
--- a/tests/faults/test_guards.cpp
+++ b/tests/faults/test_guards.cpp
@@ -21,8 +21,8 @@
         settings.started_at = start;
         settings.link_key = link_key;
         gate_hooks hooks;
-        hooks.start = [this](const admitted_work& order) {
-            started.push_back(order.work);
+        hooks.start = [this](const admitted_work& admitted) {
+            started.push_back(admitted.work);
         };
         hooks.stop = [this](work_id work) { stopped.push_back(work); };
         hooks.wake = [](reader_id) {};
@@ -122,10 +122,10 @@
     ASSERT_FALSE(refused);
     EXPECT_EQ(refused.error().reason, refusal_reason::ticket_invalid);
 
-    auto dead = ticket_call("r.3", "team");
-    *dead.mutable_ticket() =
+    auto of_old_incarnation = ticket_call("r.3", "team");
+    *of_old_incarnation.mutable_ticket() =
         ticket_authority(link_key).mint({"vm-1", 4, "team", "service", 10'000});
-    const auto unknown = tested_gate->submit(dead, start);
+    const auto unknown = tested_gate->submit(of_old_incarnation, start);
     ASSERT_FALSE(unknown);
     EXPECT_EQ(unknown.error().kind, refusal_kind::outcome_unknown);
 
@@ -138,9 +138,9 @@
 
 /**
  * Guards against resuming another team's generation or probing for one. A
- * resume names the wrong team, a guessed secret, or an index that was not
- * produced yet. Each gets a typed refusal, and the first two are the same as
- * for a generation that does not exist.
+ * resume names the wrong team, a guessed secret, or the index of a token that
+ * does not exist yet. Each gets a typed refusal, and the first two get the same
+ * one as for a generation that does not exist.
  */
 TEST_F(gate_fixture, an_invalid_resume_is_refused)
 {
@@ -168,20 +168,21 @@
 
 /**
  * Guards against a request that crashes every engine it runs on while its
- * caller keeps resending it. After the second loss it is refused as poison. A
- * request that ran beside it at the first loss is cleared once it completes.
+ * caller keeps resending it. After the second loss it is refused as poison.
+ * Another request that was running at the first loss is cleared once it
+ * completes.
  */
 TEST_F(gate_fixture, a_request_that_crashes_two_engines_is_refused)
 {
-    auto innocent = generation("i.1");
-    innocent.set_fingerprint(8);
+    auto unrelated = generation("i.1");
+    unrelated.set_fingerprint(8);
     ASSERT_TRUE(tested_gate->submit(generation("p.1"), start));
-    ASSERT_TRUE(tested_gate->submit(innocent, start));
+    ASSERT_TRUE(tested_gate->submit(unrelated, start));
     tested_gate->engine_lost(start);
     tested_gate->engine_ready(0, start);
 
-    innocent.set_request_id("i.2");
-    ASSERT_TRUE(tested_gate->submit(innocent, start));
+    unrelated.set_request_id("i.2");
+    ASSERT_TRUE(tested_gate->submit(unrelated, start));
     tested_gate->finished(started.back(), "stop", start);
     ASSERT_TRUE(tested_gate->submit(generation("p.2"), start));
     tested_gate->engine_lost(start);
@@ -190,14 +191,14 @@
     const auto third = tested_gate->submit(generation("p.3"), start);
     ASSERT_FALSE(third);
     EXPECT_EQ(third.error().reason, refusal_reason::poison);
-    innocent.set_request_id("i.3");
-    EXPECT_TRUE(tested_gate->submit(innocent, start));
+    unrelated.set_request_id("i.3");
+    EXPECT_TRUE(tested_gate->submit(unrelated, start));
 }
 
 /**
  * Guards against splicing two generations. A link breaks in mid-stream, and the
- * stream that resumes it delivers another generation. The caller already has
- * tokens of the first one, so it must get a typed failure.
+ * stream that resumes the answer delivers another generation. The caller has
+ * tokens of the first one already, so it must get a typed failure.
  */
 TEST(relay_guards, tokens_of_another_generation_are_never_spliced_in)
 {
@@ -212,29 +213,29 @@
     hooks.verdict = [](auto, time_point) { return poison_verdict::clean; };
     hooks.agent_lost = [](auto, const auto&, time_point) {};
     hooks.engine_lost = [](auto, auto, time_point) {};
-    relay relayed(request, {}, hooks);
-    relayed.start(start);
+    relay tested_relay(request, {}, hooks);
+    tested_relay.start(start);
 
     link::AgentFrame accepted;
     accepted.set_request_id("r.1");
     accepted.mutable_accepted()->mutable_generation()->set_sequence(1);
-    relayed.on_frame(1, accepted, start);
+    tested_relay.on_frame(1, accepted, start);
     link::AgentFrame tokens;
     tokens.set_request_id("r.1");
     tokens.mutable_tokens()->add_text("token");
-    relayed.on_frame(1, tokens, start);
-    relayed.on_stream_lost(1, true, start);
+    tested_relay.on_frame(1, tokens, start);
+    tested_relay.on_stream_lost(1, true, start);
 
     // The relay resumes once more on a third stream, then fails the request.
     accepted.mutable_accepted()->mutable_generation()->set_sequence(2);
-    const auto again = relayed.on_frame(2, accepted, start);
+    const auto again = tested_relay.on_frame(2, accepted, start);
     EXPECT_TRUE(std::holds_alternative<open_stream>(again.back()));
-    EXPECT_TRUE(relayed.on_frame(2, tokens, start).empty());
-    const auto actions = relayed.on_frame(3, accepted, start);
+    EXPECT_TRUE(tested_relay.on_frame(2, tokens, start).empty());
+    const auto actions = tested_relay.on_frame(3, accepted, start);
     const auto* refused = std::get_if<write_refusal>(&actions.back());
     ASSERT_NE(refused, nullptr);
     EXPECT_EQ(refused->why.kind, refusal_kind::failed);
-    EXPECT_TRUE(relayed.done());
+    EXPECT_TRUE(tested_relay.done());
 }
 
 } // namespace
--- a/tests/faults/test_history.cpp
+++ b/tests/faults/test_history.cpp
@@ -76,7 +76,7 @@
         all.push_back(make_invalid(name, std::move(observed), change));
     };
     add("lost_token", valid_stream(), [](auto& e) { e.erase(e.begin() + 3); });
-    add("doubled_token", valid_stream(),
+    add("duplicated_token", valid_stream(),
         [](auto& e) { e.insert(e.begin() + 4, e[3]); });
     add("spliced", valid_stream(), [](auto& e) {
         e[5].run = 2;
@@ -84,7 +84,7 @@
     });
     add("token_of_another", valid_stream(),
         [](auto& e) { e[1].work = "other"; });
-    add("cut_short_but_called_complete", valid_stream(),
+    add("cut_short_but_reported_complete", valid_stream(),
         [](auto& e) { e.erase(e.begin() + 5); });
     add("complete_before_its_end", valid_stream(),
         [](auto& e) { std::swap(e[6], e[7]); });
--- a/tests/faults/test_random.cpp
+++ b/tests/faults/test_random.cpp
@@ -19,10 +19,11 @@
 }
 
 /**
- * Guards the guarantees of the matrix against faults that overlap. Up to six
- * faults are injected at one step and at random times after it, so that a fault
- * also hits the recovery from an earlier one: a retry, a resume, a restarted
- * agent. Each failure prints its seed, which is sufficient to reproduce it.
+ * Guards against violations of the guarantees (see the matrix) when faults
+ * overlap. Up to six faults are injected at one step and at random times after
+ * it, so that a fault also hits the recovery from an earlier one: a retry, a
+ * resume, a restarted agent. Each failure prints its seed, which is sufficient
+ * to reproduce it.
  */
 TEST(random_faults, every_guarantee_holds)
 {
--- a/tests/faults/virtual_time.hpp
+++ b/tests/faults/virtual_time.hpp
@@ -21,9 +21,9 @@
         return std::chrono::duration_cast<milliseconds>(now_ - start_).count();
     }
 
-    void after(milliseconds pause, std::function<void()> task)
+    void after(milliseconds delay, std::function<void()> task)
     {
-        tasks_.emplace(std::pair(now_ + pause, ++count_), std::move(task));
+        tasks_.emplace(std::pair(now_ + delay, ++count_), std::move(task));
     }
 
     /** Runs all tasks that are due by `end`, then sets the time to `end`. */
