--- a/tests/gateway/fake_store.cpp
+++ b/tests/gateway/fake_store.cpp
@@ -63,7 +63,7 @@
 void fake_store::set_fault_mode(fault_mode next)
 {
     const std::scoped_lock lock(mutex_);
-    mood_ = next;
+    fault_mode_ = next;
     changed_.notify_all();
 }
 
@@ -81,16 +81,16 @@
     std::map<std::string, std::string> query;
     for (const auto& [name, value] : uri.getQueryParameters())
         query[name] = value;
-    fault_mode current_mood = fault_mode::healthy;
+    fault_mode current_fault_mode = fault_mode::healthy;
     {
         const std::scoped_lock lock(mutex_);
-        current_mood = mood_;
+        current_fault_mode = fault_mode_;
     }
-    if (current_mood == fault_mode::busy)
+    if (current_fault_mode == fault_mode::busy)
         reply.answer(request, 503, "{}");
-    else if (current_mood == fault_mode::unresponsive)
+    else if (current_fault_mode == fault_mode::unresponsive)
         reply.wait_for_close();
-    else if (current_mood == fault_mode::disconnecting)
+    else if (current_fault_mode == fault_mode::disconnecting)
         reply.close();
     else if (uri.getPath() == "/log-newest")
         serve_newest(query, request, reply);
@@ -108,7 +108,7 @@
     auto& topic = topics_[query.at("topic")];
     changed_.wait_for(lock, wait, [&] {
         return topic.records.size() > from || stopping_ ||
-               mood_ != fault_mode::healthy;
+               fault_mode_ != fault_mode::healthy;
     });
     if (from < topic.first) {
         lock.unlock();
--- a/tests/gateway/fake_store.hpp
+++ b/tests/gateway/fake_store.hpp
@@ -1,5 +1,5 @@
-#ifndef CYCLAMENRUN_TESTS_STAND_IN_STORE_HPP
-#define CYCLAMENRUN_TESTS_STAND_IN_STORE_HPP
+#ifndef CYCLAMENRUN_TESTS_FAKE_STORE_HPP
+#define CYCLAMENRUN_TESTS_FAKE_STORE_HPP
 
 #include "fake_upstream.hpp"
 
@@ -44,7 +44,7 @@
     std::size_t calls() const { return server_.arrived().size(); }
     /** Number of calls whose target starts with `target`. */
     std::size_t count_of(const std::string& target) const;
-    /** Deletes the history; reads from before its end are answered 410. */
+    /** Deletes the history; reads that start before its end get a 410. */
     void drop_history();
 
 private:
@@ -66,7 +66,7 @@
     std::mutex mutex_;
     std::condition_variable changed_;
     std::map<std::string, topic_log> topics_;
-    fault_mode mood_ = fault_mode::healthy;
+    fault_mode fault_mode_ = fault_mode::healthy;
     std::size_t page_size_ = 500;
     bool stopping_ = false;
     fake_upstream server_;
@@ -74,4 +74,4 @@
 
 } // namespace cyclamenrun::testing_support
 
-#endif // CYCLAMENRUN_TESTS_STAND_IN_STORE_HPP
+#endif // CYCLAMENRUN_TESTS_FAKE_STORE_HPP
--- a/tests/gateway/fake_upstream.cpp
+++ b/tests/gateway/fake_upstream.cpp
@@ -76,8 +76,9 @@
     return true;
 }
 
-fake_upstream::fake_upstream(script play, const std::string& host)
-    : play_(std::move(play)), listener_(Poco::Net::SocketAddress(host, 0)),
+fake_upstream::fake_upstream(script respond, const std::string& host)
+    : respond_(std::move(respond)),
+      listener_(Poco::Net::SocketAddress(host, 0)),
       acceptor_([this] { accept(); })
 {
 }
@@ -163,7 +164,7 @@
                     arrived_.push_back(request);
                 }
                 changed_.notify_all();
-                play_(request, reply);
+                respond_(request, reply);
             }
             request = {};
             (void)reader.next_message();
--- a/tests/gateway/fake_upstream.hpp
+++ b/tests/gateway/fake_upstream.hpp
@@ -61,7 +61,8 @@
     using script = std::function<void(const arrived_request&, upstream_reply&)>;
 
     /** Listens on `host`, a loopback address. */
-    explicit fake_upstream(script play, const std::string& host = "127.0.0.1");
+    explicit fake_upstream(script respond,
+                           const std::string& host = "127.0.0.1");
     fake_upstream(const fake_upstream&) = delete;
     fake_upstream& operator=(const fake_upstream&) = delete;
     ~fake_upstream();
@@ -79,7 +80,7 @@
     void accept();
     void serve(Poco::Net::StreamSocket socket);
 
-    script play_;
+    script respond_;
     Poco::Net::ServerSocket listener_;
     mutable std::mutex mutex_;
     mutable std::condition_variable changed_;
--- a/tests/gateway/gateway_fixture.cpp
+++ b/tests/gateway/gateway_fixture.cpp
@@ -72,11 +72,11 @@
             (void)reader_->end_of_connection();
             return false;
         }
-        const bool good =
+        const bool parsed =
             reader_->feed({bytes.data(), static_cast<std::size_t>(count)})
                 .has_value();
-        answer_.malformed = !good;
-        return good;
+        answer_.malformed = !parsed;
+        return parsed;
     } catch (const Poco::Exception&) {
         return false; // connection reset, or receive timeout
     }
@@ -177,11 +177,12 @@
 }
 
 fake_upstream& gateway_fixture::add(const std::string& id,
-                                    fake_upstream::script play,
+                                    fake_upstream::script respond,
                                     const std::string& service,
                                     const std::string& host)
 {
-    upstreams.push_back(std::make_unique<fake_upstream>(std::move(play), host));
+    upstreams.push_back(
+        std::make_unique<fake_upstream>(std::move(respond), host));
     upstreams.back()->rejects_load_requests = true;
     upstream_record record;
     record.id = id;
@@ -229,7 +230,7 @@
                                      const std::string& body)
 {
     return "POST " + path + " HTTP/1.1\r\nHost: test.example\r\nAttempt-Id: r" +
-           std::to_string(++next_id) + "\r\nAuthorization: Bearer " + key +
+           std::to_string(++last_id) + "\r\nAuthorization: Bearer " + key +
            "\r\nToken-Usage: 100,4000\r\nDeadline-Ms: 9000\r\n" + extra_fields +
            "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -120,7 +120,7 @@
     /** Starts the gateway, without a configuration if not `configured`. */
     void start(bool configured = true);
     /** Adds an upstream and waits until the gateway knows it. */
-    fake_upstream& add(const std::string& id, fake_upstream::script play,
+    fake_upstream& add(const std::string& id, fake_upstream::script respond,
                        const std::string& service = "app",
                        const std::string& host = "127.0.0.1");
     void publish_record(const upstream_record& record);
@@ -146,7 +146,7 @@
     std::vector<upstream_record> records;
     std::shared_ptr<pushed_feed<gateway_configuration>> configurations;
     std::shared_ptr<pushed_feed<upstream_change>> changes;
-    int next_id = 0;
+    int last_id = 0; ///< of the requests so far
 };
 
 } // namespace cyclamenrun::testing_support
--- a/tests/gateway/gateway_program.hpp
+++ b/tests/gateway/gateway_program.hpp
@@ -121,7 +121,7 @@
     {
         return "GET " + path +
                " HTTP/1.1\r\nHost: test.example\r\nAttempt-Id: r" +
-               std::to_string(++next) + "\r\nAuthorization: Bearer " + key +
+               std::to_string(++last_id) + "\r\nAuthorization: Bearer " + key +
                "\r\nDeadline-Ms: 4000\r\n\r\n";
     }
 
@@ -159,7 +159,7 @@
     std::unique_ptr<child_process> process;
     std::string ready;
     std::string address;
-    int next = 0;
+    int last_id = 0; ///< of the requests so far
 };
 
 } // namespace cyclamenrun::testing_support
--- a/tests/gateway/scripted_monitor.cpp
+++ b/tests/gateway/scripted_monitor.cpp
@@ -16,8 +16,9 @@
 } // namespace
 
 scripted_monitor::scripted_monitor(const std::string& host, std::uint16_t port,
-                                   script play)
-    : play_(std::move(play)), socket_(Poco::Net::SocketAddress(host, port))
+                                   script respond)
+    : respond_(std::move(respond)),
+      socket_(Poco::Net::SocketAddress(host, port))
 {
     socket_.setReceiveTimeout(Poco::Timespan(0, receive_timeout_us));
     thread_ = std::thread([this] { serve(); });
@@ -40,7 +41,7 @@
             v1::MonitorRequest request;
             if (!request.ParseFromArray(bytes.data(), count))
                 continue;
-            const auto answer = play_(request);
+            const auto answer = respond_(request);
             if (answer) {
                 const auto text = answer->SerializeAsString();
                 socket_.sendTo(text.data(), static_cast<int>(text.size()),
--- a/tests/gateway/scripted_monitor.hpp
+++ b/tests/gateway/scripted_monitor.hpp
@@ -17,7 +17,7 @@
 namespace cyclamenrun::testing_support
 {
 
-/** A monitor that answers a gateway's datagrams by a script. */
+/** A monitor that answers the datagrams of gateways by a script. */
 class scripted_monitor
 {
 public:
@@ -25,7 +25,8 @@
     using script = std::function<std::optional<v1::MonitorNotice>(
         const v1::MonitorRequest&)>;
 
-    scripted_monitor(const std::string& host, std::uint16_t port, script play);
+    scripted_monitor(const std::string& host, std::uint16_t port,
+                     script respond);
     scripted_monitor(const scripted_monitor&) = delete;
     scripted_monitor& operator=(const scripted_monitor&) = delete;
     ~scripted_monitor();
@@ -42,7 +43,7 @@
 private:
     void serve();
 
-    script play_;
+    script respond_;
     Poco::Net::DatagramSocket socket_;
     mutable std::mutex mutex_;
     mutable std::condition_variable changed_;
@@ -51,11 +52,13 @@
     std::thread thread_;
 };
 
-/** The generation is granted its start. */
+/** Notice that grants a start. */
 v1::MonitorNotice start_given(const std::string& id, unsigned slots_taken = 1);
-/** The start is not granted yet; `refused`: it will not be granted there. */
+/** Notice that a start is not granted yet. `refused`: the engine leaves and
+ * grants no start. */
 v1::MonitorNotice start_waits(const std::string& id, bool refused = false);
-/** The request is late, and requests of teams that hold less wait as well. */
+/** Notice that a start is not granted: the request is late, and teams that hold
+ * less memory are waiting as well. */
 v1::MonitorNotice start_passed_over(const std::string& id);
 
 } // namespace cyclamenrun::testing_support
--- a/tests/gateway/test_copy_turn_search.cpp
+++ b/tests/gateway/test_copy_turn_search.cpp
@@ -16,17 +16,18 @@
 
 using notice = std::optional<v1::MonitorNotice>;
 
-enum class answer : std::uint8_t { given, waits, refused, silence };
+/** How a monitor answers requests for copy turns. */
+enum class answer : std::uint8_t { given, waits, refused, none };
 
-scripted_monitor::script always(answer what)
+scripted_monitor::script always(answer kind)
 {
-    return [what](const v1::MonitorRequest& request) -> notice {
+    return [kind](const v1::MonitorRequest& request) -> notice {
         v1::MonitorNotice reply;
-        if (request.turn_wanted().empty() || what == answer::silence)
+        if (request.turn_wanted().empty() || kind == answer::none)
             return std::nullopt;
-        if (what == answer::given)
+        if (kind == answer::given)
             reply.set_turn_given(request.turn_wanted());
-        else if (what == answer::waits)
+        else if (kind == answer::waits)
             reply.set_turn_waits(request.turn_wanted());
         else
             reply.set_turn_refused(request.turn_wanted());
@@ -82,7 +83,7 @@
     }
 
     scripted_monitor& add(const std::string& host,
-                          scripted_monitor::script play)
+                          scripted_monitor::script respond)
     {
         upstream_record record;
         record.id = "on-" + host;
@@ -94,7 +95,7 @@
             context->upstreams.apply({record.id, record}, {}, false);
         });
         monitors.push_back(
-            std::make_unique<scripted_monitor>(host, port, std::move(play)));
+            std::make_unique<scripted_monitor>(host, port, std::move(respond)));
         return *monitors.back();
     }
 
@@ -124,10 +125,10 @@
         });
     }
 
-    void end_with(const std::string& what)
+    void end_with(const std::string& outcome)
     {
         const std::scoped_lock lock(mutex);
-        result = what;
+        result = outcome;
         changed.notify_all();
     }
 
@@ -228,7 +229,7 @@
 // a copy that competes with others is better than none.
 TEST_F(copy_turn_searches, use_an_engine_without_a_monitor_as_a_last_resort)
 {
-    add("127.0.0.2", always(answer::silence));
+    add("127.0.0.2", always(answer::none));
     begin();
     EXPECT_EQ(wait_for_result(), "on-127.0.0.2");
 }
--- a/tests/gateway/test_directory_relay.cpp
+++ b/tests/gateway/test_directory_relay.cpp
@@ -164,7 +164,7 @@
     {
         test_caller caller(gateway.address());
         caller.send("GET /a/x HTTP/1.1\r\nHost: test.example\r\nAttempt-Id: r" +
-                    std::to_string(++next) + "\r\nAuthorization: Bearer " +
+                    std::to_string(++last_id) + "\r\nAuthorization: Bearer " +
                     key + "\r\nDeadline-Ms: 4000\r\n\r\n");
         return caller.read().status();
     }
@@ -193,7 +193,7 @@
     fake_upstream app;
     std::vector<std::unique_ptr<engine_host>> engines;
     std::vector<std::unique_ptr<gateway_process>> gateways;
-    int next = 0;
+    int last_id = 0; ///< of the requests so far
 };
 
 // Guards against a load on the store that grows with the number of gateways: a
--- a/tests/gateway/test_explaining.cpp
+++ b/tests/gateway/test_explaining.cpp
@@ -21,8 +21,8 @@
     {
         test_caller caller(address);
         caller.send(request_text(key, path));
-        last = caller.read();
-        return "r" + std::to_string(next);
+        last_answer = caller.read();
+        return "r" + std::to_string(last_id);
     }
 
     std::string explain(const std::string& id) const
@@ -43,14 +43,14 @@
         return wait_for_log(R"("request_id":")" + id + R"(","reason")");
     }
 
-    caller_answer last;
+    caller_answer last_answer;
 };
 
 // Walk-through: a caller reports that its stream was cut in the middle.
 TEST_F(request_explanation, shows_why_a_stream_was_cut)
 {
     const auto id = send("k1", "/s/x");
-    EXPECT_FALSE(last.whole);
+    EXPECT_FALSE(last_answer.whole);
     ASSERT_TRUE(wait_for_end(id));
     const auto timeline = explain(id);
     EXPECT_THAT(
@@ -75,7 +75,7 @@
     wait_for_answer("k1", 503);
     ASSERT_TRUE(wait_for_log("directory_lost"));
     const auto id = send("k1", "/a/x");
-    EXPECT_EQ(last.status(), 503U);
+    EXPECT_EQ(last_answer.status(), 503U);
     ASSERT_TRUE(wait_for_end(id));
     EXPECT_THAT(explain(id),
                 AllOf(ContainsRegex("lease +lease_ended .* ms before age_ms="),
@@ -90,11 +90,11 @@
 TEST_F(request_explanation, shows_when_a_key_was_revoked)
 {
     const auto served = send("k1", "/a/x");
-    EXPECT_EQ(last.status(), 200U);
+    EXPECT_EQ(last_answer.status(), 200U);
     store.put("keyed.op", "config", configuration_text(2, "k2"));
     wait_for_answer("k2", 200);
     const auto refused = send("k1", "/a/x");
-    EXPECT_EQ(last.status(), 401U);
+    EXPECT_EQ(last_answer.status(), 401U);
     ASSERT_TRUE(wait_for_end(served));
     ASSERT_TRUE(wait_for_end(refused));
     EXPECT_THAT(explain(served),
--- a/tests/gateway/test_feed_follower.cpp
+++ b/tests/gateway/test_feed_follower.cpp
@@ -13,7 +13,8 @@
 namespace
 {
 
-/** Answers each call with the next answer of a script, then holds all calls. */
+/** Answers each call with the next answer of a script. Calls after the end of
+ * the script get no answer. */
 class scripted_feed : public directory_feed<int>
 {
 public:
@@ -31,12 +32,12 @@
     void read_newest(time_point, answer_handler on_answer,
                      page_handler) override
     {
-        play({true, 0}, on_answer);
+        respond({true, 0}, on_answer);
     }
     void read_from(std::uint64_t offset, milliseconds, time_point,
                    answer_handler on_answer) override
     {
-        play({false, offset}, on_answer);
+        respond({false, offset}, on_answer);
     }
 
     /** Waits for `count` calls, 10 s at most; returns the calls so far. */
@@ -49,12 +50,12 @@
     }
 
 private:
-    void play(const call& what, const answer_handler& on_answer)
+    void respond(const call& made, const answer_handler& on_answer)
     {
         std::optional<answer> next;
         {
             const std::scoped_lock lock(mutex_);
-            calls_.push_back(what);
+            calls_.push_back(made);
             changed_.notify_all();
             if (script_.empty())
                 return;
@@ -78,7 +79,7 @@
 struct follower_record {
     std::vector<int> items;
     int complete_sets = 0;
-    int current = 0;
+    int confirmed_count = 0;
     int lost = 0;
     int regained = 0;
 };
@@ -102,7 +103,7 @@
             record.items.insert(record.items.end(), items.begin(), items.end());
             record.complete_sets += whole ? 1 : 0;
         };
-        on.confirmed = [&](boot_time) { ++record.current; };
+        on.confirmed = [&](boot_time) { ++record.confirmed_count; };
         on.lost = [&](directory_problem) { ++record.lost; };
         on.regained = [&](duration) { ++record.regained; };
         const auto follower = std::make_shared<feed_follower<int>>(
@@ -123,15 +124,15 @@
         follow(page({1, 2}, 5), {page({3}, 6), page({}, 6)}, calls);
     EXPECT_EQ(record.items, (std::vector{1, 2, 3}));
     EXPECT_EQ(record.complete_sets, 1);
-    EXPECT_EQ(record.current, 3);
+    EXPECT_EQ(record.confirmed_count, 3);
     ASSERT_EQ(calls.size(), 4U);
     EXPECT_TRUE(calls[0].newest);
     EXPECT_EQ(calls[1].offset, 5U);
     EXPECT_EQ(calls[3].offset, 6U);
 }
 
-// The store is unavailable for a while. The follower keeps the known records,
-// continues at its offset, and reports the outage once.
+// The directory is unavailable for a while. The follower keeps the known
+// records, continues at its offset, and reports the outage once.
 TEST(feed_follower, keeps_its_offset_through_an_outage)
 {
     std::vector<scripted_feed::call> calls;
@@ -144,11 +145,11 @@
     EXPECT_EQ(record.regained, 1);
     EXPECT_EQ(calls[3].offset, 5U);
     // A failed call confirms nothing.
-    EXPECT_EQ(record.current, 2);
+    EXPECT_EQ(record.confirmed_count, 2);
 }
 
-// The store has deleted the history at the follower's offset. The records in
-// between are lost, so the newest records have to be read again.
+// The directory has deleted the history at the follower's offset. The records
+// in between are lost, so the newest records have to be read again.
 TEST(feed_follower, rereads_all_when_the_history_is_gone)
 {
     std::vector<scripted_feed::call> calls;
@@ -190,8 +191,8 @@
     held_follower()
     {
         feed_follower<int>::hooks on;
-        on.items = [this](std::vector<int>&& taken, bool) {
-            items.insert(items.end(), taken.begin(), taken.end());
+        on.items = [this](std::vector<int>&& received, bool) {
+            items.insert(items.end(), received.begin(), received.end());
         };
         on.pause = [this] { return pause; };
         on.confirmed = [this](boot_time sent_at) {
@@ -217,9 +218,9 @@
     void wait_for_call(std::size_t count)
     {
         for (int i = 0; i < 500; ++i) {
-            bool there = false;
-            on_loop([&] { there = feed->requested_offsets.size() >= count; });
-            if (there)
+            bool reached = false;
+            on_loop([&] { reached = feed->requested_offsets.size() >= count; });
+            if (reached)
                 return;
             std::this_thread::sleep_for(milliseconds(10));
         }
--- a/tests/gateway/test_generations.cpp
+++ b/tests/gateway/test_generations.cpp
@@ -25,10 +25,10 @@
 public:
     static constexpr int last_event = 12;
 
-    void play(const arrived_request& request, upstream_reply& reply)
+    void respond(const arrived_request& request, upstream_reply& reply)
     {
         if (request.head.target == "/kv-move") {
-            order(request, reply);
+            handle_order(request, reply);
             return;
         }
         if (request.head.method == "DELETE") {
@@ -52,7 +52,7 @@
     std::function<void()> on_stop;
 
 private:
-    void order(const arrived_request& request, upstream_reply& reply)
+    void handle_order(const arrived_request& request, upstream_reply& reply)
     {
         ++orders;
         const bool stop =
@@ -122,7 +122,7 @@
         return add(
             id,
             [engine](const arrived_request& request, upstream_reply& reply) {
-                engine->play(request, reply);
+                engine->respond(request, reply);
             },
             "model");
     }
--- a/tests/gateway/test_read_coalescer.cpp
+++ b/tests/gateway/test_read_coalescer.cpp
@@ -357,9 +357,9 @@
     {
         return static_cast<long>(random_() % below);
     }
-    void at(long when, std::function<void()> what)
+    void at(long when, std::function<void()> action)
     {
-        events_.emplace(std::max(when, now_), std::move(what));
+        events_.emplace(std::max(when, now_), std::move(action));
     }
     /** A message delay: mostly some ms, sometimes seconds. */
     long delay()
@@ -367,15 +367,15 @@
         return random_below(20) == 0 ? random_below(6000)
                                      : 1 + random_below(20);
     }
-    /** Runs `what` once the process is not suspended. */
-    void run_when_active(process& target, std::function<void()> what)
+    /** Runs the action once the process is not suspended. */
+    void run_when_active(process& target, std::function<void()> action)
     {
         if (target.suspended_until <= now_) {
-            what();
+            action();
             return;
         }
-        at(target.suspended_until, [this, &target, what = std::move(what)] {
-            run_when_active(target, what);
+        at(target.suspended_until, [this, &target, action = std::move(action)] {
+            run_when_active(target, action);
         });
     }
     boot_time boot() const { return boot_time(milliseconds(now_)); }
--- a/tests/gateway/test_start_search.cpp
+++ b/tests/gateway/test_start_search.cpp
@@ -24,13 +24,14 @@
 }
 
 /** While true, streams pause after their first event. */
-std::atomic<bool> hold = false;
+std::atomic<bool> hold_streams = false;
 
-void answer_shortly(const arrived_request& request, upstream_reply& reply)
+void answer_with_short_stream(const arrived_request& request,
+                              upstream_reply& reply)
 {
     reply.begin_stream(request);
     reply.event(1);
-    while (hold)
+    while (hold_streams)
         std::this_thread::sleep_for(milliseconds(2));
     reply.end_stream();
 }
@@ -45,19 +46,22 @@
         settings.loads_listen = {"127.0.0.1", scripted_monitor::free_port()};
         settings.monitor_port = port;
         start();
-        one = &add("e1", answer_shortly, "model", "127.0.0.1");
-        two = &add("e2", answer_shortly, "model", "127.0.0.2");
+        first_engine =
+            &add("e1", answer_with_short_stream, "model", "127.0.0.1");
+        second_engine =
+            &add("e2", answer_with_short_stream, "model", "127.0.0.2");
     }
 
     std::unique_ptr<scripted_monitor> monitor(const std::string& host,
-                                              scripted_monitor::script play)
+                                              scripted_monitor::script respond)
     {
-        return std::make_unique<scripted_monitor>(host, port, std::move(play));
+        return std::make_unique<scripted_monitor>(host, port,
+                                                  std::move(respond));
     }
 
     std::uint16_t port = 0;
-    fake_upstream* one = nullptr;
-    fake_upstream* two = nullptr;
+    fake_upstream* first_engine = nullptr;
+    fake_upstream* second_engine = nullptr;
 };
 
 /** Sends the same reply to every start request. */
@@ -91,8 +95,8 @@
     const auto grants = monitor("127.0.0.1", grant_all());
     const auto waits = monitor("127.0.0.2", make_all_wait());
     EXPECT_EQ(send_request("/gen/x").status(), 200U);
-    EXPECT_EQ(one->arrived().size(), 1U);
-    EXPECT_TRUE(two->arrived().empty());
+    EXPECT_EQ(first_engine->arrived().size(), 1U);
+    EXPECT_TRUE(second_engine->arrived().empty());
     EXPECT_TRUE(waits->wait_for(ends_start));
     EXPECT_TRUE(grants->wait_for([](const auto& request) {
         return wants_start(request) &&
@@ -101,38 +105,39 @@
     }));
 }
 
-// Guards against a second run and against a leaked place: both engines grant
+// Guards against a second run and against a leaked grant: both engines grant
 // the start at the same time, one grant is used and the other must be released.
 TEST_F(start_searches, use_one_of_two_grants_and_release_the_other)
 {
     const auto first = monitor("127.0.0.1", grant_all());
     const auto second = monitor("127.0.0.2", grant_all());
     EXPECT_EQ(send_request("/gen/x").status(), 200U);
-    const auto returned = [&] {
+    const auto released = [&] {
         return first->count_of(ends_start) + second->count_of(ends_start) > 0;
     };
     const auto deadline = steady_now() + std::chrono::seconds(10);
-    while (!returned() && steady_now() < deadline)
+    while (!released() && steady_now() < deadline)
         std::this_thread::sleep_for(milliseconds(5));
-    EXPECT_TRUE(returned());
-    EXPECT_EQ(one->arrived().size() + two->arrived().size(), 1U);
+    EXPECT_TRUE(released());
+    EXPECT_EQ(first_engine->arrived().size() + second_engine->arrived().size(),
+              1U);
 }
 
 // Guards against the slower of two granted starts: each token takes longer at
 // the engine that runs more generations.
 TEST_F(start_searches, use_the_better_of_two_grants)
 {
-    const auto crowded =
+    const auto busy =
         monitor("127.0.0.1", [](const v1::MonitorRequest& request) -> notice {
             if (!wants_start(request))
                 return std::nullopt;
             return start_given(request.start_wanted().id(), 7);
         });
-    const auto calm = monitor("127.0.0.2", grant_all());
+    const auto idle = monitor("127.0.0.2", grant_all());
     for (int i = 0; i < 5; ++i)
         EXPECT_EQ(send_request("/gen/x").status(), 200U);
-    EXPECT_TRUE(one->arrived().empty());
-    EXPECT_EQ(two->arrived().size(), 5U);
+    EXPECT_TRUE(first_engine->arrived().empty());
+    EXPECT_EQ(second_engine->arrived().size(), 5U);
 }
 
 // Guards against a dependency on monitors: all monitors are down while their
@@ -154,7 +159,7 @@
                          R"("runs":[],"queued":)" +
                              std::to_string(queued) + "}");
         else
-            answer_shortly(request, reply);
+            answer_with_short_stream(request, reply);
     };
 }
 
@@ -183,36 +188,37 @@
     EXPECT_EQ(streams(idle), 5);
 }
 
-// Guards against a useless delay of each start while no monitor is reachable;
-// start requests must resume when a monitor responds again.
+// Guards against a useless delay of each start while no monitor is reachable.
+// Start requests must be sent again once a monitor responds.
 TEST_F(start_searches, send_no_requests_while_no_monitor_responds)
 {
-    std::atomic<bool> speaks = false;
-    const auto play = [&](const v1::MonitorRequest& request) -> notice {
-        if (!speaks)
+    std::atomic<bool> responds = false;
+    const auto respond = [&](const v1::MonitorRequest& request) -> notice {
+        if (!responds)
             return std::nullopt;
         if (wants_start(request))
             return start_given(request.start_wanted().id());
         v1::MonitorNotice load;
-        load.mutable_load()->set_engine_address(to_string(one->address()));
+        load.mutable_load()->set_engine_address(
+            to_string(first_engine->address()));
         return load;
     };
-    const auto first = monitor("127.0.0.1", play);
-    const auto second = monitor("127.0.0.2", play);
+    const auto first = monitor("127.0.0.1", respond);
+    const auto second = monitor("127.0.0.2", respond);
     EXPECT_EQ(send_request("/gen/x").status(), 200U);
-    const auto asked = [&] {
+    const auto request_count = [&] {
         return first->count_of(wants_start) + second->count_of(wants_start);
     };
-    EXPECT_GT(asked(), 0U);
+    EXPECT_GT(request_count(), 0U);
     std::this_thread::sleep_for(milliseconds(3200));
-    const auto before = asked();
+    const auto before = request_count();
     EXPECT_EQ(send_request("/gen/x").status(), 200U);
-    EXPECT_EQ(asked(), before);
-    speaks = true;
+    EXPECT_EQ(request_count(), before);
+    responds = true;
     const auto deadline = steady_now() + std::chrono::seconds(10);
-    while (asked() == before && steady_now() < deadline)
+    while (request_count() == before && steady_now() < deadline)
         EXPECT_EQ(send_request("/gen/x").status(), 200U);
-    EXPECT_GT(asked(), before);
+    EXPECT_GT(request_count(), before);
 }
 
 // Guards against grants for a caller that has disconnected while all engines
@@ -229,11 +235,11 @@
     }
     EXPECT_TRUE(first->wait_for(ends_start));
     EXPECT_TRUE(second->wait_for(ends_start));
-    EXPECT_TRUE(one->arrived().empty());
+    EXPECT_TRUE(first_engine->arrived().empty());
 }
 
-// Guards against requests that wait until their deadline in vain: a team
-// exceeds its fair share, and all others have priority at both engines.
+// Guards against requests that wait until their deadline in vain: their team
+// exceeds its fair share, and other teams have priority at both engines.
 TEST_F(start_searches, refuse_a_skipped_request_at_once)
 {
     const auto first = monitor("127.0.0.1", skip_all());
@@ -245,7 +251,8 @@
     EXPECT_EQ(answer.body, R"({"error":"share_spent"})");
     EXPECT_GT(std::stod(answer.field("Retry-After")), 0);
     EXPECT_TRUE(first->wait_for(ends_start));
-    EXPECT_TRUE(one->arrived().empty() && two->arrived().empty());
+    EXPECT_TRUE(first_engine->arrived().empty() &&
+                second_engine->arrived().empty());
 }
 
 // Guards against a premature refusal: only one of two engines skips the
@@ -253,33 +260,33 @@
 TEST_F(start_searches, wait_while_one_engine_may_have_room)
 {
     const auto full = monitor("127.0.0.1", skip_all());
-    std::atomic<int> asked = 0;
+    std::atomic<int> requests = 0;
     const auto other =
         monitor("127.0.0.2", [&](const v1::MonitorRequest& request) -> notice {
             if (!wants_start(request))
                 return std::nullopt;
-            return asked++ == 0 ? start_waits(request.start_wanted().id())
-                                : start_given(request.start_wanted().id());
+            return requests++ == 0 ? start_waits(request.start_wanted().id())
+                                   : start_given(request.start_wanted().id());
         });
     EXPECT_EQ(send_request("/gen/x").status(), 200U);
-    EXPECT_EQ(two->arrived().size(), 1U);
+    EXPECT_EQ(second_engine->arrived().size(), 1U);
 }
 
 // Guards against a lost grant: the start request is repeated.
 TEST_F(start_searches, repeat_a_request_after_a_lost_datagram)
 {
-    std::atomic<int> asked = 0;
+    std::atomic<int> requests = 0;
     const auto lossy =
         monitor("127.0.0.1", [&](const v1::MonitorRequest& request) -> notice {
             if (!wants_start(request))
                 return std::nullopt;
-            if (asked++ == 0)
+            if (requests++ == 0)
                 return start_waits(request.start_wanted().id());
             return start_given(request.start_wanted().id());
         });
     const auto waits = monitor("127.0.0.2", make_all_wait());
     EXPECT_EQ(send_request("/gen/x").status(), 200U);
-    EXPECT_EQ(one->arrived().size(), 1U);
+    EXPECT_EQ(first_engine->arrived().size(), 1U);
 }
 
 // Guards against a start at an engine that leaves, before the directory reports
@@ -302,8 +309,8 @@
                        : start_given(request.start_wanted().id());
         });
     EXPECT_EQ(send_request("/gen/x").status(), 200U);
-    EXPECT_TRUE(one->arrived().empty());
-    EXPECT_EQ(two->arrived().size(), 1U);
+    EXPECT_TRUE(first_engine->arrived().empty());
+    EXPECT_EQ(second_engine->arrived().size(), 1U);
 }
 
 // Guards against a request addressed to a previous process: the engine has
@@ -315,33 +322,35 @@
         monitor("127.0.0.1", [&](const v1::MonitorRequest& request) -> notice {
             if (!wants_start(request))
                 return std::nullopt;
-            auto given = start_given(request.start_wanted().id());
-            given.mutable_engine()->set_address(to_string(one->address()));
-            given.mutable_engine()->set_id("e9");
-            return given;
+            auto grant = start_given(request.start_wanted().id());
+            grant.mutable_engine()->set_address(
+                to_string(first_engine->address()));
+            grant.mutable_engine()->set_id("e9");
+            return grant;
         });
     const auto waits = monitor("127.0.0.2", make_all_wait());
     EXPECT_EQ(send_request("/gen/x").status(), 200U);
-    ASSERT_EQ(one->arrived().size(), 1U);
-    EXPECT_EQ(one->arrived().front().field("Expect-Instance"), "e9");
+    ASSERT_EQ(first_engine->arrived().size(), 1U);
+    EXPECT_EQ(first_engine->arrived().front().field("Expect-Instance"), "e9");
 }
 
-// Guards against a monitor that reports about the engine of another VM.
-TEST_F(start_searches, ignore_a_monitor_about_engines_of_other_vms)
+// Guards against a monitor that reports the identity of another VM's engine.
+TEST_F(start_searches, ignore_reports_about_engines_of_other_vms)
 {
     const auto reports_another_vm =
         monitor("127.0.0.2", [&](const v1::MonitorRequest& request) -> notice {
             if (!wants_start(request))
                 return std::nullopt;
             auto waits = start_waits(request.start_wanted().id());
-            waits.mutable_engine()->set_address(to_string(one->address()));
+            waits.mutable_engine()->set_address(
+                to_string(first_engine->address()));
             waits.mutable_engine()->set_id("e9");
             return waits;
         });
     const auto grants = monitor("127.0.0.1", grant_all());
     for (int i = 0; i < 3; ++i)
         EXPECT_EQ(send_request("/gen/x").status(), 200U);
-    for (const auto& request : one->arrived())
+    for (const auto& request : first_engine->arrived())
         EXPECT_EQ(request.field("Expect-Instance"), "e1");
 }
 
@@ -360,7 +369,8 @@
     for (int host = 1; host <= 6; ++host) {
         const auto name = "127.0.0." + std::to_string(host);
         if (host > 2)
-            add("e" + std::to_string(host), answer_shortly, "model", name);
+            add("e" + std::to_string(host), answer_with_short_stream, "model",
+                name);
         const auto engine = to_string(upstreams.at(host - 1)->address());
         monitors.push_back(monitor(
             name,
@@ -392,17 +402,17 @@
     chosen = relays.contains(6) ? 5 : 6;
     while (relays.contains(chosen))
         --chosen;
-    hold = true;
+    hold_streams = true;
     test_caller caller(gateway->address());
     caller.send(request("/gen/x"));
     EXPECT_TRUE(monitors[chosen - 1]->wait_for(wants_loads));
-    hold = false;
+    hold_streams = false;
     EXPECT_EQ(caller.read().status(), 200U);
     EXPECT_EQ(subscribed().size(), 3U);
 }
 
-// Guards against leaked places: grants for unknown requests, or duplicate
-// grants, are released.
+// Guards against leaked grants: a grant for an unknown request, or a duplicate
+// one, is released.
 TEST_F(start_searches, release_unexpected_grants)
 {
     const auto unexpected =
@@ -414,7 +424,7 @@
     EXPECT_TRUE(unexpected->wait_for([](const v1::MonitorRequest& request) {
         return request.start_ended() == "no-such-request";
     }));
-    EXPECT_TRUE(one->arrived().empty());
+    EXPECT_TRUE(first_engine->arrived().empty());
 }
 
 } // namespace
--- a/tests/gateway/test_upstream_failures.cpp
+++ b/tests/gateway/test_upstream_failures.cpp
@@ -12,7 +12,7 @@
 {
 protected:
     /** A script that fails on the first request to any upstream only. */
-    fake_upstream::script once(const fake_upstream::script& fail)
+    fake_upstream::script fail_once(const fake_upstream::script& fail)
     {
         return [this, fail](const arrived_request& request,
                             upstream_reply& reply) {
@@ -26,7 +26,7 @@
     /** Adds two upstreams that share such a script. */
     void add_two(const fake_upstream::script& fail)
     {
-        const auto script = once(fail);
+        const auto script = fail_once(fail);
         add("u1", script);
         add("u2", script);
     }
@@ -86,10 +86,10 @@
 TEST_F(upstream_failures, a_replaced_upstream_gets_no_more_requests)
 {
     start();
-    add("gone", [](const arrived_request& request, upstream_reply& reply) {
+    add("replaced", [](const arrived_request& request, upstream_reply& reply) {
         reply.answer(request, 421, "not me");
     });
-    add("there", [](const arrived_request& request, upstream_reply& reply) {
+    add("live", [](const arrived_request& request, upstream_reply& reply) {
         reply.answer(request, 200, "good");
     });
     for (int i = 0; i < 20; ++i)
@@ -249,10 +249,10 @@
     test_caller caller(gateway->address());
     caller.send(request("/plain/x"));
     upstream.wait_for(1);
-    const auto left_at = steady_now();
+    const auto disconnected_at = steady_now();
     caller.disconnect();
     EXPECT_TRUE(closed->get_future().get());
-    EXPECT_LT(steady_now() - left_at, milliseconds(500));
+    EXPECT_LT(steady_now() - disconnected_at, milliseconds(500));
 }
 
 TEST_F(upstream_failures, a_route_timeout_ends_a_wait)
