--- a/bench/bench_entry.cpp
+++ b/bench/bench_entry.cpp
@@ -90,7 +90,7 @@
     return *best;
 }
 
-void bench_entry::report(const load_report& latest, time_point now)
+void bench_entry::update_report(const load_report& latest, time_point now)
 {
     if (kind_ == policy_kind::least_load)
         reports_[latest.upstream] = latest;
--- a/bench/bench_entry.hpp
+++ b/bench/bench_entry.hpp
@@ -24,7 +24,7 @@
                                 std::span<const candidate> candidates,
                                 time_point now);
     /** Handles an upstream's load report. */
-    void report(const load_report& latest, time_point now);
+    void update_report(const load_report& latest, time_point now);
     router& routes() { return router_; }
     retry_budget& retries() { return retries_; }
 
--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -198,7 +198,7 @@
     auto probed_gate = make_gate();
     (void)probed_gate->submit(generation(0), start);
     for (std::size_t i = 0; i < count; ++i)
-        probed_gate->token_made(1, " token", start);
+        probed_gate->record_token(1, " token", start);
     return probed_gate;
 }
 
@@ -317,7 +317,7 @@
     const auto probed_gate = make_gate();
     const auto reader = probed_gate->submit(generation(0), start);
     return time_each(100'000, [&](int) {
-        probed_gate->token_made(1, " token", start);
+        probed_gate->record_token(1, " token", start);
         for (const auto& frame : probed_gate->pull(*reader, 4096, start).frames)
             (void)frame.SerializeAsString();
     });
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -238,7 +238,7 @@
                                                         : engine_report_lag;
                 after(lag, [this, sent_report] {
                     for (auto& entry : entries_)
-                        entry->report(sent_report, now_);
+                        entry->update_report(sent_report, now_);
                 });
             });
         for (time_point when = epoch; uses_cyclamenrun && when < end_;
--- a/src/libcyclamenrun/agent/upstream_driver.cpp
+++ b/src/libcyclamenrun/agent/upstream_driver.cpp
@@ -215,7 +215,7 @@
     const engine_events events{[this, &admitted](const std::string& text) {
         const auto now = clock_();
         last_token_at_ = now;
-        gate_->token_made(admitted.work, text, now);
+        gate_->record_token(admitted.work, text, now);
     }};
     const auto result = engine_.run(request, events, active.cancel);
     if (result)
--- a/src/libcyclamenrun/decisions/backup_policy.hpp
+++ b/src/libcyclamenrun/decisions/backup_policy.hpp
@@ -25,7 +25,7 @@
      * Records that a stream broke at an engine whose removal was not
      * announced.
      */
-    void crash_seen(time_point now) { last_crash_ = now; }
+    void record_crash(time_point now) { last_crash_ = now; }
 
     bool should_back_up(time_point now) const
     {
--- a/src/libcyclamenrun/gateway/answer_relay.cpp
+++ b/src/libcyclamenrun/gateway/answer_relay.cpp
@@ -114,7 +114,7 @@
     result.relayed = true;
     result.was_first = true;
     result.late_pause = record_part(now);
-    writer_->whole(without_connection_fields(std::move(head_)), body_);
+    writer_->write_whole(without_connection_fields(std::move(head_)), body_);
     writer_.reset();
     return result;
 }
@@ -130,7 +130,7 @@
 
 void answer_relay::refuse(http_head head, std::string_view body)
 {
-    writer_->whole(std::move(head), body);
+    writer_->write_whole(std::move(head), body);
     writer_.reset();
 }
 
--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -448,7 +448,7 @@
         context_.upstreams.failed(id, context_.reactor->now());
     const auto* state = context_.upstreams.find(id);
     if (answer_.begun() && state != nullptr && !state->leaving)
-        context_.crash_seen(id);
+        context_.record_crash(id);
     if (loss == attempt_loss::broken && resume_at_backup())
         return;
     end_attempt(loss == attempt_loss::not_sent ? attempt_result::not_sent
--- a/src/libcyclamenrun/gateway/gateway_context.cpp
+++ b/src/libcyclamenrun/gateway/gateway_context.cpp
@@ -20,14 +20,14 @@
 {
 }
 
-void gateway_context::crash_seen(const std::string& upstream_id)
+void gateway_context::record_crash(const std::string& upstream_id)
 {
     const auto now = reactor->now();
     if (!backups.should_back_up(now))
         log_event(log_severity::warning, log_event_name::crash_seen,
                   {{log_key::upstream, upstream_id},
                    {log_key::duration_ms, backup_policy::crash_window}});
-    backups.crash_seen(now);
+    backups.record_crash(now);
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/gateway_context.hpp
+++ b/src/libcyclamenrun/gateway/gateway_context.hpp
@@ -40,7 +40,7 @@
 
     /** Records that an engine broke a stream without notice: backups are made
      * for a while. Logs it unless they are made already. */
-    void crash_seen(const std::string& upstream_id);
+    void record_crash(const std::string& upstream_id);
 
     std::shared_ptr<link_reactor> reactor;
     std::shared_ptr<const gateway_dialect> dialect;
--- a/src/libcyclamenrun/gateway/gateway_process.cpp
+++ b/src/libcyclamenrun/gateway/gateway_process.cpp
@@ -249,7 +249,7 @@
         const bool state = request.head.target == "/state";
         head.status = state || ready() ? 200 : 503;
         head.fields.push_back({"Content-Type", "application/json"});
-        writer->whole(std::move(head), state ? state_text() : "");
+        writer->write_whole(std::move(head), state ? state_text() : "");
         return session_hooks::disconnect_handler();
     };
     hooks.limits = [] { return session_limits(); };
--- a/src/libcyclamenrun/gateway/metrics_listener.cpp
+++ b/src/libcyclamenrun/gateway/metrics_listener.cpp
@@ -48,13 +48,13 @@
     http_head head;
     if (request.head.target != "/metrics") {
         head.status = 404;
-        writer.whole(std::move(head), "");
+        writer.write_whole(std::move(head), "");
         return;
     }
     refresh_();
     head.status = 200;
     head.fields.push_back({"Content-Type", "text/plain; version=0.0.4"});
-    writer.whole(std::move(head), metrics_.text());
+    writer.write_whole(std::move(head), metrics_.text());
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/http/answer_writer.hpp
+++ b/src/libcyclamenrun/http/answer_writer.hpp
@@ -20,7 +20,7 @@
     virtual ~answer_writer() = default;
 
     /** Writes a complete answer. */
-    virtual void whole(http_head head, std::string_view body) = 0;
+    virtual void write_whole(http_head head, std::string_view body) = 0;
     /** Writes the head of an answer whose body follows in pieces. */
     virtual void begin(http_head head) = 0;
     virtual void write_piece(std::string_view bytes) = 0;
--- a/src/libcyclamenrun/http/http_session.cpp
+++ b/src/libcyclamenrun/http/http_session.cpp
@@ -49,7 +49,7 @@
     {
     }
 
-    void whole(http_head head, std::string_view body) override
+    void write_whole(http_head head, std::string_view body) override
     {
         if (current())
             session_->write_whole(std::move(head), body);
--- a/src/libcyclamenrun/outcomes/gate.cpp
+++ b/src/libcyclamenrun/outcomes/gate.cpp
@@ -289,7 +289,7 @@
     session->orphan_deadline = now + settings_.resume_grace;
 }
 
-void gate::token_made(work_id work, const std::string& text, time_point now)
+void gate::record_token(work_id work, const std::string& text, time_point now)
 {
     deferred_calls deferred;
     {
--- a/src/libcyclamenrun/outcomes/gate.hpp
+++ b/src/libcyclamenrun/outcomes/gate.hpp
@@ -62,7 +62,7 @@
     void detach(reader_id reader, time_point now);
 
     // Events of the upstream. Events of work that is not running are ignored.
-    void token_made(work_id work, const std::string& text, time_point now);
+    void record_token(work_id work, const std::string& text, time_point now);
     void finished(work_id work, const std::string& finish_reason,
                   time_point now);
     void answered(work_id work, call_answer answer, time_point now);
--- a/tests/faults/fake_upstream.cpp
+++ b/tests/faults/fake_upstream.cpp
@@ -139,7 +139,7 @@
     if (last)
         record(event_kind::run_ended, id, running, tokens);
     if (owner != nullptr)
-        owner->token_made(work, token_text(id, index), time_.now());
+        owner->record_token(work, token_text(id, index), time_.now());
     if (index == 0)
         on_moment_(run_moment::first_token, request_id);
     if (index == tokens / 2)
--- a/tests/faults/test_guards.cpp
+++ b/tests/faults/test_guards.cpp
@@ -145,7 +145,7 @@
 TEST_F(gate_fixture, an_invalid_resume_is_refused)
 {
     const auto reader = tested_gate->submit(generation("r.1"), start);
-    tested_gate->token_made(started.at(0), "token", start);
+    tested_gate->record_token(started.at(0), "token", start);
     const auto frames = tested_gate->pull(*reader, 1000, start).frames;
     link::Resume resume;
     resume.set_request_id("x.0");
--- a/tests/gateway/test_answer_relay.cpp
+++ b/tests/gateway/test_answer_relay.cpp
@@ -17,7 +17,7 @@
 class mock_answer : public answer_writer
 {
 public:
-    MOCK_METHOD(void, whole, (http_head, std::string_view), (override));
+    MOCK_METHOD(void, write_whole, (http_head, std::string_view), (override));
     MOCK_METHOD(void, begin, (http_head), (override));
     MOCK_METHOD(void, write_piece, (std::string_view), (override));
     MOCK_METHOD(void, finish, (), (override));
@@ -65,7 +65,7 @@
     relay.handle_head(head_of(200), sealed_facts());
     EXPECT_FALSE(relay.handle_body("hello", arrived)->relayed);
     EXPECT_FALSE(relay.begun());
-    EXPECT_CALL(*writer, whole(_, std::string_view("hello")));
+    EXPECT_CALL(*writer, write_whole(_, std::string_view("hello")));
     const auto late = relay.deliver(arrived + milliseconds(130));
     EXPECT_EQ(late.late_pause, milliseconds(130));
     EXPECT_EQ(relay.time_to_first_part(), milliseconds(130));
@@ -81,7 +81,7 @@
     relay.prepare_next_response();
     relay.handle_head(head_of(200), sealed_facts());
     EXPECT_TRUE(relay.handle_body("whole", arrived));
-    EXPECT_CALL(*writer, whole(_, std::string_view("whole")));
+    EXPECT_CALL(*writer, write_whole(_, std::string_view("whole")));
     relay.deliver(arrived);
 }
 
