--- a/src/libcyclamenrun/operators/request_timeline.cpp
+++ b/src/libcyclamenrun/operators/request_timeline.cpp
@@ -137,7 +137,7 @@
         steps_.begin(), steps_.end(),
         [&](const parsed_log_line& step) { return step.process == process; });
     const auto arrival = arrival_time(*first);
-    to << "\nwhat " << process << " believed at " << arrival << ":\n";
+    to << "\nstate of " << process << " at " << arrival << ":\n";
     // The key contains the name of the feed, since each feed of the directory
     // is lost and regained separately.
     std::map<std::pair<std::string, std::string>, const parsed_log_line*>
--- a/tests/gateway/test_explaining.cpp
+++ b/tests/gateway/test_explaining.cpp
@@ -135,7 +135,7 @@
     std::ostringstream text;
     timeline.print(text);
     EXPECT_THAT(text.str(),
-                ContainsRegex("believed at 2026-01-01T00:00:01.500Z:\n"
+                ContainsRegex("state of g at 2026-01-01T00:00:01.500Z:\n"
                               "  configuration  configuration_applied "
                               "500 ms before revision=1"));
 }
