--- a/src/libcyclamenrun/decisions/admission.hpp
+++ b/src/libcyclamenrun/decisions/admission.hpp
@@ -119,7 +119,7 @@
         /// Expected output of the work item queued last.
         double last_expected_tokens = 0;
         drain_rate drain;
-        /// The latest time at which a refused caller was told to retry.
+        /// The latest retry time that a refusal has returned to a caller.
         time_point last_retry_at{};
 
         explicit team_queue(double rate) : drain(rate) {}
--- a/src/libcyclamenrun/decisions/attempt_policy.cpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.cpp
@@ -88,7 +88,7 @@
     if (!can_retry || objective <= milliseconds::zero())
         return std::nullopt;
     // After the lower bound a second attempt can still meet the objective.
-    // After the upper bound it can hardly respond before the caller gives up.
+    // After the upper bound it can hardly respond before the caller times out.
     const auto lowest = min_timeout_objectives * objective.count();
     const auto highest = max_timeout_objectives * objective.count();
     const auto usual =
--- a/tests/gateway/test_gateway_routes.cpp
+++ b/tests/gateway/test_gateway_routes.cpp
@@ -97,8 +97,8 @@
 
 // Guards against decisions by a missing or outdated configuration: after a
 // start, or a disconnect from the directory for longer than the lease. To
-// refuse a route or key as unknown would make callers give up; to accept it
-// could admit a revoked key.
+// refuse a route or key as unknown would stop the callers' retries; to accept
+// it could admit a revoked key.
 TEST(request_admission, refuses_all_requests_without_a_valid_configuration)
 {
     const gateway_routes routes(configuration());
--- a/tests/gateway/test_generations.cpp
+++ b/tests/gateway/test_generations.cpp
@@ -182,7 +182,7 @@
     EXPECT_EQ(resumed[0].field("Expect-Instance"), "e2");
 }
 
-// Guards against a generation that hangs until its caller gives up: the
+// Guards against a generation that hangs until its caller times out: the
 // engine's record is removed from the directory during the last copy, and the
 // gateway must still wait for the reply to the order.
 TEST_F(generations, a_move_survives_the_removal_of_its_source)
--- a/tests/gateway/test_request_forwarding.cpp
+++ b/tests/gateway/test_request_forwarding.cpp
@@ -84,7 +84,7 @@
 }
 
 // Guards against a 404 or 401 from a process that has just started and has no
-// configuration yet; callers would give up on routes and keys that exist.
+// configuration yet; callers would not retry, although route and key exist.
 TEST_F(request_forwarding, a_process_without_a_configuration_is_not_ready)
 {
     start(false);
