--- a/src/libcyclamenrun/decisions/attempt_policy.hpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.hpp
@@ -57,9 +57,9 @@
  * response after which the request is retried at another upstream. Empty: the
  * attempt may use all the time that the request has left. Without a timeout,
  * an upstream that accepts requests and never responds would use up the whole
- * time of its callers: on six test days on which half of the upstreams of plain
- * services and a third of the engines did so, 7.4% of the requests failed
- * without a timeout and 4.7% with it.
+ * time of its callers. With half of the upstreams of plain services and a third
+ * of the engines unresponsive, 7.4% of the requests failed without a timeout
+ * and 4.7% with it.
  *
  * `usual_bound` is the longest usual response time, see response_time. A fixed
  * timeout of 0.6 objectives takes requests out of queues whenever many callers
--- a/src/libcyclamenrun/decisions/backup_policy.hpp
+++ b/src/libcyclamenrun/decisions/backup_policy.hpp
@@ -13,10 +13,10 @@
  *
  * A backup saves a generation whose engine crashes without notice, but takes
  * memory and bandwidth from the moves that save generations from reclaimed
- * engines. Permanent backups cost 0.025 of the value of test days on which a
- * sixth of the engines is reclaimed every 3.3 s (mean of 18 days of two
- * deployments), and gain 0.03 to 0.04 on days with three crashes of a sixth.
- * Crashes come in series, so backups are made for a while after each one.
+ * engines. Permanent backups cost 0.025 of the value of a day's requests if a
+ * sixth of the engines is reclaimed every 3.3 s, and gain 0.03 to 0.04 of it if
+ * a sixth of the engines crashes three times in the day. Crashes come in
+ * series, so backups are made for a while after each one.
  */
 class backup_policy
 {
--- a/src/libcyclamenrun/decisions/copy_turns.hpp
+++ b/src/libcyclamenrun/decisions/copy_turns.hpp
@@ -19,7 +19,7 @@
  * also the short final copies during which callers wait; if the engine is
  * removed meanwhile, all would be lost instead of the last few. Copying the
  * smallest first saves the most streams when the notice is too short for all:
- * in 36 test days 51 streams were cut, and 64 in the order of the requests.
+ * 51 streams were cut where copying in the order of the requests cut 64.
  *
  * Bounded, no I/O, not thread-safe. A waiting generation loses its place if its
  * gateway stops requesting the turn.
--- a/src/libcyclamenrun/gateway/upstream_registry.hpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.hpp
@@ -74,7 +74,7 @@
  * longer after an outage. A gateway that has just started and used these
  * records could send a request to predecessors max_sends times, be rejected by
  * their successor each time, and refuse the request. After a loss of all
- * gateways such refusals cost 3.8% of the value served in a day.
+ * gateways, such refusals cost 3.8% of the value of a day's requests.
  */
 class upstream_registry
 {
--- a/src/libcyclamenrun/observability/logging.hpp
+++ b/src/libcyclamenrun/observability/logging.hpp
@@ -18,10 +18,10 @@
     double lines_per_s = default_log_lines_per_s;
 
     /**
-     * More than twice the peak of a gateway. In the largest supported
-     * installation, where a gateway answers 10 requests per second, a gateway
-     * logged at most 85 lines in one second and 27 lines per second on average
-     * while faults occurred.
+     * More than twice the peak of a gateway in the largest supported
+     * installation: answering 10 requests per second while faults occurred, a
+     * gateway logged at most 85 lines in one second and 27 lines per second on
+     * average.
      */
     static constexpr double default_log_lines_per_s = 200;
 };
--- a/tests/decisions/test_thundering_herds.cpp
+++ b/tests/decisions/test_thundering_herds.cpp
@@ -376,8 +376,8 @@
 
 // Guards against thundering herds: with load reports that are up to 200 ms
 // old, all gateways send to the few engines that were empty in the reports, and
-// callers wait although the fleet has room. 18% of the first parts are late
-// then, and 1% with start requests at several engines (mean of three seeds).
+// callers wait although the fleet has room. With start requests at several
+// engines, few first parts are late.
 TEST(thundering_herds, keep_no_callers_waiting_where_engines_grant_starts)
 {
     double late_by_reports = 0;
