--- a/src/libcyclamenrun/decisions/copy_turns.hpp
+++ b/src/libcyclamenrun/decisions/copy_turns.hpp
@@ -18,8 +18,7 @@
  * Copies that share the engine's link would each take as long as all of them,
  * also the short final copies during which callers wait; if the engine is
  * removed meanwhile, all would be lost instead of the last few. Copying the
- * smallest first saves the most streams when the notice is too short for all:
- * 51 streams were cut where copying in the order of the requests cut 64.
+ * smallest first saves the most streams when the notice is too short for all.
  *
  * Bounded, no I/O, not thread-safe. A waiting generation loses its place if its
  * gateway stops requesting the turn.
--- a/src/libcyclamenrun/decisions/placement.cpp
+++ b/src/libcyclamenrun/decisions/placement.cpp
@@ -19,8 +19,7 @@
 constexpr double short_memory_cost = 5.0;
 /**
  * Spreads memory over the engines: all of an engine's memory must be copied
- * to others within the 1.5 s before it is reclaimed. With this cost 43 streams
- * were cut where 51 were cut without it.
+ * to others within the 1.5 s before it is reclaimed.
  */
 constexpr double memory_cost = 0.2;
 /** An upstream that fails half of its requests costs as much as a full one. */
--- a/src/libcyclamenrun/gateway/upstream_choice.cpp
+++ b/src/libcyclamenrun/gateway/upstream_choice.cpp
@@ -19,9 +19,7 @@
  * Monitors grant each start, so the load estimates only need to exclude
  * overloaded engines. With a small width all gateways select the same engines
  * by load reports that are 150 ms old, and fewer requests are served in time.
- * With 25 gateways the mean value of the requests was 0.588 at a width of 0.1,
- * 0.626 at 0.3, 0.634 at 1 and 0.644 at 10, and 0.649 at 1 with further engines
- * requested during the wait.
+ * Requesting further engines during the wait gains more than a larger width.
  */
 constexpr double start_request_width = 1.0;
 
--- a/src/libcyclamenrun/observability/logging.hpp
+++ b/src/libcyclamenrun/observability/logging.hpp
@@ -19,9 +19,7 @@
 
     /**
      * More than twice the peak of a gateway in the largest supported
-     * installation: answering 10 requests per second while faults occurred, a
-     * gateway logged at most 85 lines in one second and 27 lines per second on
-     * average.
+     * installation.
      */
     static constexpr double default_log_lines_per_s = 200;
 };
