--- a/src/libcyclamenrun/agent/upstream_driver.cpp
+++ b/src/libcyclamenrun/agent/upstream_driver.cpp
@@ -308,9 +308,9 @@
     const bool busy = gate_->load(clock_()).running() > 0;
     const bool woken = pause(busy ? settings_.busy_poll_interval
                                   : settings_.idle_poll_interval);
-    // Guards against late detection of an engine that freezes just after it
-    // starts its first run: without this wait the next poll would come only
-    // after the idle interval.
+    // A run that starts on an idle engine ends the wait early. The next poll
+    // follows one busy interval later, so that an engine that freezes just
+    // after the start is not detected only after the idle interval.
     if (woken && !busy)
         pause(settings_.busy_poll_interval);
 }
--- a/src/libcyclamenrun/base/clock.hpp
+++ b/src/libcyclamenrun/base/clock.hpp
@@ -8,8 +8,9 @@
 {
 
 /**
- * Monotonic time. Decisions take it as an argument and store deadlines in it,
- * so that a step of the wall clock has no effect.
+ * Monotonic time. Code that makes decisions takes the current time as an
+ * argument and stores deadlines as time points, so that a step of the wall
+ * clock has no effect.
  */
 using time_point = std::chrono::steady_clock::time_point;
 using duration = std::chrono::steady_clock::duration;
--- a/src/libcyclamenrun/configuration/log_tail_cursor.hpp
+++ b/src/libcyclamenrun/configuration/log_tail_cursor.hpp
@@ -65,7 +65,7 @@
     snapshot_hook snapshot_hook_;
     snapshot_assembler assembler_;
     tail_state state_ = tail_state::following;
-    std::uint64_t scan_offset_ = 0; ///< next offset to read behind a gap
+    std::uint64_t scan_offset_ = 0; ///< next offset to scan for a snapshot
     std::uint64_t first_retained_ = 0;
     std::uint64_t end_ = 0;
     std::uint64_t gaps_ = 0;
--- a/src/libcyclamenrun/configuration/snapshot_schedule.hpp
+++ b/src/libcyclamenrun/configuration/snapshot_schedule.hpp
@@ -14,7 +14,7 @@
 struct snapshot_settings {
     std::uint64_t max_records = 1000;        ///< since the last snapshot
     milliseconds max_age{6UL * 3600000};     ///< well below the log's retention
-    milliseconds unknown_age_delay{600'000}; ///< for a snapshot of unknown age
+    milliseconds unknown_age_delay{600'000}; ///< max_age if the age is unknown
     milliseconds stagger{30'000};            ///< delay per rank of an entry
 };
 
--- a/src/libcyclamenrun/daemon/state_dump_sections.cpp
+++ b/src/libcyclamenrun/daemon/state_dump_sections.cpp
@@ -35,15 +35,15 @@
 } // namespace
 
 void add_process_section(state_dump& dump, const process_settings& settings,
-                         std::string_view role, clock_function now)
+                         std::string_view role, clock_function clock)
 {
-    const auto start = now();
+    const auto start = clock();
     dump.add_section("process", [name = settings.name, region = settings.region,
                                  domain = settings.failure_domain,
                                  role = std::string(role), start,
-                                 now = std::move(now)](Object& object) {
+                                 clock = std::move(clock)](Object& object) {
         using std::chrono::duration_cast;
-        const auto uptime = duration_cast<milliseconds>(now() - start);
+        const auto uptime = duration_cast<milliseconds>(clock() - start);
         object.set("name", name);
         object.set("role", role);
         object.set("region", region);
@@ -54,17 +54,17 @@
 }
 
 void add_metrics_section(state_dump& dump, const metrics& recorded_metrics,
-                         clock_function now)
+                         clock_function clock)
 {
-    dump.add_section(
-        "metrics", [&recorded_metrics, now = std::move(now)](Object& object) {
-            const auto at = now();
-            for (const auto& row : metric_table()) {
-                const auto summary = recorded_metrics.summary(row.id, at);
-                if (summary.count != 0)
-                    object.set(std::string(row.name), to_json(row, summary));
-            }
-        });
+    dump.add_section("metrics", [&recorded_metrics,
+                                 clock = std::move(clock)](Object& object) {
+        const auto now = clock();
+        for (const auto& row : metric_table()) {
+            const auto summary = recorded_metrics.summary(row.id, now);
+            if (summary.count != 0)
+                object.set(std::string(row.name), to_json(row, summary));
+        }
+    });
 }
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/daemon/state_dump_sections.hpp
+++ b/src/libcyclamenrun/daemon/state_dump_sections.hpp
@@ -12,13 +12,16 @@
 class metrics;
 struct process_settings;
 
-/** Adds section `process`: name, role, location, version and uptime. */
+/**
+ * Adds section `process`: name, role, region, failure domain, version and
+ * uptime.
+ */
 void add_process_section(state_dump& dump, const process_settings& settings,
-                         std::string_view role, clock_function now);
+                         std::string_view role, clock_function clock);
 
 /** Adds section `metrics`: each metric that has samples, with its unit. */
 void add_metrics_section(state_dump& dump, const metrics& recorded_metrics,
-                         clock_function now);
+                         clock_function clock);
 
 } // namespace cyclamenrun
 
