--- a/src/libcyclamenrun/decisions/admission.hpp
+++ b/src/libcyclamenrun/decisions/admission.hpp
@@ -36,7 +36,10 @@
     bool uses_memory = true; ///< false: a plain call; takes a slot, no memory
 };
 
-/** Load reported by the engine. It lags, so it only corrects own counts. */
+/**
+ * Load reported by the engine. It lags, so it only corrects this class's own
+ * counts.
+ */
 struct engine_load_hint {
     std::uint32_t running = 0;
     std::uint32_t waiting = 0;
@@ -69,7 +72,7 @@
      */
     outcome<void> enqueue(waiting_work work, time_point now);
 
-    /** Starts the work items that may run; returns them in that order. */
+    /** Starts the work items that may run; returns them in starting order. */
     std::vector<work_id> admit(time_point now);
 
     void record_output_tokens(work_id id, std::uint32_t count, time_point now);
--- a/src/libcyclamenrun/decisions/prefix_cache_view.hpp
+++ b/src/libcyclamenrun/decisions/prefix_cache_view.hpp
@@ -13,7 +13,7 @@
 /**
  * Estimates which prompt blocks an engine has cached: those of its latest work
  * items, corrected by the engine's cache events. Events arrive late and with
- * gaps, so this is only a hint; a wrong one costs time and nothing else.
+ * gaps, so this is only a hint; a wrong hint costs time and nothing else.
  * Bounded: the least recently used blocks are dropped first, as in the engine.
  */
 class prefix_cache_view
--- a/src/libcyclamenrun/decisions/reading_speed.hpp
+++ b/src/libcyclamenrun/decisions/reading_speed.hpp
@@ -9,10 +9,10 @@
 {
 
 /**
- * Estimates how many prompt tokens an engine reads per millisecond while it
- * decodes running generations, from the tokens read and the time spent
- * reading. Older time has less weight. The estimate starts from a prior and
- * stays within a plausible range around it.
+ * Estimates an engine's prefill speed: how many prompt tokens it reads per
+ * millisecond while it decodes running generations. The estimate is the tokens
+ * read divided by the time spent reading, where older samples have less weight.
+ * It starts from a prior and stays within a plausible range around it.
  */
 class reading_speed
 {
--- a/src/libcyclamenrun/entry/caller_writer.hpp
+++ b/src/libcyclamenrun/entry/caller_writer.hpp
@@ -8,8 +8,9 @@
 {
 
 /**
- * Writes an outcome to a caller. A write returns false if the caller has
- * disconnected or reads too slowly; no further write may follow.
+ * Writes the answer to a request, or its refusal, to the caller. A write
+ * returns false if the caller has disconnected or reads too slowly; no further
+ * write may follow.
  */
 class caller_writer
 {
--- a/src/libcyclamenrun/entry/entry_core.cpp
+++ b/src/libcyclamenrun/entry/entry_core.cpp
@@ -240,8 +240,8 @@
 {
     auto& members = routes_.members();
     members.on_list(list, clock_());
-    entries_ = members.entries().size();
-    teams_.on_entries(entries_);
+    entry_count_ = members.entries().size();
+    teams_.on_entries(entry_count_);
     remove_unlisted_vms(list);
     std::vector<agent_address> agents;
     for (const auto& agent : members.subset())
@@ -356,7 +356,7 @@
     if (known.revision > 0 || known.empty_replies >= max_empty_replies)
         return true;
     const auto hash = hash64(settings_.name, hash64(upstream));
-    return hash % std::max<std::size_t>(1, entries_) <
+    return hash % std::max<std::size_t>(1, entry_count_) <
            first_configuration_senders;
 }
 
--- a/src/libcyclamenrun/entry/entry_core.hpp
+++ b/src/libcyclamenrun/entry/entry_core.hpp
@@ -148,7 +148,7 @@
     ticket_authority tickets_;
     sharded<agent_state_map> agent_states_;
     metrics metrics_;
-    std::atomic<std::size_t> entries_ = 1; ///< number of listed entries
+    std::atomic<std::size_t> entry_count_ = 1; ///< in the last VM list
     std::mutex listed_mutex_;
     std::set<std::string> listed_; ///< ids in the last VM list
     std::atomic<bool> stopping_ = false;
--- a/src/libcyclamenrun/entry/entry_process.hpp
+++ b/src/libcyclamenrun/entry/entry_process.hpp
@@ -74,8 +74,8 @@
     state_dump dump_;
 
     cancellation stop_log_;
-    std::unique_ptr<platform_log_client> log_;      // for appends and snapshots
-    std::unique_ptr<platform_log_client> tail_log_; // for the tailer
+    std::unique_ptr<platform_log_client> log_; ///< for appends and snapshots
+    std::unique_ptr<platform_log_client> tail_log_; ///< for the tailer
     std::unique_ptr<logging_platform_log> logging_log_;
     std::unique_ptr<logging_platform_log> logging_tail_log_;
     std::shared_ptr<snapshot_writer> snapshots_;
