--- a/src/libcyclamenrun/gateway/generation_mover.cpp
+++ b/src/libcyclamenrun/gateway/generation_mover.cpp
@@ -232,7 +232,8 @@
         return;
     }
     if (kept) {
-        // The generation is stopped, and the source still holds its memory.
+        // The generation is stopped, but the source still holds its memory and
+        // can resume it.
         pending_ = resume_point{*kept, source};
         resume_after_last_events();
         return;
--- a/src/libcyclamenrun/gateway/upstream_record.hpp
+++ b/src/libcyclamenrun/gateway/upstream_record.hpp
@@ -11,13 +11,13 @@
 namespace cyclamenrun
 {
 
-/** An upstream's entry in the platform's directory. */
+/** An upstream's record in the platform's directory. */
 struct upstream_record {
     std::string id;
     std::string service;
     ip_endpoint address;
     std::string failure_domain;
-    unsigned slots = 0;
+    unsigned slots = 0; ///< requests that it can run at a time
     bool draining = false;
     /** Start of the process in Unix milliseconds; another value means another
      * process. */
@@ -38,8 +38,8 @@
     std::uint32_t starting = 0; ///< of `running`: their prompts are being read
     std::uint32_t queued = 0;
     std::vector<resident_generation> generations; ///< that have begun
-    std::uint32_t next_prompt_tokens =
-        0;                          ///< prompt of the first queued request
+    /** Prompt of the first queued request. */
+    std::uint32_t next_prompt_tokens = 0;
     std::uint64_t memory_used = 0;  ///< tokens that can't be evicted
     std::uint64_t memory_total = 0; ///< tokens
     /** Time needed to read the prompts ahead of a new one. Reported, like the
@@ -47,7 +47,7 @@
     milliseconds unread{0};
     double tokens_read_per_ms = 0; ///< reading speed; 0: not reported
     bool leaving = false;
-    std::optional<std::uint32_t> leaves_in_ms;
+    std::optional<std::uint32_t> leaves_in_ms; ///< empty if not known
 };
 
 } // namespace cyclamenrun
