--- a/src/libcyclamenrun/http/http_server.hpp
+++ b/src/libcyclamenrun/http/http_server.hpp
@@ -35,6 +35,7 @@
     std::shared_ptr<const session_hooks> hooks_;
     std::shared_ptr<tcp_acceptor> acceptor_;
     std::vector<std::weak_ptr<http_session>> sessions_;
+    /** Number of sessions at which add() removes the closed ones. */
     std::size_t cleanup_threshold_ = 64;
 };
 
--- a/src/libcyclamenrun/http/http_session.cpp
+++ b/src/libcyclamenrun/http/http_session.cpp
@@ -44,8 +44,9 @@
 class session_writer final : public answer_writer
 {
 public:
-    session_writer(std::shared_ptr<http_session> session, std::uint64_t answer)
-        : session_(std::move(session)), answer_number_(answer)
+    session_writer(std::shared_ptr<http_session> session,
+                   std::uint64_t answer_number)
+        : session_(std::move(session)), answer_number_(answer_number)
     {
     }
 
--- a/src/libcyclamenrun/links/agent_links.cpp
+++ b/src/libcyclamenrun/links/agent_links.cpp
@@ -60,7 +60,7 @@
 
     mutable std::mutex mutex_;
     std::unordered_map<std::string, std::shared_ptr<link_client>> clients_;
-    std::map<std::string, std::string> watched_; // address by upstream
+    std::map<std::string, std::string> watched_; ///< address by upstream
     bool closed_ = false;
 };
 
--- a/src/libcyclamenrun/links/client_stream.hpp
+++ b/src/libcyclamenrun/links/client_stream.hpp
@@ -68,6 +68,7 @@
     link_chunk read_request(std::span<char> room);
 
     const std::shared_ptr<link_reactor> reactor_;
+    /** Bytes passed to consumed() whose credit is not returned yet. */
     std::atomic<std::size_t> consumed_ = 0;
 
     // The members below are used on the loop's thread only.
@@ -78,6 +79,7 @@
     std::size_t request_offset_ = 0;
     client_handlers handlers_;
     link_frame_decoder decoder_;
+    /** Credit for larger frames is returned before they are complete. */
     std::size_t large_frame_bytes_;
     /** Bytes of the partial frame whose window credit is not returned yet. */
     std::size_t unreturned_bytes_ = 0;
--- a/src/libcyclamenrun/links/server_stream.hpp
+++ b/src/libcyclamenrun/links/server_stream.hpp
@@ -88,13 +88,13 @@
     const std::int32_t id_;
     std::string path_;
     std::string request_;
-    std::size_t header_bytes_ = 0;
+    std::size_t header_bytes_ = 0; ///< received so far, which is limited
     link_frame_decoder decoder_;
     bool has_request_ = false;
     pull_function pull_;
-    std::string pending_;
-    std::size_t pending_offset_ = 0;
-    bool at_end_ = false;
+    std::string pending_;            ///< pulled frames, encoded
+    std::size_t pending_offset_ = 0; ///< of the first byte not read yet
+    bool at_end_ = false;            ///< `pending_` holds the last frames
     bool closed_ = false;
     std::function<void()> on_closed_;
 };
--- a/src/libcyclamenrun/membership/router.hpp
+++ b/src/libcyclamenrun/membership/router.hpp
@@ -36,8 +36,8 @@
  * Chooses the upstream with the least cost in time for a request: the expected
  * wait, the prefill of the part of the prompt that is not cached there, and the
  * network distance. An upstream's load is its last report plus this router's
- * dispatches since. Of many candidates the router compares only the upstreams
- * that the prompt's prefix selects by rendezvous hashing and a random sample.
+ * dispatches since. Of many candidates the router compares only a random sample
+ * and the upstreams that rendezvous hashing selects for the prompt's prefix.
  * This bounds the cost of a choice and keeps entries from all choosing the same
  * upstream.
  *
@@ -50,9 +50,10 @@
     router(router_settings settings, std::uint64_t seed);
 
     void update_report(const load_report& latest, time_point now);
-    // Cache events of an upstream. They may be late or lost.
+    /** Handles a cache event of an upstream; events may be late or lost. */
     void cached(const std::string& upstream,
                 std::span<const std::uint64_t> blocks);
+    /** Handles a cache event, as cached() does. */
     void evicted(const std::string& upstream, std::uint64_t block);
 
     void dispatched(const std::string& upstream, const route_request& request,
