--- a/src/libcyclamenrun/orders/order_lease.hpp
+++ b/src/libcyclamenrun/orders/order_lease.hpp
@@ -17,7 +17,7 @@
     milliseconds lease{10'000};      ///< counted from when the claim was sent
     milliseconds margin{2'000};      ///< for clock drift and orders in transit
     milliseconds order_limit{3'000}; ///< time limit of one order
-    milliseconds retry_after{500};
+    milliseconds retry_after{500};   ///< after a failed append or read
 };
 
 /** The next step that an order_lease requires. */
--- a/src/libcyclamenrun/orders/order_queue.cpp
+++ b/src/libcyclamenrun/orders/order_queue.cpp
@@ -30,6 +30,7 @@
     return assignments;
 }
 
+/** Selects an assignment by rendezvous hashing and returns its role. */
 std::string role_for(const std::vector<const v1::Assignment*>& assignments,
                      const std::string& upstream)
 {
--- a/src/libcyclamenrun/outcomes/replay_buffer.hpp
+++ b/src/libcyclamenrun/outcomes/replay_buffer.hpp
@@ -26,6 +26,7 @@
     std::uint64_t next_index() const { return first_index_ + ends_.size(); }
     std::size_t bytes() const { return text_.size(); }
 
+    /** Whether read() may start at `index`, which may be next_index(). */
     bool contains(std::uint64_t index) const
     {
         return index >= first_index() && index <= next_index();
@@ -46,7 +47,7 @@
 
     std::uint64_t first_index_ = 0;
     std::string text_;
-    std::vector<std::uint32_t> ends_; // end offset of each token in text_
+    std::vector<std::uint32_t> ends_; ///< end offset of each token in text_
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/outside/http_deadline_socket.cpp
+++ b/src/libcyclamenrun/outside/http_deadline_socket.cpp
@@ -13,6 +13,7 @@
 namespace
 {
 
+/** Size of the last chunk of a chunked body: `0`, CR, LF, CR, LF. */
 constexpr std::size_t tail_bytes = 5;
 
 bool would_block(int error)
--- a/src/libcyclamenrun/settings/gateway_settings.hpp
+++ b/src/libcyclamenrun/settings/gateway_settings.hpp
@@ -20,32 +20,36 @@
     log_settings log;
     bool log_every_step = false;
     ip_endpoint metrics_listen{"127.0.0.1", 0}; ///< port 0: disabled
-    ip_endpoint listen{"0.0.0.0", 8080};
+    ip_endpoint listen{"0.0.0.0", 8080};        ///< for callers
+    /** For the balancer's readiness checks and operators' queries. */
     ip_endpoint ready_listen{"127.0.0.1", 8081};
     /** The platform's store of configurations and upstreams. */
     ip_endpoint directory;
 
-    ip_endpoint loads_listen{"0.0.0.0", 0};
-    std::uint64_t monitor_port = 0; ///< 0: no monitors are queried
+    ip_endpoint loads_listen{"0.0.0.0", 0}; ///< UDP, for monitors' loads
+    std::uint64_t monitor_port = 0;         ///< 0: no monitors are queried
 
     /** 0: the configuration never expires. */
     milliseconds configuration_lease{0};
+    /** Time between two of the gateway's own queries for upstream changes. */
     milliseconds upstream_pause{900};
-    milliseconds configuration_wait{900};
-    milliseconds upstream_wait{3000};
+    milliseconds configuration_wait{900}; ///< long-poll time at the store
+    milliseconds upstream_wait{3000};     ///< long-poll time at the store
 
-    double retry_share = 0.2;
-    double retry_extra = 50;
+    // Retry budget of each service in a window, over all gateways.
+    double retry_share = 0.2; ///< further attempts per request
+    double retry_extra = 50;  ///< further attempts beyond the share
     double retry_window_s = 10;
 
-    double stop_grace_s = 8;
+    double stop_grace_s = 8; ///< time for a planned stop
+    /** Time between reporting not ready and closing the listener. */
     milliseconds balancer_wait{2500};
 };
 
 /** Rows whose targets are members of `settings`, which must outlive them. */
 settings_table gateway_rows(gateway_settings& settings);
 
-/** Messages name `file`. */
+/** `file` is only named in error messages. */
 settings_outcome<gateway_settings>
 parse_gateway_settings(std::string_view text, const std::string& file);
 
--- a/src/libcyclamenrun/settings/monitor_settings.hpp
+++ b/src/libcyclamenrun/settings/monitor_settings.hpp
@@ -18,16 +18,16 @@
     log_settings log;
     ip_endpoint metrics_listen{"127.0.0.1", 0}; ///< port 0: disabled
     ip_endpoint listen{"0.0.0.0", 0};
-    ip_endpoint engine; ///< the engine on the monitor's VM
-    milliseconds interval{100};
-    /** The platform's store; with port 0 it is not read for gateways. */
+    ip_endpoint engine;         ///< the engine on the monitor's VM
+    milliseconds interval{100}; ///< between two polls of the engine
+    /** The platform's store, read on request of gateways; port 0: disabled. */
     ip_endpoint directory{"127.0.0.1", 0};
 };
 
 /** Rows whose targets are members of `settings`, which must outlive them. */
 settings_table monitor_rows(monitor_settings& settings);
 
-/** Messages name `file`. */
+/** `file` is only named in error messages. */
 settings_outcome<monitor_settings>
 parse_monitor_settings(std::string_view text, const std::string& file);
 
