--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -136,6 +136,7 @@
         view.resources.put(state);
     }
     registry.on_configuration(view);
+    // The registry creates a team's limits at its first request.
     for (const auto* team : view.resources.teams()) {
         if (registry.admit(*team, 100, start))
             registry.finish(team->name());
--- a/bench/fake_engine.cpp
+++ b/bench/fake_engine.cpp
@@ -190,6 +190,7 @@
         if (least->priority >= seq->priority)
             return false;
         preempt(least);
+        // Only a preemption for a decode ends the starts of a step.
         preempted_in_step_ = false;
     }
     return true;
--- a/bench/path_stream.cpp
+++ b/bench/path_stream.cpp
@@ -39,8 +39,8 @@
         close(false);
         return;
     }
-    const auto number = static_cast<int>(socket_.impl()->sockfd());
-    watch_ = reactor_.watch(number, shared_from_this(), true);
+    const auto descriptor = static_cast<int>(socket_.impl()->sockfd());
+    watch_ = reactor_.watch(descriptor, shared_from_this(), true);
 }
 
 void path_stream::ready(bool readable, bool writable)
@@ -76,11 +76,11 @@
 
 void path_stream::receive()
 {
-    const auto room = reactor_.read_buffer();
+    const auto buffer = reactor_.read_buffer();
     const int size =
-        socket_.receiveBytes(room.data(), static_cast<int>(room.size()));
+        socket_.receiveBytes(buffer.data(), static_cast<int>(buffer.size()));
     if (size > 0)
-        handle_bytes({room.data(), static_cast<std::size_t>(size)});
+        handle_bytes({buffer.data(), static_cast<std::size_t>(size)});
     else if (size == 0)
         close(last_event_seen_);
 }
@@ -119,8 +119,8 @@
     if (last_token_) {
         target_.between_tokens.add(in_milliseconds(now - *last_token_));
     } else {
-        first_token_ = in_milliseconds(now - started_);
-        target_.first_token.add(*first_token_);
+        first_token_ms_ = in_milliseconds(now - started_);
+        target_.first_token.add(*first_token_ms_);
     }
     last_token_ = now;
 }
@@ -133,7 +133,7 @@
     const auto self = shared_from_this();
     reactor_.unwatch(watch_);
     socket_.close();
-    on_end_(first_token_);
+    on_end_(first_token_ms_);
 }
 
 } // namespace cyclamenrun::bench
--- a/bench/path_stream.hpp
+++ b/bench/path_stream.hpp
@@ -46,7 +46,7 @@
     link_reactor::watch_id watch_ = 0;
     time_point started_;
     std::optional<time_point> last_token_;
-    std::optional<double> first_token_;
+    std::optional<double> first_token_ms_; ///< from the start
     std::size_t sent_ = 0;
     std::string partial_line_; ///< received part of the current line
     bool status_seen_ = false;
--- a/bench/workload.hpp
+++ b/bench/workload.hpp
@@ -36,12 +36,18 @@
     double seconds = 300;
     /** If not empty, the lengths of requests are drawn from these. */
     std::vector<length_pair> lengths;
-    /** Index of a team with ten times its share from `heavy_from_s` on. */
+    /**
+     * Index of a team that sends ten times its share from `heavy_from_s` on;
+     * SIZE_MAX: none.
+     */
     std::size_t heavy_team = SIZE_MAX;
     double heavy_from_s = 0;
 };
 
-/** Returns requests in bursts, by arrival; the same for the same seed. */
+/**
+ * Returns requests that arrive in bursts, sorted by their arrival. Equal seeds
+ * give equal requests.
+ */
 std::vector<request> make_workload(const deployment& site,
                                    const workload_settings& settings,
                                    std::uint64_t seed);
