--- a/tests/configuration/test_interleavings.cpp
+++ b/tests/configuration/test_interleavings.cpp
@@ -19,9 +19,9 @@
 };
 
 /**
- * Runs three entries under random faults: concurrent changes of two teams, all
- * results of an append, outages of the log, expired records, replaced entries
- * and outdated snapshots.
+ * Runs three entries under concurrent changes of two teams and random faults:
+ * all results of an append, outages of the log, expired records, replaced
+ * entries and outdated snapshots.
  */
 class random_run
 {
@@ -127,7 +127,8 @@
         if (argument % 11 == 0 && base != 0)
             change.clear_resource();
         entry.submit(change, milliseconds(argument % 5 == 0 ? 300 : 5'000));
-        // An operator without an answer retries through another entry.
+        // The same change through another entry, as if an operator had received
+        // no answer and retried.
         if (argument % 3 == 0)
             entry_at(argument).submit(change, milliseconds(5'000));
     }
@@ -149,6 +150,7 @@
             return;
         }
         for (auto& entry : entries_) {
+            // In one of five cases, records that entries still need expire too.
             if (entry.store.ready() && step.argument % 5 != 0)
                 lowest_revision =
                     std::min(lowest_revision, entry.store.revision());
--- a/tests/configuration/test_log_tail.cpp
+++ b/tests/configuration/test_log_tail.cpp
@@ -10,7 +10,10 @@
 namespace
 {
 
-/** Sets the team's weight through the entry, based on the entry's revision. */
+/**
+ * Sets the team's weight through the entry, based on the team's revision that
+ * the entry knows.
+ */
 void set_weight(simulated_entry& entry, std::uint32_t weight)
 {
     const auto base = entry.store.view()->resources.revision_of(
@@ -140,6 +143,7 @@
     configuration_recovery recovery(other.store, [&](const std::string& peer) {
         return peer == "agent" ? agent.serialized_state() : std::string();
     });
+    // Peers are queried only after min_failures failed reads.
     other.read_log();
     EXPECT_FALSE(recovery.poll(other.status(), peers, world.now));
     other.read_log();
