--- a/tests/decisions/test_gateway_decisions.cpp
+++ b/tests/decisions/test_gateway_decisions.cpp
@@ -94,11 +94,13 @@
     int taken = 0;
     while (budget.try_retry("s", at(0)))
         ++taken;
-    EXPECT_EQ(taken, 8); // four fifths of 50 / 5
+    // A fifth of the 50 / 5 retries is kept as a margin.
+    EXPECT_EQ(taken, 8);
 }
 
 // Guards against retries that double the load on the remaining upstreams when
-// others fail: in any window the retries stay within the share.
+// others fail: in any window the retries stay within the share and the fixed
+// part.
 TEST(shared_retry_budget, holds_in_any_window)
 {
     retry_budget_settings settings;
@@ -155,6 +157,8 @@
     EXPECT_FALSE(choose_placement(std::vector<placement_candidate>(), random));
 }
 
+// An engine admits a copied generation before all waiting requests, but a copy
+// to another failure domain takes longer.
 TEST(placement, a_copy_counts_the_distance_and_no_wait)
 {
     placement_candidate near;
--- a/tests/decisions/test_start_queue.cpp
+++ b/tests/decisions/test_start_queue.cpp
@@ -236,8 +236,8 @@
     EXPECT_FALSE(queue.is_granted("short"));
 }
 
-// A gateway that is granted two starts uses one of them. The other one has to
-// be granted to the next request.
+// A generation that is granted starts at two engines uses one of them. The
+// other engine has to grant the unused start to the next request.
 TEST_F(start_queues, grant_unused_starts_to_other_requests)
 {
     queue.update_status(idle_engine(), false, at(0));
