--- a/tests/entry/test_caller_request.cpp
+++ b/tests/entry/test_caller_request.cpp
@@ -23,6 +23,7 @@
     return service;
 }
 
+/** Returns why a body is refused; refusal_reason{}, no reason, if it is not. */
 refusal_reason reason_of(const std::string& body,
                          completion_shape shape = completion_shape::completions)
 {
--- a/tests/gateway/fake_store.hpp
+++ b/tests/gateway/fake_store.hpp
@@ -54,7 +54,7 @@
     };
     struct topic_log {
         std::vector<record> records;
-        std::size_t first = 0;
+        std::size_t first = 0; ///< offset of the oldest retained record
     };
 
     void handle_request(const arrived_request& request, upstream_reply& reply);
--- a/tests/gateway/gateway_fixture.hpp
+++ b/tests/gateway/gateway_fixture.hpp
@@ -74,7 +74,7 @@
 struct caller_answer {
     http_head head;
     std::string body;
-    bool whole = false;
+    bool whole = false;     ///< received to its end
     bool malformed = false; ///< the response has bytes that don't parse
 
     unsigned status() const { return head.status; }
@@ -137,7 +137,9 @@
                         const std::string& body = "hello");
     caller_answer send_request(const std::string& path,
                                const std::string& key = "k1");
+    /** Returns the gateway's state dump. */
     std::string state();
+    /** Returns the status with which the gateway answers /readyz. */
     unsigned readiness();
 
     gateway_settings settings;
--- a/tests/gateway/gateway_program.hpp
+++ b/tests/gateway/gateway_program.hpp
@@ -157,9 +157,9 @@
     fake_upstream upstream;
     temporary_settings_file settings;
     std::unique_ptr<child_process> process;
-    std::string ready;
-    std::string address;
-    int last_id = 0; ///< of the requests so far
+    std::string ready;   ///< address of the readiness listener
+    std::string address; ///< for callers
+    int last_id = 0;     ///< of the requests so far
 };
 
 } // namespace cyclamenrun::testing_support
--- a/tests/gateway/test_monitor.cpp
+++ b/tests/gateway/test_monitor.cpp
@@ -73,13 +73,14 @@
     ~listening_gateway() { loop_.reset(); }
 
     void request_turn(const std::string& id, std::uint64_t tokens = 100,
-                      bool into = false)
+                      bool into_engine = false)
     {
-        loop_->post([this, id, tokens, into] {
+        loop_->post([this, id, tokens, into_engine] {
             monitor_link::turn_hooks on;
             on.granted = [this, id] { reports.add("turn " + id); };
             on.refused = [this, id] { reports.add("no turn " + id); };
-            link_->request_turn({"127.0.0.1", id, tokens, into}, std::move(on));
+            link_->request_turn({"127.0.0.1", id, tokens, into_engine},
+                                std::move(on));
         });
     }
     void end_turn(const std::string& id)
@@ -206,7 +207,7 @@
 }
 
 // If each of a hundred monitors sent its load to each of a hundred gateways,
-// thousands of datagrams a second would delay the loads. A gateway without a
+// thousands of datagrams a second would delay load reports. A gateway without a
 // subscription must receive the load only once, with the answer to its request.
 TEST_F(monitor, repeats_load_only_to_subscribers)
 {
@@ -253,8 +254,8 @@
     EXPECT_TRUE(second.reports.wait_for("turn b"));
 }
 
-// The engine would reject the copy, and the copy turn at the source would be
-// blocked until then.
+// If the monitor granted a copy turn, the engine would reject the copy, and the
+// copy turn at the source would be held in vain until then.
 TEST_F(monitor, refuses_copies_into_an_engine_without_room)
 {
     listening_gateway gateway(port);
