--- a/tests/http/test_http_reader.cpp
+++ b/tests/http/test_http_reader.cpp
@@ -35,6 +35,7 @@
     return reader.feed(text);
 }
 
+/** Expects the reader to reject the request, and returns the problem. */
 http_problem problem_of(const std::string& text)
 {
     found_message found;
@@ -115,7 +116,8 @@
 }
 
 // An answer without a length is complete only when its connection ends in an
-// orderly way: the upstream's host may lose power in the middle of the answer.
+// orderly way. Otherwise an answer cut off by the crash of the upstream's host
+// would pass as complete.
 TEST(http_reader, completes_a_body_at_the_end_of_the_connection)
 {
     found_message found;
--- a/tests/links/link_streams.hpp
+++ b/tests/links/link_streams.hpp
@@ -26,9 +26,9 @@
                                 const std::string& request)
     {
         client->open("/dispatch", request, answer.handlers());
-        const auto how = answer.wait_end();
-        EXPECT_TRUE(how) << "no end";
-        return how.value_or(stream_end{});
+        const auto end = answer.wait_end();
+        EXPECT_TRUE(end) << "no end";
+        return end.value_or(stream_end{});
     }
 
     link_limits limits;
--- a/tests/links/test_untrusted_peers.cpp
+++ b/tests/links/test_untrusted_peers.cpp
@@ -39,9 +39,9 @@
     /** Reads to the end. Returns false if the server does not close. */
     bool wait_closed()
     {
-        std::array<char, 4096> room{};
+        std::array<char, 4096> buffer{};
         try {
-            while (socket_.receiveBytes(room.data(), room.size()) > 0) {
+            while (socket_.receiveBytes(buffer.data(), buffer.size()) > 0) {
             }
         } catch (const Poco::TimeoutException&) {
             return false;
@@ -105,7 +105,7 @@
     expect_still_serving();
 }
 
-/** Submits a request whose frame is 32 bytes long, as a nonce or a proof. */
+/** Submits a request with `frame` as its body, which must outlive `session`. */
 void submit_request(nghttp2_session* session, const std::string& path,
                     std::string& frame)
 {
@@ -120,10 +120,10 @@
     nghttp2_data_provider provider{};
     provider.source.ptr = &frame;
     provider.read_callback =
-        [](nghttp2_session*, std::int32_t, std::uint8_t* room, std::size_t,
+        [](nghttp2_session*, std::int32_t, std::uint8_t* buffer, std::size_t,
            std::uint32_t* flags, nghttp2_data_source* source, void*) {
             const auto& bytes = *static_cast<const std::string*>(source->ptr);
-            std::copy(bytes.begin(), bytes.end(), room);
+            std::copy(bytes.begin(), bytes.end(), buffer);
             *flags |= NGHTTP2_DATA_FLAG_EOF;
             return static_cast<ssize_t>(bytes.size());
         };
@@ -140,6 +140,7 @@
     nghttp2_session_client_new(&session, callbacks, nullptr);
     nghttp2_submit_settings(session, NGHTTP2_FLAG_NONE, nullptr, 0);
     std::string frame;
+    // As long as a nonce or a proof.
     append_frame(frame, std::string(32, 'x'));
     for (const std::string& path : paths)
         submit_request(session, path, frame);
