--- a/tests/outside/test_engine_client.cpp
+++ b/tests/outside/test_engine_client.cpp
@@ -29,6 +29,7 @@
     {
     }
 
+    /** `stand_in`: a JSON object of options for the stand-in engine. */
     static engine_request request(const std::string& id,
                                   const std::string& stand_in)
     {
@@ -114,9 +115,9 @@
     EXPECT_EQ(got.result.error().failure, engine_failure::lost_mid_stream);
 }
 
-// The engine crashes in the middle of an answer and its VM starts another one.
-// Guards against taking the truncated answer for a complete one, and against
-// missing the restart.
+// The engine crashes in the middle of an answer and its VM starts another
+// engine. Guards against taking the truncated answer for a complete one, and
+// against missing the restart.
 TEST_F(engine_client_test, an_engine_restart_is_detected)
 {
     ASSERT_TRUE(run(request("r0", R"({"output_tokens":1})")).result);
--- a/tests/outside/test_platform_clients.cpp
+++ b/tests/outside/test_platform_clients.cpp
@@ -98,7 +98,8 @@
                          std::to_string(text.size()) + "\r\n\r\n" + text);
         return log.read(5, 10, no_wait).error().failure;
     };
-    // Offsets that decrease would make a reader apply a change twice.
+    // The offset must be a number from 5, where the read starts, to before
+    // `next`: a reader would apply a change twice if it went back.
     for (const auto* offsets : {"4", "9", "-1", "\"5\"", "null"})
         EXPECT_EQ(failure_of(R"({"first_retained":0,"next":9,"records":[)"
                              R"({"data":"","offset":)" +
--- a/tests/platform/test_corrupted_messages.cpp
+++ b/tests/platform/test_corrupted_messages.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-/** Returns the text with a few bytes replaced, inserted or removed. */
+/** Changes the text up to five times: replaces, adds or removes some bytes. */
 std::string corrupted(std::string text)
 {
     const auto changes = *rc::gen::inRange(1, 6);
