--- a/tests/processes/test_configuration_spread.cpp
+++ b/tests/processes/test_configuration_spread.cpp
@@ -12,7 +12,7 @@
 
 using testing_support::deployment;
 
-/** Upstreams as in a deployment of the users, with a few entries. */
+/** As many upstreams as in one of the users' deployments, and a few entries. */
 constexpr int models = 10;
 constexpr int runners = 3;
 constexpr int entries = 3;
--- a/tests/processes/test_orders.cpp
+++ b/tests/processes/test_orders.cpp
@@ -15,7 +15,8 @@
 /**
  * Guards against an accepted assignment that does not reach an engine, or
  * reaches it twice. Each engine of the service receives one order from its own
- * agent. A restarted engine has lost its loaded model and receives it again.
+ * agent. A restarted engine has lost its loaded model and receives the order
+ * again.
  */
 TEST(orders, reach_each_engine_and_again_when_it_restarts)
 {
@@ -37,7 +38,8 @@
     upstream.back_end->process().signal(SIGKILL);
     upstream.back_end->process().wait();
     system.restart_back_end(upstream);
-    // The restarted engine begins with an empty history: one order for each.
+    // The restarted engine begins with an empty history, so that the two
+    // engines have one order each again.
     EXPECT_TRUE(wait_until([&] { return system.count_events("order") == 2; }));
 }
 
--- a/tests/product/test_logging.cpp
+++ b/tests/product/test_logging.cpp
@@ -77,6 +77,7 @@
     EXPECT_EQ(line->getValue<std::string>("severity"), "warning");
     EXPECT_EQ(line->getValue<std::string>("reason"), "queue_full");
     EXPECT_EQ(line->getValue<int>("tokens"), 12);
+    // 75bcd15 is the generation's secret in hexadecimal.
     EXPECT_THAT(captured.lines().front(),
                 testing::AllOf(testing::HasSubstr("vm-1:7:3"),
                                testing::Not(testing::HasSubstr("75bcd15"))));
