--- a/tests/settings/test_docs.cpp
+++ b/tests/settings/test_docs.cpp
@@ -135,6 +135,7 @@
 TEST(docs, gateway_refusals_are_documented)
 {
     const auto text = page("OPERATIONS.md");
+    // upstream_lost is the last refusal.
     for (auto number = 0U;
          number <= static_cast<unsigned>(gateway_refusal::upstream_lost);
          ++number) {
@@ -150,6 +151,7 @@
 TEST(docs, example_lines_have_known_events_and_fields)
 {
     std::set<std::string> known{"time", "severity", "process", "event"};
+    // name_of() returns "other" for a number that is not a key.
     for (auto number = 0U; name_of(static_cast<log_key>(number)) != "other";
          ++number)
         known.insert(std::string(name_of(static_cast<log_key>(number))));
@@ -185,21 +187,25 @@
     }
     std::istringstream text(page("FAULTS.md"));
     int named = 0;
-    bool in_table = false;
+    bool in_section = false;
     for (std::string line; std::getline(text, line);) {
         if (line.starts_with("## "))
-            in_table = line == "## The gateway on the users' platform";
+            in_section = line == "## The gateway on the users' platform";
         const auto from = line.rfind(" | `");
-        if (!in_table || !line.starts_with("| ") || from == std::string::npos)
+        if (!in_section || !line.starts_with("| ") || from == std::string::npos)
             continue;
         const auto name = line.substr(from + 4, line.rfind('`') - from - 4);
         const auto dot = name.find('.');
         ASSERT_NE(dot, std::string::npos) << line;
-        const auto call = name.substr(0, dot) + ", " + name.substr(dot + 1);
+        const auto macro_arguments =
+            name.substr(0, dot) + ", " + name.substr(dot + 1);
         const bool exists =
-            sources.find("TEST(" + call + ")") != std::string::npos ||
-            sources.find("TEST_F(" + call + ")") != std::string::npos ||
-            sources.find("RC_GTEST_PROP(" + call + ",") != std::string::npos ||
+            sources.find("TEST(" + macro_arguments + ")") !=
+                std::string::npos ||
+            sources.find("TEST_F(" + macro_arguments + ")") !=
+                std::string::npos ||
+            sources.find("RC_GTEST_PROP(" + macro_arguments + ",") !=
+                std::string::npos ||
             sources.find("TEST_F(" + name.substr(0, dot) + ",\n       " +
                          name.substr(dot + 1) + ")") != std::string::npos;
         EXPECT_TRUE(exists) << name;
--- a/tests/settings/test_settings.cpp
+++ b/tests/settings/test_settings.cpp
@@ -106,6 +106,7 @@
                         ("cyclamenrun-settings-" + std::to_string(getpid()));
     std::filesystem::create_directory(folder);
     auto text = valid_agent;
+    // 45 bytes: the setting `link_key` without the end of its line.
     text.replace(text.find("link_key"), 45, "link_key_file = 'key'\n");
     std::ofstream(folder / "key") << std::string(40, 'k') << '\n';
     std::ofstream(folder / "agent.toml") << text;
