--- a/tests/standins/engine/engine_core.hpp
+++ b/tests/standins/engine/engine_core.hpp
@@ -32,6 +32,7 @@
     bool ignore_fence = false;
 };
 
+/** The engine's load at one time. */
 struct load_sample {
     std::uint64_t running = 0;
     std::uint64_t waiting = 0;
@@ -59,13 +60,14 @@
     void stop();
 
     std::vector<std::string> run_ids() const;
+    /** Returns the load as it was `load_lag_ms` ago. */
     load_sample load() const;
     const engine_options& options() const { return options_; }
     prefix_cache& cache() { return cache_; }
 
-    /** Generates no tokens for this time. */
+    /** Stops generating tokens for this time. */
     void stall(std::chrono::milliseconds span);
-    /** Multiplies the time between tokens. */
+    /** Makes each further step take `factor` times as long. */
     void slow_down(double factor);
     /** Kills the process when any run reaches this token; 0: off. */
     void die_at_token(std::uint64_t count);
--- a/tests/standins/runner/runner_api.cpp
+++ b/tests/standins/runner/runner_api.cpp
@@ -80,6 +80,7 @@
     return ++runs_;
 }
 
+/** Returns the faults for one call. Only lost answers are counted down. */
 runner_faults runner_api::consume_faults()
 {
     const std::lock_guard guard(lock_);
--- a/tests/support/child_process.hpp
+++ b/tests/support/child_process.hpp
@@ -133,14 +133,15 @@
         return text;
     }
 
-    std::string wait_for_address(const std::string& line)
+    /** Returns the address in the first log line that contains `fragment`. */
+    std::string wait_for_address(const std::string& fragment)
     {
         const auto deadline =
             std::chrono::steady_clock::now() + std::chrono::seconds(20);
         do {
             const auto text = output();
             const std::string before = R"("address":")";
-            const auto found = text.find(line);
+            const auto found = text.find(fragment);
             const auto from = text.find(before, found);
             const auto end = text.find('\n', found);
             if (found != std::string::npos && end != std::string::npos)
@@ -149,7 +150,7 @@
                                        before.size());
             std::this_thread::sleep_for(poll_interval);
         } while (std::chrono::steady_clock::now() < deadline && !ended());
-        throw std::runtime_error("no line " + line + ": " + output() +
+        throw std::runtime_error("no line " + fragment + ": " + output() +
                                  errors());
     }
 
@@ -166,9 +167,10 @@
         ::prctl(PR_SET_PDEATHSIG, SIGKILL);
         ::dup2(::fileno(output_), STDOUT_FILENO);
         ::dup2(::fileno(errors_), STDERR_FILENO);
+        // Closes the files and sockets inherited from the test.
         constexpr int first_inherited = 3;
-        constexpr int last_inherited = 1024;
-        for (int descriptor = first_inherited; descriptor < last_inherited;
+        constexpr int descriptor_limit = 1024;
+        for (int descriptor = first_inherited; descriptor < descriptor_limit;
              ++descriptor)
             ::close(descriptor);
         ::execv(arguments.front(), arguments.data());
@@ -199,8 +201,8 @@
     pid_t pid_ = -1;
     std::FILE* output_ = nullptr;
     std::FILE* errors_ = nullptr;
-    std::string pending_; ///< incomplete last line of the output read
-    ::off_t read_bytes_ = 0;
+    std::string pending_;    ///< output not yet returned by read_line()
+    ::off_t read_bytes_ = 0; ///< of the output, by read_more()
 };
 
 } // namespace cyclamenrun::testing_support
--- a/tests/support/tcp_relay.hpp
+++ b/tests/support/tcp_relay.hpp
@@ -18,7 +18,10 @@
 
 enum class relay_direction : std::size_t { to_target, to_caller };
 
-/** A TCP link that a test can cut, stall in one direction, and restore. */
+/**
+ * Relays TCP connections to a target process. A test can cut this link, stall
+ * it in one direction and restore it. `caller` is the process that connects.
+ */
 class tcp_relay
 {
 public:
