--- a/bench/bench_agent.cpp
+++ b/bench/bench_agent.cpp
@@ -3,26 +3,29 @@
 namespace cyclamenrun::bench
 {
 
-bench_agent::bench_agent(const deployment& site, const policy& tested_policy,
+bench_agent::bench_agent(const deployment& deployment,
+                         const policy& tested_policy,
                          const engine_settings& engine, std::size_t index,
                          const std::vector<request>& requests,
                          bool no_deadlines)
     : name("runner-" + std::to_string(index)),
-      failure_domain(site.failure_domains[index % site.failure_domains.size()]),
-      site_(site), requests_(requests),
-      settings_(settings_of(site, tested_policy, engine, no_deadlines)),
+      failure_domain(
+          deployment
+              .failure_domains[index % deployment.failure_domains.size()]),
+      deployment_(deployment), requests_(requests),
+      settings_(settings_of(deployment, tested_policy, engine, no_deadlines)),
       engine_(engine)
 {
     if (tested_policy.uses_cyclamenrun())
         admission_ = std::make_unique<admission>(settings_);
 }
 
-admission_settings bench_agent::settings_of(const deployment& site,
+admission_settings bench_agent::settings_of(const deployment& deployment,
                                             const policy& tested_policy,
                                             const engine_settings& engine,
                                             bool no_deadlines) const
 {
-    admission_settings settings = default_admission(site.goal);
+    admission_settings settings = default_admission(deployment.goal);
     settings.memory_tokens = engine.memory_tokens;
     settings.block_tokens = prefix_block_tokens;
     settings.parts = {tested_policy.prediction, tested_policy.prefix,
@@ -53,12 +56,12 @@
                     incoming.prefix_blocks, 0);
         return {};
     }
-    const team_profile& team = site_.teams[incoming.team];
+    const team_profile& team = deployment_.teams[incoming.team];
     waiting_work work;
     work.id = id;
     work.team = team.name;
     work.team_weight = team.weight;
-    work.service = site_.service;
+    work.service = deployment_.service;
     work.prompt_tokens = incoming.prompt_tokens;
     work.max_output_tokens = 16'384;
     work.prefix_blocks = incoming.prefix_blocks;
--- a/bench/bench_agent.hpp
+++ b/bench/bench_agent.hpp
@@ -23,7 +23,7 @@
 class bench_agent
 {
 public:
-    bench_agent(const deployment& site, const policy& tested_policy,
+    bench_agent(const deployment& deployment, const policy& tested_policy,
                 const engine_settings& engine, std::size_t index,
                 const std::vector<request>& requests, bool no_deadlines);
 
@@ -55,12 +55,12 @@
     time_point unreachable_until{}; ///< no token is delivered before this time
 
 private:
-    admission_settings settings_of(const deployment& site,
+    admission_settings settings_of(const deployment& deployment,
                                    const policy& tested_policy,
                                    const engine_settings& engine,
                                    bool no_deadlines) const;
 
-    const deployment& site_;
+    const deployment& deployment_;
     const std::vector<request>& requests_;
     admission_settings settings_;
     fake_engine engine_;
--- a/bench/bench_entry.cpp
+++ b/bench/bench_entry.cpp
@@ -33,10 +33,11 @@
 
 } // namespace
 
-bench_entry::bench_entry(const deployment& site, const policy& tested_policy,
-                         std::size_t index, std::uint64_t seed,
-                         bool no_deadlines)
-    : failure_domain(site.failure_domains[index]), kind_(tested_policy.kind),
+bench_entry::bench_entry(const deployment& deployment,
+                         const policy& tested_policy, std::size_t index,
+                         std::uint64_t seed, bool no_deadlines)
+    : failure_domain(deployment.failure_domains[index]),
+      kind_(tested_policy.kind),
       router_(settings_of(tested_policy, no_deadlines), seed),
       retries_(retry_share, retry_burst, retry_teams), next_index_(index)
 {
--- a/bench/bench_entry.hpp
+++ b/bench/bench_entry.hpp
@@ -16,7 +16,7 @@
 class bench_entry
 {
 public:
-    bench_entry(const deployment& site, const policy& tested_policy,
+    bench_entry(const deployment& deployment, const policy& tested_policy,
                 std::size_t index, std::uint64_t seed, bool no_deadlines);
 
     /** Returns the index of the chosen candidate, or a refusal. */
--- a/bench/decisions_command.cpp
+++ b/bench/decisions_command.cpp
@@ -16,7 +16,7 @@
 {
 
 struct decisions_options {
-    std::string site = "amianto";
+    std::string deployment_name = "amianto";
     std::string policy_name = "all";
     std::vector<double> loads = {1.0};
     std::string seeds = "1..5";
@@ -174,9 +174,9 @@
                 const std::string& name,
                 const std::vector<std::pair<std::string, estimate>>& column)
 {
-    std::cout << "{\"deployment\":\"" << options.site << "\",\"load\":" << load
-              << ",\"fault\":\"" << options.fault << "\",\"policy\":\"" << name
-              << '"';
+    std::cout << "{\"deployment\":\"" << options.deployment_name
+              << "\",\"load\":" << load << ",\"fault\":\"" << options.fault
+              << "\",\"policy\":\"" << name << '"';
     for (const auto& [measure, value] : column)
         std::cout << ",\"" << measure << "\":{\"mean\":" << value.mean
                   << ",\"half_width\":" << value.half_width << '}';
@@ -185,16 +185,17 @@
 
 void run(const decisions_options& options)
 {
-    const auto site = deployment_of(options.site);
+    const auto deployment = deployment_of(options.deployment_name);
     const auto fault = fault_kind_of(options.fault);
     const auto policies = policies_of(options);
     const seed_range seeds = parse_seeds(options.seeds);
-    if (!site || !fault || policies.empty() || seeds.last < seeds.first)
+    if (!deployment || !fault || policies.empty() || seeds.last < seeds.first)
         throw CLI::ValidationError("deployment, fault, policy or seeds");
 
     trial_settings settings;
-    settings.site = *site;
-    settings.site.engines = options.engines.value_or(site->engines);
+    settings.tested_deployment = *deployment;
+    settings.tested_deployment.engines =
+        options.engines.value_or(deployment->engines);
     settings.fault = *fault;
     settings.warm_up_s = options.warm_up_s;
     settings.window_s = options.window_s;
@@ -203,13 +204,13 @@
         if (settings.lengths.empty())
             throw CLI::ValidationError("no rows in " + options.lengths_file);
     }
-    const double capacity =
-        measured_capacity(settings.site, settings.engine, settings.lengths);
+    const double capacity = measured_capacity(
+        settings.tested_deployment, settings.engine, settings.lengths);
     for (const double load : options.loads) {
         settings.requests_per_second = load * capacity;
         if (!options.json)
             std::cout << "\n"
-                      << options.site << ", load " << load << " = "
+                      << options.deployment_name << ", load " << load << " = "
                       << settings.requests_per_second << " requests/s, fault "
                       << options.fault << ", seeds " << options.seeds << "\n";
         std::vector<std::string> names;
@@ -234,7 +235,8 @@
     auto* command = app.add_subcommand(
         "decisions", "Policies compared on fake engines in virtual time");
     auto options = std::make_shared<decisions_options>();
-    command->add_option("--deployment", options->site, "amianto or guatemala");
+    command->add_option("--deployment", options->deployment_name,
+                        "amianto or guatemala");
     command->add_option("--policy", options->policy_name,
                         "round_robin, least_load, cyclamenrun, oracle; all of "
                         "these; or parts: cyclamenrun without each part");
--- a/bench/deployment.cpp
+++ b/bench/deployment.cpp
@@ -30,31 +30,31 @@
 
 deployment amianto()
 {
-    deployment site;
-    site.name = "amianto";
-    site.service = "redactor";
-    site.goal = objective::stall_time;
-    site.failure_domains = {"mendoza-a", "mendoza-b", "san-juan"};
-    site.one_way_ms = 0.5;
-    site.short_answer = {40, 0.8, 1'024};
-    site.long_answer = {900, 0.7, 4'096};
-    site.teams = teams();
-    return site;
+    deployment deployment;
+    deployment.name = "amianto";
+    deployment.service = "redactor";
+    deployment.goal = objective::stall_time;
+    deployment.failure_domains = {"mendoza-a", "mendoza-b", "san-juan"};
+    deployment.one_way_ms = 0.5;
+    deployment.short_answer = {40, 0.8, 1'024};
+    deployment.long_answer = {900, 0.7, 4'096};
+    deployment.teams = teams();
+    return deployment;
 }
 
 deployment guatemala()
 {
-    deployment site;
-    site.name = "guatemala";
-    site.service = "asistente-ia";
-    site.goal = objective::token_latency;
-    site.failure_domains = {"sala-zona4", "sala-mixco", "sala-petapa",
-                            "sala-amatitlan"};
-    site.one_way_ms = 1.0;
-    site.short_answer = {25, 0.6, 1'024};
-    site.long_answer = {500, 0.6, 4'096};
-    site.teams = teams();
-    return site;
+    deployment deployment;
+    deployment.name = "guatemala";
+    deployment.service = "asistente-ia";
+    deployment.goal = objective::token_latency;
+    deployment.failure_domains = {"sala-zona4", "sala-mixco", "sala-petapa",
+                                  "sala-amatitlan"};
+    deployment.one_way_ms = 1.0;
+    deployment.short_answer = {25, 0.6, 1'024};
+    deployment.long_answer = {500, 0.6, 4'096};
+    deployment.teams = teams();
+    return deployment;
 }
 
 } // namespace
--- a/bench/fake_engine.cpp
+++ b/bench/fake_engine.cpp
@@ -37,7 +37,7 @@
     enqueue(one, one.begin(), false);
 }
 
-void fake_engine::enqueue(std::list<sequence>& from, sequence_ptr seq,
+void fake_engine::enqueue(std::list<sequence>& from, sequence_iterator seq,
                           bool before_equals)
 {
     const auto precedes = [&](const sequence& other) {
@@ -108,7 +108,7 @@
             private_blocks(*seq, seq->prompt + seq->generated + 1);
         bool preempted_itself = false;
         while (!preempted_itself && !allocate_blocks(*seq, wanted)) {
-            const sequence_ptr last = victim();
+            const sequence_iterator last = victim();
             preempted_itself = last == seq;
             // The list is ordered by age: a later victim has not been
             // scheduled yet, and an earlier one leaves the batch and does not
@@ -123,7 +123,7 @@
     }
 }
 
-fake_engine::sequence_ptr fake_engine::victim()
+fake_engine::sequence_iterator fake_engine::victim()
 {
     auto least = std::prev(running_.end());
     for (auto seq = least;; --seq) {
@@ -134,7 +134,7 @@
     }
 }
 
-void fake_engine::preempt(sequence_ptr seq)
+void fake_engine::preempt(sequence_iterator seq)
 {
     ++preemptions_;
     preempted_in_step_ = true;
@@ -181,12 +181,12 @@
     }
 }
 
-bool fake_engine::start_with_preemption(sequence_ptr seq)
+bool fake_engine::start_with_preemption(sequence_iterator seq)
 {
     while (!try_start(*seq)) {
         if (running_.empty())
             return false;
-        const sequence_ptr least = victim();
+        const sequence_iterator least = victim();
         if (least->priority >= seq->priority)
             return false;
         preempt(least);
--- a/bench/fake_engine.hpp
+++ b/bench/fake_engine.hpp
@@ -88,7 +88,7 @@
         std::uint32_t users = 0;
         std::list<std::uint64_t>::iterator unused_position; ///< in unused_
     };
-    using sequence_ptr = std::list<sequence>::iterator;
+    using sequence_iterator = std::list<sequence>::iterator;
 
     void schedule_decodes();
     void schedule_waiting();
@@ -98,7 +98,7 @@
      * Starts a sequence, preempting those of lower priority if needed; returns
      * false if memory does not suffice.
      */
-    bool start_with_preemption(sequence_ptr seq);
+    bool start_with_preemption(sequence_iterator seq);
     /** Starts a sequence if memory suffices without preemption. */
     bool try_start(sequence& seq);
     /** Blocks for `tokens` tokens of a sequence, without its prefix. */
@@ -109,11 +109,11 @@
     std::uint64_t free_blocks() const;
     /** Evicts unused cached blocks until `wanted` blocks are free. */
     void evict(std::uint64_t wanted);
-    void preempt(sequence_ptr seq);
+    void preempt(sequence_iterator seq);
     /** Returns the running sequence to preempt first. */
-    sequence_ptr victim();
+    sequence_iterator victim();
     /** Moves a sequence to waiting_ by priority, before or behind equals. */
-    void enqueue(std::list<sequence>& from, sequence_ptr seq,
+    void enqueue(std::list<sequence>& from, sequence_iterator seq,
                  bool before_equals);
 
     engine_settings settings_;
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -155,10 +155,12 @@
 
 simulation::simulation(const trial_settings& settings)
     : settings_(settings),
-      end_(epoch +
-           from_s(settings.warm_up_s + settings.window_s +
-                  (settings.no_deadlines ? 0 : settings.site.deadline_s))),
-      random_(settings.seed * 7919 + 17), measures_(settings.site.teams.size())
+      end_(epoch + from_s(settings.warm_up_s + settings.window_s +
+                          (settings.no_deadlines
+                               ? 0
+                               : settings.tested_deployment.deadline_s))),
+      random_(settings.seed * 7919 + 17),
+      measures_(settings.tested_deployment.teams.size())
 {
     workload_settings load;
     load.requests_per_second = settings.requests_per_second;
@@ -170,16 +172,17 @@
         load.heavy_team = heavy_team;
         load.heavy_from_s = settings.warm_up_s;
     }
-    requests_ = make_workload(settings.site, load, settings.seed);
+    requests_ = make_workload(settings.tested_deployment, load, settings.seed);
     callers_.resize(requests_.size());
-    for (std::size_t i = 0; i < settings.site.engines; ++i)
+    for (std::size_t i = 0; i < settings.tested_deployment.engines; ++i)
         agents_.push_back(std::make_unique<bench_agent>(
-            settings.site, settings.tested_policy, settings.engine, i,
-            requests_, settings.no_deadlines));
-    for (std::size_t i = 0; i < settings.site.failure_domains.size(); ++i)
+            settings.tested_deployment, settings.tested_policy, settings.engine,
+            i, requests_, settings.no_deadlines));
+    for (std::size_t i = 0;
+         i < settings.tested_deployment.failure_domains.size(); ++i)
         entries_.push_back(std::make_unique<bench_entry>(
-            settings.site, settings.tested_policy, i, settings.seed * 31 + i,
-            settings.no_deadlines));
+            settings.tested_deployment, settings.tested_policy, i,
+            settings.seed * 31 + i, settings.no_deadlines));
     listed_.assign(agents_.size(), true);
     engine_incarnations_.assign(agents_.size(), 0);
     counted_preemptions_.resize(agents_.size());
@@ -315,8 +318,9 @@
     caller_state& caller = callers_[id];
     caller.arrival = now_;
     caller.deadline =
-        now_ + (settings_.no_deadlines ? duration(24h)
-                                       : from_s(settings_.site.deadline_s));
+        now_ + (settings_.no_deadlines
+                    ? duration(24h)
+                    : from_s(settings_.tested_deployment.deadline_s));
     if (is_measured(caller)) {
         ++measures_.callers;
         ++measures_.team_requests[requests_[id].team];
@@ -326,7 +330,7 @@
     caller.entry = pick_entry();
     caller.last_request = now_;
     entries_[caller.entry]->retries().record_request(
-        settings_.site.teams[requests_[id].team].name);
+        settings_.tested_deployment.teams[requests_[id].team].name);
     route(id);
 }
 
@@ -343,15 +347,15 @@
     const request& incoming = requests_[id];
     const caller_state& caller = callers_[id];
     route_request result;
-    result.service = settings_.site.service;
-    result.team = settings_.site.teams[incoming.team].name;
+    result.service = settings_.tested_deployment.service;
+    result.team = settings_.tested_deployment.teams[incoming.team].name;
     result.prompt_tokens = incoming.prompt_tokens;
     result.prefix_blocks = incoming.prefix_blocks;
     result.suspect = caller.suspect;
     result.fingerprint = id + 1;
     result.excluded = caller.excluded;
     result.own_failure_domain = entries_[caller.entry]->failure_domain;
-    result.goal = settings_.site.goal;
+    result.goal = settings_.tested_deployment.goal;
     return result;
 }
 
@@ -388,7 +392,7 @@
     caller.current_phase = caller_state::phase::dispatched;
     caller.upstream = upstream;
     entry.routes().dispatched(name, incoming, now_);
-    after(from_s(settings_.site.one_way_ms / 1000),
+    after(from_s(settings_.tested_deployment.one_way_ms / 1000),
           [this, id, upstream] { deliver(id, upstream); });
 }
 
@@ -422,7 +426,8 @@
     caller.excluded.push_back(agents_[caller.upstream]->name);
     caller.current_phase = caller_state::phase::not_dispatched;
     caller.upstream = SIZE_MAX;
-    const std::string& team = settings_.site.teams[requests_[id].team].name;
+    const std::string& team =
+        settings_.tested_deployment.teams[requests_[id].team].name;
     if (caller.excluded.size() < max_upstreams_tried &&
         entry.retries().try_retry(team)) {
         route(id);
@@ -439,7 +444,7 @@
     if (is_measured(caller)) {
         ++measures_.refusals;
         measures_.refusal_ms.add(1000 * in_s(now_ - caller.last_request) +
-                                 settings_.site.one_way_ms);
+                                 settings_.tested_deployment.one_way_ms);
     }
     const duration wait = why.retry_after.value_or(1s);
     if (caller.retries_made >= max_caller_retries ||
@@ -484,7 +489,7 @@
     if (caller.delivered == 0)
         caller.stall_ms = 1000 * in_s(now_ - caller.arrival);
     measures_.stall_s += caller.stall_ms / 1000;
-    measures_.stall_charged_s += settings_.site.deadline_s;
+    measures_.stall_charged_s += settings_.tested_deployment.deadline_s;
 }
 
 void simulation::step(std::size_t upstream)
@@ -666,7 +671,8 @@
     return simulation(settings).run();
 }
 
-double measured_capacity(const deployment& site, const engine_settings& engine,
+double measured_capacity(const deployment& deployment,
+                         const engine_settings& engine,
                          const std::vector<length_pair>& lengths)
 {
     // Higher than the capacity of any deployment.
@@ -674,13 +680,13 @@
     constexpr std::uint64_t seeds = 3;
     constexpr std::uint64_t first_seed = 900'001;
     trial_settings settings;
-    settings.site = site;
+    settings.tested_deployment = deployment;
     settings.engine = engine;
     settings.lengths = lengths;
     settings.tested_policy.kind = policy_kind::round_robin;
     settings.no_deadlines = true;
     settings.requests_per_second =
-        overload_rps_per_engine * static_cast<double>(site.engines);
+        overload_rps_per_engine * static_cast<double>(deployment.engines);
     double answers = 0;
     for (std::uint64_t i = 0; i < seeds; ++i) {
         settings.seed = first_seed + i;
--- a/bench/trial.hpp
+++ b/bench/trial.hpp
@@ -15,7 +15,7 @@
 
 /** Settings of one run of a policy. */
 struct trial_settings {
-    deployment site;
+    deployment tested_deployment;
     policy tested_policy;
     fault_kind fault = fault_kind::none;
     double requests_per_second = 1;
@@ -39,7 +39,8 @@
  * measurement uses none of cyclamenrun's decisions, so that the reference load
  * stays the same when these change.
  */
-double measured_capacity(const deployment& site, const engine_settings& engine,
+double measured_capacity(const deployment& deployment,
+                         const engine_settings& engine,
                          const std::vector<length_pair>& lengths);
 
 } // namespace cyclamenrun::bench
--- a/bench/workload.cpp
+++ b/bench/workload.cpp
@@ -56,11 +56,11 @@
     return (owner << 32 | block) * 0x9E3779B97F4A7C15U + 1;
 }
 
-request make_request(const deployment& site, const workload_settings& settings,
-                     std::size_t team, double arrival_s,
-                     std::mt19937_64& random)
+request make_request(const deployment& deployment,
+                     const workload_settings& settings, std::size_t team,
+                     double arrival_s, std::mt19937_64& random)
 {
-    const team_profile& profile = site.teams[team];
+    const team_profile& profile = deployment.teams[team];
     request result;
     result.arrival_s = arrival_s;
     result.team = team;
@@ -70,8 +70,8 @@
             std::bernoulli_distribution(profile.long_share)(random);
         result.prompt_tokens =
             blocks * prefix_block_tokens + draw(own_prompt_length, random);
-        result.output_tokens =
-            draw(is_long ? site.long_answer : site.short_answer, random);
+        result.output_tokens = draw(
+            is_long ? deployment.long_answer : deployment.short_answer, random);
     } else {
         const auto& row =
             settings.lengths[std::uniform_int_distribution<std::size_t>(
@@ -101,21 +101,21 @@
     return rows;
 }
 
-std::vector<request> make_workload(const deployment& site,
+std::vector<request> make_workload(const deployment& deployment,
                                    const workload_settings& settings,
                                    std::uint64_t seed)
 {
     std::mt19937_64 random(seed);
     burst_process shared_bursts(0.8, 1.6);
-    std::vector<burst_process> team_bursts(site.teams.size(),
+    std::vector<burst_process> team_bursts(deployment.teams.size(),
                                            burst_process(0.6, 2.2));
     std::vector<request> requests;
     for (double slot_start_s = 0; slot_start_s < settings.seconds;
          slot_start_s += slot_s) {
         const double shared_factor = shared_bursts.next(random);
-        for (std::size_t team = 0; team < site.teams.size(); ++team) {
+        for (std::size_t team = 0; team < deployment.teams.size(); ++team) {
             double rate = settings.requests_per_second * shared_factor *
-                          site.teams[team].share *
+                          deployment.teams[team].share *
                           team_bursts[team].next(random);
             if (team == settings.heavy_team &&
                 slot_start_s >= settings.heavy_from_s)
@@ -125,8 +125,9 @@
             for (int i = 0; i < count; ++i) {
                 const double offset_s =
                     std::uniform_real_distribution<double>(0, slot_s)(random);
-                requests.push_back(make_request(
-                    site, settings, team, slot_start_s + offset_s, random));
+                requests.push_back(make_request(deployment, settings, team,
+                                                slot_start_s + offset_s,
+                                                random));
             }
         }
     }
--- a/bench/workload.hpp
+++ b/bench/workload.hpp
@@ -48,7 +48,7 @@
  * Returns requests that arrive in bursts, sorted by their arrival. Equal seeds
  * give equal requests.
  */
-std::vector<request> make_workload(const deployment& site,
+std::vector<request> make_workload(const deployment& deployment,
                                    const workload_settings& settings,
                                    std::uint64_t seed);
 
