--- a/tests/gateway/gateway_program.hpp
+++ b/tests/gateway/gateway_program.hpp
@@ -94,7 +94,7 @@
         process = std::make_unique<child_process>(
             "cyclamenrun-gateway",
             std::vector<std::string>{"--settings", settings.path()});
-        ready = process->wait_for_listener("ready");
+        ready_address = process->wait_for_listener("ready");
         address = process->wait_until_ready();
         wait_for_answer("k1", 200);
     }
@@ -157,9 +157,9 @@
     fake_upstream upstream;
     temporary_settings_file settings;
     std::unique_ptr<child_process> process;
-    std::string ready;   ///< address of the readiness listener
-    std::string address; ///< for callers
-    int last_id = 0;     ///< of the requests so far
+    std::string ready_address; ///< of the readiness listener
+    std::string address;       ///< for callers
+    int last_id = 0;           ///< of the requests so far
 };
 
 } // namespace cyclamenrun::testing_support
