--- a/tests/membership/test_membership.cpp
+++ b/tests/membership/test_membership.cpp
@@ -196,6 +196,7 @@
         list.vms.push_back(upstream_vm("x" + std::to_string(i)));
     EXPECT_EQ(apply_list(), list_result::cut_short);
     EXPECT_FALSE(members.find("x" + std::to_string(membership::max_vms)));
+    // The default subset_settings::min_size, since no entries are listed.
     EXPECT_EQ(candidate_ids().size(), 24U);
 }
 
--- a/tests/outside/test_platform_clients.cpp
+++ b/tests/outside/test_platform_clients.cpp
@@ -148,6 +148,9 @@
     ASSERT_TRUE(waits.empty());
     EXPECT_EQ(client.fetch("model", now + milliseconds(2500)).error(),
               weight_store_failure::timed_out);
+    // Retry-After of 1 s plus 100 ms, then 200 ms: the delay doubles per
+    // attempt and is multiplied by 0.5 to 1.5; the random number 0.5 gives a
+    // factor of 1.
     EXPECT_EQ(waits, (std::vector<milliseconds>{milliseconds(1100),
                                                 milliseconds(1200)}));
 }
--- a/tests/platform/test_corrupted_messages.cpp
+++ b/tests/platform/test_corrupted_messages.cpp
@@ -90,6 +90,8 @@
     const auto page = read_newest_page(
         corrupted(R"({"items":[{"key":"k","value":"dmFsdWU="}],)"
                   R"("end_offset":7,"truncated":false})"));
+    // More than the page can hold: it has a few hundred bytes, and a record
+    // takes at least ten, as in {"key":""}.
     RC_ASSERT(!page || page->records.size() <= 200U);
 }
 
