--- a/tests/processes/test_configuration_spread.cpp
+++ b/tests/processes/test_configuration_spread.cpp
@@ -30,7 +30,7 @@
 // Guards against changes that take long to reach all processes. Agents receive
 // changes only from entries, whose heartbeat calls stay open at an agent for as
 // long as nothing happens there.
-TEST(configuration_spread, change_is_in_force_on_16_processes_within_seconds)
+TEST(configuration_spread, change_is_in_force_on_16_processes_within_11_seconds)
 {
     constexpr int rounds = 12;
     deployment system;
--- a/tests/processes/test_stops.cpp
+++ b/tests/processes/test_stops.cpp
@@ -180,7 +180,7 @@
 
 // An entry freezes, and the caller disconnects and resumes through another one.
 // The frozen entry then continues and must not disturb the resumed stream.
-TEST_F(stops, a_frozen_entry_that_wakes_up_disturbs_nothing)
+TEST_F(stops, a_frozen_entry_that_continues_does_not_disturb_a_resume)
 {
     start();
     auto stream = begin();
