--- a/tests/gateway/test_directory_relay.cpp
+++ b/tests/gateway/test_directory_relay.cpp
@@ -276,7 +276,7 @@
     for (std::size_t i = 0; i < fleet; ++i)
         start_gateway();
     const auto relays = choose_relays(candidates, "gateway-0", 2);
-    const auto direct_calls = [&] { return gateways_path.caller_reads(); };
+    const auto direct_calls = [&] { return gateways_path.client_reads(); };
     const auto before = direct_calls();
     for (const auto& each : engines)
         each->draining = std::find(relays.begin(), relays.end(),
--- a/tests/processes/test_calls.cpp
+++ b/tests/processes/test_calls.cpp
@@ -68,7 +68,7 @@
         case fault::stall_to_agent:
             return upstream.agent_link->stall(relay_direction::to_target);
         case fault::stall_to_entry:
-            return upstream.agent_link->stall(relay_direction::to_caller);
+            return upstream.agent_link->stall(relay_direction::to_client);
         case fault::cut_runner_link:
             return upstream.back_end_link->cut();
         case fault::kill_entry:
--- a/tests/processes/test_deployment.cpp
+++ b/tests/processes/test_deployment.cpp
@@ -9,7 +9,7 @@
 {
 
 using testing_support::deployment;
-using testing_support::stream_end_kind;
+using testing_support::stream_state;
 
 // Guards against a deployment that applies its resources before the entry has
 // read the platform's log once: the entry would refuse them with not_ready.
@@ -31,7 +31,7 @@
 
     auto stream = system.generate(entry, "first section", 4);
     stream.read_all();
-    EXPECT_EQ(stream.end(), stream_end_kind::complete);
+    EXPECT_EQ(stream.state(), stream_state::complete);
 }
 
 } // namespace
--- a/tests/processes/test_generation_faults.cpp
+++ b/tests/processes/test_generation_faults.cpp
@@ -13,7 +13,7 @@
 using testing_support::caller_stream;
 using testing_support::deployment;
 using testing_support::relay_direction;
-using testing_support::stream_end_kind;
+using testing_support::stream_state;
 using testing_support::upstream_processes;
 using testing_support::wait_until;
 
@@ -61,13 +61,13 @@
     case fault::stall_to_agent:
         return upstream.agent_link->stall(relay_direction::to_target);
     case fault::stall_to_entry:
-        return upstream.agent_link->stall(relay_direction::to_caller);
+        return upstream.agent_link->stall(relay_direction::to_client);
     case fault::cut_engine_link:
         return upstream.back_end_link->cut();
     case fault::stall_to_engine:
         return upstream.back_end_link->stall(relay_direction::to_target);
     case fault::stall_from_engine:
-        return upstream.back_end_link->stall(relay_direction::to_caller);
+        return upstream.back_end_link->stall(relay_direction::to_client);
     }
 }
 
@@ -96,7 +96,7 @@
 
 void expect_complete(const caller_stream& stream)
 {
-    EXPECT_EQ(stream.end(), stream_end_kind::complete)
+    EXPECT_EQ(stream.state(), stream_state::complete)
         << stream.status() << ' ' << stream.refusal().kind << ' '
         << stream.refusal().reason;
     EXPECT_EQ(stream.positions().size(), answer_tokens);
@@ -164,7 +164,7 @@
         // Tokens travel in the other direction, which is not stalled.
         expect_complete(stream);
     } else {
-        EXPECT_EQ(stream.end(), stream_end_kind::refused);
+        EXPECT_EQ(stream.state(), stream_state::refused);
         EXPECT_EQ(stream.refusal().kind, "failed");
         EXPECT_GE(stream.positions().size(), seen_tokens);
         expect_in_order(stream);
--- a/tests/processes/test_path.cpp
+++ b/tests/processes/test_path.cpp
@@ -9,7 +9,7 @@
 {
 
 using testing_support::deployment;
-using testing_support::stream_end_kind;
+using testing_support::stream_state;
 
 TEST(path, a_generation_and_a_call_are_answered_completely)
 {
@@ -21,7 +21,7 @@
 
     auto generation = system.generate(entry, "section one", 300);
     generation.read_all();
-    EXPECT_EQ(generation.end(), stream_end_kind::complete);
+    EXPECT_EQ(generation.state(), stream_state::complete);
     EXPECT_EQ(generation.text(), stand_in::answer_text("section one", 300));
 
     // A call that is repeated with its ticket runs once.
--- a/tests/processes/test_poison.cpp
+++ b/tests/processes/test_poison.cpp
@@ -8,7 +8,7 @@
 {
 
 using testing_support::deployment;
-using testing_support::stream_end_kind;
+using testing_support::stream_state;
 
 /**
  * Guards against a poison request that crashes one engine after another. The
@@ -43,7 +43,7 @@
     EXPECT_EQ(live_engines, 1U);
     auto healthy = system.generate(system.entry(1), "healthy", 4);
     healthy.read_all();
-    EXPECT_EQ(healthy.end(), stream_end_kind::complete);
+    EXPECT_EQ(healthy.state(), stream_state::complete);
 }
 
 } // namespace
--- a/tests/processes/test_stops.cpp
+++ b/tests/processes/test_stops.cpp
@@ -12,7 +12,7 @@
 
 using testing_support::caller_stream;
 using testing_support::deployment;
-using testing_support::stream_end_kind;
+using testing_support::stream_state;
 using testing_support::wait_until;
 
 constexpr auto prompt = "pairing guide, code 0917";
@@ -44,7 +44,7 @@
     static void expect_continued(const caller_stream& before,
                                  const caller_stream& rest)
     {
-        ASSERT_EQ(rest.end(), stream_end_kind::complete)
+        ASSERT_EQ(rest.state(), stream_state::complete)
             << rest.status() << ' ' << rest.refusal().reason;
         EXPECT_EQ(before.text() + rest.text(),
                   stand_in::answer_text(prompt, answer_tokens));
@@ -56,7 +56,7 @@
     void expect_complete(caller_stream& stream)
     {
         stream.read_all();
-        EXPECT_EQ(stream.end(), stream_end_kind::complete)
+        EXPECT_EQ(stream.state(), stream_state::complete)
             << stream.refusal().reason;
         EXPECT_EQ(stream.text(), stand_in::answer_text(prompt, answer_tokens));
     }
@@ -171,7 +171,7 @@
     auto stream = begin();
     system.entry(0).process->signal(SIGKILL);
     stream.read_all();
-    EXPECT_EQ(stream.end(), stream_end_kind::lost);
+    EXPECT_EQ(stream.state(), stream_state::lost);
     auto rest = system.resume(system.entry(1), stream.last_event_id());
     rest.read_all();
     expect_continued(stream, rest);
@@ -214,12 +214,12 @@
     auto position = stream.positions().back();
     position.generation.secret ^= 1;
     auto forged = system.resume(system.entry(1), to_string(position));
-    EXPECT_EQ(forged.end(), stream_end_kind::refused);
+    EXPECT_EQ(forged.state(), stream_state::refused);
     EXPECT_EQ(forged.refusal().reason, "generation_unknown");
     auto ahead = stream.positions().back();
     ahead.index += 100000;
     auto early = system.resume(system.entry(1), to_string(ahead));
-    EXPECT_EQ(early.end(), stream_end_kind::refused);
+    EXPECT_EQ(early.state(), stream_state::refused);
     EXPECT_EQ(early.refusal().reason, "resume_out_of_range");
     expect_complete(stream);
 }
@@ -282,7 +282,7 @@
                   .head.status,
               503);
     auto refused = system.generate(fresh, prompt, answer_tokens);
-    EXPECT_EQ(refused.end(), stream_end_kind::refused);
+    EXPECT_EQ(refused.state(), stream_state::refused);
     EXPECT_EQ(refused.status(), 503);
     EXPECT_EQ(refused.refusal().kind, "not_run");
     EXPECT_EQ(refused.refusal().reason, "not_ready");
--- a/tests/support/caller_stream.hpp
+++ b/tests/support/caller_stream.hpp
@@ -17,7 +17,7 @@
 {
 
 /** State of a stream as its caller sees it. */
-enum class stream_end_kind : std::uint8_t { open, complete, refused, lost };
+enum class stream_state : std::uint8_t { open, complete, refused, lost };
 
 struct reported_refusal {
     std::string kind;
@@ -46,7 +46,7 @@
     {
         const auto head = exchange_->start(request);
         if (!head) {
-            end_ = stream_end_kind::lost;
+            state_ = stream_state::lost;
             return;
         }
         status_ = head->status;
@@ -57,13 +57,13 @@
     /** Reads until `count` tokens have arrived or the stream ends. */
     void read_tokens(std::size_t count)
     {
-        while (positions_.size() < count && end_ == stream_end_kind::open)
+        while (positions_.size() < count && state_ == stream_state::open)
             read_more();
     }
 
     void read_all()
     {
-        while (end_ == stream_end_kind::open)
+        while (state_ == stream_state::open)
             read_more();
     }
 
@@ -71,11 +71,11 @@
     void disconnect()
     {
         exchange_.reset();
-        end_ = stream_end_kind::lost;
+        state_ = stream_state::lost;
     }
 
     int status() const { return status_; }
-    stream_end_kind end() const { return end_; }
+    stream_state state() const { return state_; }
     const std::string& text() const { return text_; }
     const std::string& finish_reason() const { return finish_reason_; }
     const std::string& last_event_id() const { return last_event_id_; }
@@ -87,15 +87,15 @@
     {
         const auto bytes = exchange_->read();
         if (!bytes || bytes->empty()) {
-            end_ = stream_end_kind::lost;
+            state_ = stream_state::lost;
             return;
         }
         const auto fed = parser_.feed(*bytes, [this](sse_event&& event) {
             handle_event(event);
-            return end_ == stream_end_kind::open;
+            return state_ == stream_state::open;
         });
         if (!fed)
-            end_ = stream_end_kind::lost;
+            state_ = stream_state::lost;
     }
 
     void read_body()
@@ -105,19 +105,19 @@
              bytes = exchange_->read())
             body.append(*bytes);
         const auto reported = read_refusal(body);
-        end_ = reported ? stream_end_kind::refused : stream_end_kind::lost;
+        state_ = reported ? stream_state::refused : stream_state::lost;
         refusal_ = reported.value_or(reported_refusal{});
     }
 
     void handle_event(const sse_event& event)
     {
         if (event.type == "error") {
-            end_ = stream_end_kind::refused;
+            state_ = stream_state::refused;
             refusal_ = read_refusal(event.data).value_or(reported_refusal{});
             return;
         }
         if (event.data == "[DONE]") {
-            end_ = stream_end_kind::complete;
+            state_ = stream_state::complete;
             return;
         }
         const auto chunk = parse_json_object(event.data);
@@ -134,7 +134,7 @@
     std::unique_ptr<http_exchange> exchange_;
     sse_parser parser_;
     int status_ = 0;
-    stream_end_kind end_ = stream_end_kind::open;
+    stream_state state_ = stream_state::open;
     std::string text_;
     std::string finish_reason_;
     std::string last_event_id_;
--- a/tests/support/tcp_relay.hpp
+++ b/tests/support/tcp_relay.hpp
@@ -16,11 +16,11 @@
 namespace cyclamenrun::testing_support
 {
 
-enum class relay_direction : std::size_t { to_target, to_caller };
+enum class relay_direction : std::size_t { to_target, to_client };
 
 /**
  * Relays TCP connections to a target process. A test can cut this link, stall
- * it in one direction and restore it. `caller` is the process that connects.
+ * it in one direction and restore it. `client` is the process that connects.
  */
 class tcp_relay
 {
@@ -50,8 +50,8 @@
     tcp_relay& operator=(const tcp_relay&) = delete;
 
     std::string address() const { return socket_.address().toString(); }
-    /** Number of reads from callers; a request takes one or more. */
-    std::size_t caller_reads() const { return caller_reads_; }
+    /** Number of reads from clients; a request takes one or more. */
+    std::size_t client_reads() const { return client_reads_; }
 
     /** Sets the target of new connections, for a restarted process. */
     void set_target(const std::string& target)
@@ -88,14 +88,14 @@
 
 private:
     struct connection {
-        Poco::Net::StreamSocket caller;
+        Poco::Net::StreamSocket client;
         Poco::Net::StreamSocket target;
         bool ended = false;
 
         void shut_down()
         {
             ended = true;
-            end(caller);
+            end(client);
             end(target);
         }
 
@@ -112,32 +112,32 @@
     void accept()
     {
         for (;;) {
-            auto caller = socket_.acceptConnection();
+            auto client = socket_.acceptConnection();
             const std::lock_guard guard(lock_);
             if (stopping_)
                 return;
             if (!cut_)
-                open(caller);
+                open(client);
         }
     }
 
-    void open(const Poco::Net::StreamSocket& caller)
+    void open(const Poco::Net::StreamSocket& client)
     {
         try {
             const Poco::Net::StreamSocket target(
                 (Poco::Net::SocketAddress(target_)));
-            connections_.push_back({caller, target});
+            connections_.push_back({client, target});
         } catch (const Poco::Exception&) {
-            return; // the target does not listen: the caller is disconnected
+            return; // the target does not listen: the client is disconnected
         }
         auto& opened = connections_.back();
         pumps_.emplace_back([this, &opened] {
-            pump(opened, opened.caller, opened.target,
+            pump(opened, opened.client, opened.target,
                  relay_direction::to_target);
         });
         pumps_.emplace_back([this, &opened] {
-            pump(opened, opened.target, opened.caller,
-                 relay_direction::to_caller);
+            pump(opened, opened.target, opened.client,
+                 relay_direction::to_client);
         });
     }
 
@@ -151,7 +151,7 @@
                 const int count = from.receiveBytes(
                     piece.data(), static_cast<int>(piece.size()));
                 if (direction == relay_direction::to_target && count > 0)
-                    ++caller_reads_;
+                    ++client_reads_;
                 if (!wait_while_stalled(opened, direction))
                     return;
                 if (count <= 0)
@@ -184,7 +184,7 @@
     std::array<bool, 2> stalled_{};
     bool cut_ = false;
     bool stopping_ = false;
-    std::atomic<std::size_t> caller_reads_ = 0;
+    std::atomic<std::size_t> client_reads_ = 0;
     std::thread acceptor_;
 };
 
