--- a/src/libcyclamenrun/gateway/engine_monitor.cpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.cpp
@@ -143,7 +143,7 @@
         turns_.end(id);
         notice.set_turn_refused(id);
     } else if (turns_.request_turn({id, gateway, tokens}, reactor_->now())) {
-        metrics_.count(exported_metric::turns);
+        metrics_.count(exported_metric::copy_turns);
         notice.set_turn_given(id);
     } else {
         notice.set_turn_waits(id);
@@ -162,7 +162,7 @@
     if (found == gateways_.end())
         return;
     v1::MonitorNotice notice;
-    metrics_.count(exported_metric::turns);
+    metrics_.count(exported_metric::copy_turns);
     notice.set_turn_given(holder->id);
     socket_->send(found->second.address, notice.SerializeAsString());
 }
@@ -225,7 +225,7 @@
     if (is_identifying())
         return;
     for (const auto& start : starts_.grant_starts(reactor_->now())) {
-        metrics_.count(exported_metric::starts);
+        metrics_.count(exported_metric::start_grants);
         send_start_grant(start.gateway, start.id);
     }
     metrics_.set(exported_metric::starts_waiting, {},
--- a/src/libcyclamenrun/observability/exported_metrics.cpp
+++ b/src/libcyclamenrun/observability/exported_metrics.cpp
@@ -157,7 +157,7 @@
     const auto dropped = total_dropped_lines();
     for (const auto severity :
          {log_severity::info, log_severity::warning, log_severity::error})
-        metrics.set_counter(exported_metric::dropped_lines,
+        metrics.set_counter(exported_metric::dropped_log_lines,
                             {std::string(name_of(severity))},
                             static_cast<double>(dropped.of(severity)));
 }
