--- a/src/libcyclamenrun/gateway/monitor_link.hpp
+++ b/src/libcyclamenrun/gateway/monitor_link.hpp
@@ -68,8 +68,7 @@
 
     void start();
 
-    /** A request for a copy turn at the network link of the engine on a host.
-     */
+    /** Request for a copy turn at the network link of a host's engine. */
     struct copy_request {
         std::string host;
         std::string id;           ///< of the copy turn
--- a/src/libcyclamenrun/settings/agent_settings.hpp
+++ b/src/libcyclamenrun/settings/agent_settings.hpp
@@ -51,7 +51,10 @@
 /** Rows whose targets are members of `settings`, which must outlive them. */
 settings_table agent_rows(agent_settings& settings);
 
-/** Messages name `file`; its folder is the base of a relative link_key_file. */
+/**
+ * `file` is named in error messages; its folder is the base of a relative
+ * link_key_file.
+ */
 settings_outcome<agent_settings> parse_agent_settings(std::string_view text,
                                                       const std::string& file);
 
--- a/src/libcyclamenrun/settings/entry_settings.hpp
+++ b/src/libcyclamenrun/settings/entry_settings.hpp
@@ -59,7 +59,10 @@
 /** Rows whose targets are members of `settings`, which must outlive them. */
 settings_table entry_rows(entry_settings& settings);
 
-/** Messages name `file`; its folder is the base of a relative link_key_file. */
+/**
+ * `file` is named in error messages; its folder is the base of a relative
+ * link_key_file.
+ */
 settings_outcome<entry_settings> parse_entry_settings(std::string_view text,
                                                       const std::string& file);
 
