--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -21,8 +21,10 @@
 
 const time_point start{std::chrono::hours(1)};
 const std::string link_key = "0123456789abcdef0123456789abcdef";
-/** Overhead of an HTTP/2 stream with one frame in each direction, without the
- *  payload: HEADERS frames, DATA frame headers and the length prefixes. */
+/**
+ * Overhead of an HTTP/2 stream with one frame in each direction, without the
+ * payload: HEADERS frames, DATA frame headers and the length prefixes.
+ */
 constexpr double stream_overhead_bytes = 120.0;
 
 double heap_bytes()
--- a/bench/path_connections.hpp
+++ b/bench/path_connections.hpp
@@ -20,8 +20,10 @@
     /** One request on an open connection, in milliseconds. */
     path_samples next_answer;
     double bytes_per_connection = 0; ///< heap of both ends
-    /** Processor time for both ends of an idle connection, in microseconds per
-     * second. */
+    /**
+     * Processor time for both ends of an idle connection, in microseconds per
+     * second.
+     */
     double idle_microseconds = 0;
 };
 
--- a/src/ctl/command_line.cpp
+++ b/src/ctl/command_line.cpp
@@ -38,8 +38,10 @@
     return v1::RESOURCE_KIND_ASSIGNMENT;
 }
 
-/** A validator for CLI11: returns the error in a resource's name, or an empty
- * string. */
+/**
+ * A validator for CLI11: returns the error in a resource's name, or an empty
+ * string.
+ */
 std::string check_name(const std::string& name)
 {
     constexpr std::size_t max_bytes = 63;
@@ -55,9 +57,11 @@
     return text;
 }
 
-/** Reads the operator's key from the file, or else from the environment.
- * Command line arguments never contain the key, since other users of the host
- * can list them. */
+/**
+ * Reads the operator's key from the file, or else from the environment. Command
+ * line arguments never contain the key, since other users of the host can list
+ * them.
+ */
 settings_outcome<secret> read_key(const std::string& key_file)
 {
     if (!key_file.empty())
--- a/src/ctl/commands.hpp
+++ b/src/ctl/commands.hpp
@@ -36,8 +36,10 @@
 exit_code run_explain(const std::string& request_id,
                       const std::vector<std::string>& files);
 
-/** Creates the key of a team, or an operator's key if `team` is empty. Makes no
- * network calls. */
+/**
+ * Creates the key of a team, or an operator's key if `team` is empty. Makes no
+ * network calls.
+ */
 exit_code run_new_key(const std::string& team);
 
 } // namespace cyclamenrun
--- a/src/ctl/message_printer.hpp
+++ b/src/ctl/message_printer.hpp
@@ -13,8 +13,10 @@
 /** Writes a response as JSON on standard output. */
 void print_json(const google::protobuf::Message& message);
 
-/** Prints the error of a call and the next step for the operator; returns the
- * exit code. */
+/**
+ * Prints the error of a call and the next step for the operator; returns the
+ * exit code.
+ */
 exit_code report_rpc_error(const rpc_error& error);
 
 /** Prints the errors of a file on standard error; returns the exit code. */
--- a/src/libcyclamenrun/gateway/answer_relay.hpp
+++ b/src/libcyclamenrun/gateway/answer_relay.hpp
@@ -108,9 +108,11 @@
     milliseconds longest_pause_{0};
 };
 
-/** Answers up to this size are buffered until they are complete, so that the
+/**
+ * Answers up to this size are buffered until they are complete, so that the
  * request can be retried if the upstream fails; plain services answer 800 B on
- * average. */
+ * average.
+ */
 inline constexpr std::size_t max_buffered_answer_bytes = std::size_t(256) << 10;
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/copy_turn_search.hpp
+++ b/src/libcyclamenrun/gateway/copy_turn_search.hpp
@@ -24,8 +24,10 @@
 {
 public:
     struct hooks {
-        /** Returns up to `count` engines to request turns from, none of them
-         * in `exclude`. */
+        /**
+         * Returns up to `count` engines to request turns from, none of them in
+         * `exclude`.
+         */
         std::function<std::vector<upstream_record>(
             std::vector<std::string> exclude, std::size_t count)>
             candidates;
--- a/src/libcyclamenrun/gateway/directory_watch.hpp
+++ b/src/libcyclamenrun/gateway/directory_watch.hpp
@@ -43,8 +43,10 @@
     /** Follows the directory in the settings; called again when it changes. */
     void follow(const gateway_settings& settings);
     void stop();
-    /** Removes upstreams that the directory has not listed in time, and logs
-     * the end of the lease. Called periodically. */
+    /**
+     * Removes upstreams that the directory has not listed in time, and logs the
+     * end of the lease. Called periodically.
+     */
     void tick();
 
     /** Sets the monitors through which the feeds are read from then on. */
--- a/src/libcyclamenrun/gateway/engine_monitor.cpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.cpp
@@ -12,15 +12,21 @@
 namespace
 {
 
-/** Gateways renew their subscription each second; a gateway is removed after
- * three missed renewals. */
+/**
+ * Gateways renew their subscription each second; a gateway is removed after
+ * three missed renewals.
+ */
 constexpr milliseconds gateway_lifetime{3500};
-/** An unchanged load is sent again after this time, in case the last datagram
- * was lost. */
+/**
+ * An unchanged load is sent again after this time, in case the last datagram
+ * was lost.
+ */
 constexpr milliseconds republish_interval{400};
 constexpr milliseconds engine_timeout{500};
-/** Longer than `engine_timeout`: an engine answers the identity query only when
- * it has a free slot. */
+/**
+ * Longer than `engine_timeout`: an engine answers the identity query only when
+ * it has a free slot.
+ */
 constexpr milliseconds identity_timeout{2000};
 constexpr milliseconds identity_retry_interval{300};
 
--- a/src/libcyclamenrun/gateway/engine_monitor.hpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.hpp
@@ -79,8 +79,10 @@
     void schedule_start_grants();
     void send_start_grant(const std::string& gateway, const std::string& id);
 
-    /** Queries the id of the engine unless it is known or was queried just
-     * before. */
+    /**
+     * Queries the id of the engine unless it is known or was queried just
+     * before.
+     */
     void query_identity();
     void handle_identity(const call_outcome& outcome);
     /** True if a recent identity query is pending. */
--- a/src/libcyclamenrun/gateway/feed_follower.hpp
+++ b/src/libcyclamenrun/gateway/feed_follower.hpp
@@ -41,8 +41,10 @@
         std::function<void(std::vector<Item>&& items, bool whole)> items;
         /** Least time between two calls to the directory; 0 if unset. */
         std::function<milliseconds()> pause;
-        /** Time for which the directory holds the next call; if unset, the
-         * `wait` of the timing. */
+        /**
+         * Time for which the directory holds the next call; if unset, the
+         * `wait` of the timing.
+         */
         std::function<milliseconds()> wait;
         /**
          * The directory has answered a call sent at `sent_at`: every record
@@ -51,8 +53,9 @@
         std::function<void(boot_time sent_at)> confirmed;
         /** Called when the directory becomes unavailable. */
         std::function<void(directory_problem)> lost;
-        /** Called for each failed call, also while the directory is
-         * unavailable. */
+        /**
+         * Called for each failed call, also while the directory is unavailable.
+         */
         std::function<void(directory_problem)> failed;
         /** Called with the duration of each answered call. */
         std::function<void(duration took)> answered;
@@ -75,8 +78,10 @@
     /** True if a relay answered the last successful call. */
     bool relayed() const { return relayed_; }
 
-    /** During an outage, retries at once, since the directory may be reachable
-     * again. */
+    /**
+     * During an outage, retries at once, since the directory may be reachable
+     * again.
+     */
     void retry_now()
     {
         if (lost_since_ && !reading_)
--- a/src/libcyclamenrun/gateway/gateway_context.hpp
+++ b/src/libcyclamenrun/gateway/gateway_context.hpp
@@ -38,8 +38,10 @@
     gateway_context(const gateway_context&) = delete;
     gateway_context& operator=(const gateway_context&) = delete;
 
-    /** Records that an engine broke a stream without notice: backups are made
-     * for a while. Logs it unless they are made already. */
+    /**
+     * Records that an engine broke a stream without notice: backups are made
+     * for a while. Logs it unless they are made already.
+     */
     void record_crash(const std::string& upstream_id);
 
     std::shared_ptr<link_reactor> reactor;
--- a/src/libcyclamenrun/gateway/load_probe.cpp
+++ b/src/libcyclamenrun/gateway/load_probe.cpp
@@ -8,8 +8,10 @@
 namespace
 {
 
-/** Time to wait for replies; a new connection and a reply take a few
- * milliseconds. */
+/**
+ * Time to wait for replies; a new connection and a reply take a few
+ * milliseconds.
+ */
 constexpr milliseconds response_timeout{30};
 /** Calls outlast the wait, since a late reply still serves other requests. */
 constexpr milliseconds call_timeout{500};
--- a/src/libcyclamenrun/gateway/monitor_link.cpp
+++ b/src/libcyclamenrun/gateway/monitor_link.cpp
@@ -13,25 +13,35 @@
 namespace
 {
 
-/** Time between two renewals of a load subscription; a monitor removes the
- * gateway after three missed renewals. */
+/**
+ * Time between two renewals of a load subscription; a monitor removes the
+ * gateway after three missed renewals.
+ */
 constexpr milliseconds subscription_interval{1000};
 /** Time between two checks for new hosts and for monitors that timed out. */
 constexpr milliseconds host_check_interval{100};
 /** A turn request is repeated after this time, in case a datagram was lost. */
 constexpr milliseconds turn_retry_interval{50};
-/** A monitor that does not answer turn requests for this long is assumed to be
- * down or cut off; the copy then starts without its grant. */
+/**
+ * A monitor that does not answer turn requests for this long is assumed to be
+ * down or cut off; the copy then starts without its grant.
+ */
 constexpr milliseconds turn_response_timeout{160};
 
-/** A monitor sends even an unchanged load every 400 ms, so this is four missed
- * loads in a row. */
+/**
+ * A monitor sends even an unchanged load every 400 ms, so this is four missed
+ * loads in a row.
+ */
 constexpr milliseconds monitor_timeout{1600};
-/** The same bound in publish intervals, for a monitor that has many subscribers
- * and sends its load less often. */
+/**
+ * The same bound in publish intervals, for a monitor that has many subscribers
+ * and sends its load less often.
+ */
 constexpr int max_missed_loads = 4;
-/** If no monitor responds for this long, either none is running or this VM is
- * cut off from all of them. */
+/**
+ * If no monitor responds for this long, either none is running or this VM is
+ * cut off from all of them.
+ */
 constexpr milliseconds all_monitors_timeout{3000};
 
 engine_load load_of(const v1::EngineLoad& message)
--- a/src/libcyclamenrun/gateway/monitor_link.hpp
+++ b/src/libcyclamenrun/gateway/monitor_link.hpp
@@ -60,8 +60,10 @@
         std::function<std::string()> health_target;
     };
 
-    /** Monitors listen at `monitor_port` of the engines' VMs. `name` identifies
-     * this gateway in requests. */
+    /**
+     * Monitors listen at `monitor_port` of the engines' VMs. `name` identifies
+     * this gateway in requests.
+     */
     monitor_link(std::shared_ptr<link_reactor> reactor,
                  const ip_endpoint& listen, std::uint16_t monitor_port,
                  std::string name, hooks on);
@@ -76,14 +78,18 @@
         bool into = false;        ///< true: into that engine, false: from it
     };
     struct turn_hooks {
-        /** Called also if the monitor does not respond, since a copy that
-         * shares the link is better than none. */
+        /**
+         * Called also if the monitor does not respond, since a copy that shares
+         * the link is better than none.
+         */
         std::function<void()> granted;
         /** Called for a copy into an engine that leaves or has no room. */
         std::function<void()> refused;
     };
-    /** Requests a copy turn. Repeats the request until the monitor grants or
-     * refuses it or times out, then calls one of the hooks once. */
+    /**
+     * Requests a copy turn. Repeats the request until the monitor grants or
+     * refuses it or times out, then calls one of the hooks once.
+     */
     void request_turn(const copy_request& copy, turn_hooks on);
     /** Releases the turn of a copy that has ended or was cancelled. */
     void end_turn(const std::string& id);
@@ -95,8 +101,10 @@
         /** The monitor responds, but does not grant the start yet. */
         std::function<void(const std::string& host, start_denial)> waits;
     };
-    /** Passes the monitors' replies to start requests with this id to the hooks
-     * until unwatch_start(). */
+    /**
+     * Passes the monitors' replies to start requests with this id to the hooks
+     * until unwatch_start().
+     */
     void watch_start(const std::string& id, start_hooks on);
     void unwatch_start(const std::string& id) { starts_.erase(id); }
     /** Sends one start request to the monitor on that host. */
--- a/src/libcyclamenrun/gateway/relay_clients.cpp
+++ b/src/libcyclamenrun/gateway/relay_clients.cpp
@@ -20,8 +20,10 @@
 /** Longest time to a monitor's first load report after it was requested. */
 constexpr milliseconds first_report_timeout{600};
 
-/** One call sent to a relay. The handler is called once, when the call first
- * ends. */
+/**
+ * One call sent to a relay. The handler is called once, when the call first
+ * ends.
+ */
 struct relayed_call {
     std::shared_ptr<client_stream> stream;
     relay_clients::answer_handler on_answer;
--- a/src/libcyclamenrun/gateway/relayed_feed.hpp
+++ b/src/libcyclamenrun/gateway/relayed_feed.hpp
@@ -51,8 +51,9 @@
          * detect a monitor that has lost the directory.
          */
         milliseconds max_wait{900};
-        /** Called with the first page of many, before the other pages are
-         * read. */
+        /**
+         * Called with the first page of many, before the other pages are read.
+         */
         std::function<void(std::vector<Item>&&)> partial;
     };
 
@@ -82,19 +83,25 @@
     static constexpr std::size_t max_relay_tries = 2;
     /** Leaving monitors after which a call stops choosing replacements. */
     static constexpr std::size_t max_leaving = 4;
-    /** Time for a monitor's answer beyond the wait. The monitor's current read
-     * ends first, and its next one may be slow. */
+    /**
+     * Time for a monitor's answer beyond the wait. The monitor's current read
+     * ends first, and its next one may be slow.
+     */
     static constexpr milliseconds relay_timeout{800};
     /** Time for the directory's own answer after monitors have failed. */
     static constexpr milliseconds direct_timeout{1200};
-    /** Least time between two direct calls while monitors report that the
+    /**
+     * Least time between two direct calls while monitors report that the
      * directory is unavailable. A random addition of up to half of it spreads
-     * the calls of the gateways. */
+     * the calls of the gateways.
+     */
     static constexpr milliseconds direct_interval{2000};
     /** Interval at which a waiting call checks whether a monitor responds. */
     static constexpr milliseconds relay_poll_interval{50};
-    /** Time for a monitor's answer with the newest records. A monitor that has
-     * just started reads many pages first. */
+    /**
+     * Time for a monitor's answer with the newest records. A monitor that has
+     * just started reads many pages first.
+     */
     static constexpr milliseconds newest_relay_timeout{3000};
     /** Time for a monitor to respond after the first of many pages. */
     static constexpr milliseconds relay_response_timeout{1000};
@@ -110,8 +117,10 @@
         bool reported_unavailable = false;
         /** Number of monitors that reported that their VM is leaving. */
         std::size_t leaving = 0;
-        /** Set once the first page is known. Until this time the call waits for
-         * a monitor that responds and can read the other pages. */
+        /**
+         * Set once the first page is known. Until this time the call waits for
+         * a monitor that responds and can read the other pages.
+         */
         std::optional<time_point> relays_deadline = {};
     };
 
@@ -211,7 +220,8 @@
         try_next(pending);
     }
 
-    /** Repeats the call through other monitors, which may be leaving as well.
+    /**
+     * Repeats the call through other monitors, which may be leaving as well.
      */
     void handle_leaving(const std::shared_ptr<call>& pending,
                         const std::string& host)
--- a/src/libcyclamenrun/gateway/request_recorder.hpp
+++ b/src/libcyclamenrun/gateway/request_recorder.hpp
@@ -27,8 +27,10 @@
                   milliseconds configuration_age, milliseconds time_left,
                   const request_facts& facts);
     void placed(const placed_upstream& upstream);
-    /** One of the `queried` engines granted the start; `took` is the time that
-     * the request waited for the grant. */
+    /**
+     * One of the `queried` engines granted the start; `took` is the time that
+     * the request waited for the grant.
+     */
     void start_found(const std::string& service, const std::string& upstream,
                      std::size_t queried, milliseconds took);
     /** No monitor of the queried engines responded. */
@@ -49,8 +51,10 @@
     void attempt_ended(const attempt& ended, std::string_view result,
                        std::string_view next);
 
-    /** Records a part of the answer if it was late. `events`: number of events
-     * relayed so far. */
+    /**
+     * Records a part of the answer if it was late. `events`: number of events
+     * relayed so far.
+     */
     void record_late_part(const answer_relay::progress& progress,
                           const std::string& upstream, std::uint64_t events);
     /** No part of the answer arrived within the route's objective. */
--- a/src/libcyclamenrun/gateway/start_search.hpp
+++ b/src/libcyclamenrun/gateway/start_search.hpp
@@ -23,8 +23,10 @@
 {
 public:
     struct hooks {
-        /** Returns up to `count` engines to send start requests to, none of
-         * them in `exclude`. */
+        /**
+         * Returns up to `count` engines to send start requests to, none of them
+         * in `exclude`.
+         */
         std::function<std::vector<upstream_record>(
             const std::vector<std::string>& exclude, std::size_t count)>
             candidates;
@@ -33,8 +35,10 @@
             cost;
         /** The generation starts at this engine. */
         std::function<void(const upstream_record&)> found;
-        /** Most of the requested engines skip the request; the search goes on
-         * unless it is cancelled. */
+        /**
+         * Most of the requested engines skip the request; the search goes on
+         * unless it is cancelled.
+         */
         std::function<void()> skipped;
         /** No monitor responded within the timeout. */
         std::function<void()> no_response;
--- a/src/libcyclamenrun/gateway/upstream_choice.hpp
+++ b/src/libcyclamenrun/gateway/upstream_choice.hpp
@@ -52,8 +52,10 @@
                      const std::vector<std::string>& excluded,
                      std::size_t count, time_point now);
 
-    /** Random engines for copy turn requests of a running generation whose
-     * engine leaves, favouring those to which the copy ends soonest. */
+    /**
+     * Random engines for copy turn requests of a running generation whose
+     * engine leaves, favouring those to which the copy ends soonest.
+     */
     std::vector<upstream_record>
     copy_candidates(const std::string& service,
                     const placement_request& request,
--- a/src/libcyclamenrun/gateway/upstream_connections.hpp
+++ b/src/libcyclamenrun/gateway/upstream_connections.hpp
@@ -37,8 +37,10 @@
     std::shared_ptr<tcp_connection>
     open(const upstream_record& upstream,
          const connection_timeouts& timeouts = {});
-    /** Adds a connection without pending data to the pool; it is not reused
-     * after `until`. */
+    /**
+     * Adds a connection without pending data to the pool; it is not reused
+     * after `until`.
+     */
     void keep(const std::string& upstream_id,
               std::shared_ptr<tcp_connection> connection, time_point until);
     /** Closes the idle connections to an upstream. */
--- a/src/libcyclamenrun/gateway/upstream_record.hpp
+++ b/src/libcyclamenrun/gateway/upstream_record.hpp
@@ -19,8 +19,10 @@
     std::string failure_domain;
     unsigned slots = 0; ///< requests that it can run at a time
     bool draining = false;
-    /** Start of the process in Unix milliseconds; another value means another
-     * process. */
+    /**
+     * Start of the process in Unix milliseconds; another value means another
+     * process.
+     */
     std::int64_t started_ms = 0;
 
     bool operator==(const upstream_record&) const = default;
@@ -42,8 +44,10 @@
     std::uint32_t next_prompt_tokens = 0;
     std::uint64_t memory_used = 0;  ///< tokens that can't be evicted
     std::uint64_t memory_total = 0; ///< tokens
-    /** Time needed to read the prompts ahead of a new one. Reported, like the
-     * reading speed, by the monitor only and not by the engine itself. */
+    /**
+     * Time needed to read the prompts ahead of a new one. Reported, like the
+     * reading speed, by the monitor only and not by the engine itself.
+     */
     milliseconds unread{0};
     double tokens_read_per_ms = 0; ///< reading speed; 0: not reported
     bool leaving = false;
--- a/src/libcyclamenrun/gateway/upstream_registry.hpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.hpp
@@ -24,18 +24,24 @@
     /** The upstream gets no new work; running work continues. */
     bool leaving = false;
     std::optional<time_point> leaves_at; ///< empty: unknown
-    /** Removed from the directory, or not listed by it in time. This state is
-     * kept until this gateway's requests at the upstream have ended. */
+    /**
+     * Removed from the directory, or not listed by it in time. This state is
+     * kept until this gateway's requests at the upstream have ended.
+     */
     bool removed = false;
     /** Another upstream, which started later, uses the same address. */
     bool superseded = false;
-    /** Set while only a monitor, and not the directory, has reported the
+    /**
+     * Set while only a monitor, and not the directory, has reported the
      * upstream. The upstream is removed at this time unless the directory lists
-     * it by then. */
+     * it by then.
+     */
     std::optional<time_point> monitor_only_until;
-    /** Set if the directory removed the upstream just after an outage of the
+    /**
+     * Set if the directory removed the upstream just after an outage of the
      * directory. The upstream is removed at this time unless the directory
-     * lists it by then. */
+     * lists it by then.
+     */
     std::optional<time_point> unconfirmed_until;
     std::optional<engine_load> load;
     time_point load_at{}; ///< when `load` arrived
@@ -54,8 +60,10 @@
     std::deque<dispatch> unreported;
 };
 
-/** Estimated sums over the upstreams of a service that may get new work. Memory
- * and queue include only upstreams whose load is known. */
+/**
+ * Estimated sums over the upstreams of a service that may get new work. Memory
+ * and queue include only upstreams whose load is known.
+ */
 struct service_totals {
     std::size_t upstreams = 0;
     double free_slots = 0;
@@ -80,21 +88,27 @@
 {
 public:
     struct hooks {
-        /** Called once when an upstream is first reported as leaving; the time
-         * is empty if unknown. */
+        /**
+         * Called once when an upstream is first reported as leaving; the time
+         * is empty if unknown.
+         */
         std::function<void(const std::string& id,
                            std::optional<time_point> leaves_at)>
             leaving;
-        /** Called when the state of an upstream was erased: the upstream was
-         * removed, or another process uses its id. */
+        /**
+         * Called when the state of an upstream was erased: the upstream was
+         * removed, or another process uses its id.
+         */
         std::function<void(const std::string& id)> erased;
     };
 
     explicit upstream_registry(hooks on) : on_(std::move(on)) {}
 
-    /** Applies one change of the directory. `after_outage`: the directory was
+    /**
+     * Applies one change of the directory. `after_outage`: the directory was
      * unavailable until recently, and records of live upstreams may have
-     * expired. */
+     * expired.
+     */
     void apply(const upstream_change& change, time_point now,
                bool after_outage);
     /**
@@ -104,8 +118,10 @@
      */
     void replace_all(const std::vector<upstream_change>& all, time_point now,
                      bool after_outage);
-    /** Removes upstreams that the directory has not listed in time: unconfirmed
-     * ones, and ones that only a monitor has reported. */
+    /**
+     * Removes upstreams that the directory has not listed in time: unconfirmed
+     * ones, and ones that only a monitor has reported.
+     */
     void remove_unlisted(time_point now);
     /**
      * Handles a monitor's report of the engine id that currently responds at
@@ -122,12 +138,16 @@
     /** Records a request sent to the upstream; completed() records its end. */
     void dispatched(const std::string& id, std::uint64_t prompt_tokens,
                     time_point now);
-    /** Adds to the upstream's estimated load a request that will soon be
-     * dispatched to it. */
+    /**
+     * Adds to the upstream's estimated load a request that will soon be
+     * dispatched to it.
+     */
     void expect_dispatch(const std::string& id, std::uint64_t prompt_tokens,
                          time_point now);
-    /** Records that a dispatched request has ended. Erases a removed upstream
-     * when its last request has ended. */
+    /**
+     * Records that a dispatched request has ended. Erases a removed upstream
+     * when its last request has ended.
+     */
     void completed(const std::string& id);
     /** Records a success in the failure rate of the upstream. */
     void succeeded(const std::string& id, time_point now);
@@ -136,8 +156,10 @@
     /** No connection could be made within the timeout. */
     void connection_failed(const std::string& id, time_point now);
     void connection_succeeded(const std::string& id);
-    /** Another process responds at the upstream's address: the upstream gets no
-     * new work until the directory updates its record. */
+    /**
+     * Another process responds at the upstream's address: the upstream gets no
+     * new work until the directory updates its record.
+     */
     void mark_superseded(const std::string& id);
 
     const upstream_state* find(const std::string& id) const;
@@ -146,8 +168,10 @@
     /** Upstreams of a service that may get new work. */
     std::vector<const upstream_state*>
     available(const std::string& service) const;
-    /** IP addresses of a service's upstreams at which requests of this gateway
-     * run. */
+    /**
+     * IP addresses of a service's upstreams at which requests of this gateway
+     * run.
+     */
     std::set<std::string> hosts_in_use(const std::string& service) const;
     std::size_t size() const { return upstreams_.size(); }
     std::set<std::string> services() const;
@@ -160,16 +184,19 @@
                       std::optional<time_point> leaves_at);
     void erase(const std::string& id);
     void record_removal(const std::string& id, time_point now);
-    /** Updates `by_address_`. Of two upstreams at one address, marks the one
-     * that started first as superseded. */
+    /**
+     * Updates `by_address_`. Of two upstreams at one address, marks the one
+     * that started first as superseded.
+     */
     void index_address(upstream_state& upstream);
     void update_failure_rate(upstream_state& upstream, double sample,
                              time_point now) const;
 
     hooks on_;
     std::map<std::string, upstream_state> upstreams_;
-    /** Upstream id by address; of several upstreams, the one that started
-     * last. */
+    /**
+     * Upstream id by address; of several upstreams, the one that started last.
+     */
     std::unordered_map<std::string, std::string> by_address_;
     /** Ids of removed upstreams, and until when each is kept. */
     std::unordered_map<std::string, time_point> removed_ids_;
@@ -197,7 +224,8 @@
                                           const placement_request& request,
                                           time_point now);
 
-/** The upstream as a placement candidate, with the request added to its load.
+/**
+ * The upstream as a placement candidate, with the request added to its load.
  */
 placement_candidate placement_of(const upstream_state& upstream,
                                  const placement_request& request,
--- a/src/libcyclamenrun/observability/line_output.hpp
+++ b/src/libcyclamenrun/observability/line_output.hpp
@@ -34,8 +34,10 @@
     line_output(const line_output&) = delete;
     line_output& operator=(const line_output&) = delete;
 
-    /** Writes or queues a line, given without its line feed; returns false
-     * if the line was dropped. */
+    /**
+     * Writes or queues a line, given without its line feed; returns false if
+     * the line was dropped.
+     */
     bool put(log_severity severity, std::string_view line);
 
 private:
--- a/src/libcyclamenrun/observability/log_event.cpp
+++ b/src/libcyclamenrun/observability/log_event.cpp
@@ -35,8 +35,10 @@
         unreported_ = {};
     }
 
-    /** Returns whether the rate limit allows a line of this severity; counts
-     * the line as dropped if not. Called before the line is built. */
+    /**
+     * Returns whether the rate limit allows a line of this severity; counts the
+     * line as dropped if not. Called before the line is built.
+     */
     bool admit(log_severity severity)
     {
         const std::lock_guard lock(mutex_);
@@ -76,8 +78,10 @@
         total_dropped_.add(severity);
     }
 
-    /** Logs the number of dropped lines; returns false if the writer has no
-     * room for that line. */
+    /**
+     * Logs the number of dropped lines; returns false if the writer has no room
+     * for that line.
+     */
     bool report_dropped()
     {
         if (!unreported_.any())
--- a/src/libcyclamenrun/observability/log_field.cpp
+++ b/src/libcyclamenrun/observability/log_field.cpp
@@ -64,8 +64,10 @@
     key_row{log_key::weighed, "weighed"},
 };
 
-/** Returns the id without its secret. The rest is enough to find the generation
- * in the logs. */
+/**
+ * Returns the id without its secret. The rest is enough to find the generation
+ * in the logs.
+ */
 std::string without_secret(const generation_id& generation)
 {
     const auto whole = to_string(generation);
--- a/src/libcyclamenrun/observability/log_field.hpp
+++ b/src/libcyclamenrun/observability/log_field.hpp
@@ -108,8 +108,10 @@
     {
     }
     log_field(log_key key, refusal_kind kind) : log_field(key, name_of(kind)) {}
-    /** Omits the id's secret, since a reader of the logs could resume the
-     * generation with it. */
+    /**
+     * Omits the id's secret, since a reader of the logs could resume the
+     * generation with it.
+     */
     log_field(log_key key, const generation_id& generation);
 
     log_key key() const { return key_; }
--- a/src/libcyclamenrun/observability/metrics.cpp
+++ b/src/libcyclamenrun/observability/metrics.cpp
@@ -37,8 +37,10 @@
 
 } // namespace
 
-/** The samples of one metric: totals since the start, and the previous and the
- * current window. Thread-safe. */
+/**
+ * The samples of one metric: totals since the start, and the previous and the
+ * current window. Thread-safe.
+ */
 class metrics::metric_samples
 {
 public:
--- a/src/libcyclamenrun/observability/metrics.hpp
+++ b/src/libcyclamenrun/observability/metrics.hpp
@@ -18,8 +18,10 @@
     double mean = 0;                ///< since the process started
     double maximum = 0;             ///< since the process started
     std::uint64_t recent_count = 0; ///< samples of the quantiles
-    /** Over the last complete window, or over the current window if the last
-     * one has too few samples; empty if both have too few. */
+    /**
+     * Over the last complete window, or over the current window if the last one
+     * has too few samples; empty if both have too few.
+     */
     std::optional<double> recent_p50;
     std::optional<double> recent_p99;
 };
--- a/src/libcyclamenrun/observability/state_dump.hpp
+++ b/src/libcyclamenrun/observability/state_dump.hpp
@@ -22,8 +22,10 @@
     /** Writes one section; called without holding the lock of the dump. */
     using section_writer = std::function<void(Poco::JSON::Object&)>;
 
-    /** A section of more than `section_bytes` is replaced by a marker with
-     * its size. */
+    /**
+     * A section of more than `section_bytes` is replaced by a marker with its
+     * size.
+     */
     explicit state_dump(std::size_t section_bytes = default_section_bytes);
 
     void add_section(std::string name, section_writer writer);
--- a/src/libcyclamenrun/observability/state_dump_list.hpp
+++ b/src/libcyclamenrun/observability/state_dump_list.hpp
@@ -17,8 +17,10 @@
 public:
     explicit state_dump_list(std::size_t max_shown = default_max_shown);
 
-    /** Whether a further item would be shown; if not, the caller can skip
-     * building it. */
+    /**
+     * Whether a further item would be shown; if not, the caller can skip
+     * building it.
+     */
     bool shows_more() const { return items_->size() < max_shown_; }
     void add(const Poco::JSON::Object& item);
     /** Counts an item without showing it. */
--- a/src/libcyclamenrun/operators/change_sender.hpp
+++ b/src/libcyclamenrun/operators/change_sender.hpp
@@ -10,8 +10,9 @@
 namespace cyclamenrun
 {
 
-/** Functions by which a change_sender calls an entry, reads the clock and
- * waits. */
+/**
+ * Functions by which a change_sender calls an entry, reads the clock and waits.
+ */
 struct change_sender_hooks {
     std::function<rpc_outcome<v1::ApplyChangeResponse>(
         const v1::ApplyChangeRequest&, time_point deadline)>
--- a/src/libcyclamenrun/operators/parsed_log_line.cpp
+++ b/src/libcyclamenrun/operators/parsed_log_line.cpp
@@ -15,8 +15,10 @@
 namespace
 {
 
-/** Returns whether a JSON member is left out of parsed_log_line::fields: it has
- * a member of its own or, as the severity, is dropped. */
+/**
+ * Returns whether a JSON member is left out of parsed_log_line::fields: it has
+ * a member of its own or, as the severity, is dropped.
+ */
 bool is_separate_member(const std::string& name)
 {
     return name == "time" || name == "severity" || name == "process" ||
--- a/src/libcyclamenrun/operators/parsed_log_line.hpp
+++ b/src/libcyclamenrun/operators/parsed_log_line.hpp
@@ -17,8 +17,10 @@
     std::string event;
     /** Empty for an event that is not about one request. */
     std::string request_id;
-    /** The other fields except the severity, as text, in the order of the JSON
-     * object. */
+    /**
+     * The other fields except the severity, as text, in the order of the JSON
+     * object.
+     */
     std::vector<std::pair<std::string, std::string>> fields;
 
     /** Returns the value of a field; empty if there is none. */
@@ -32,8 +34,10 @@
  */
 std::optional<parsed_log_line> parse_log_line(const std::string& line);
 
-/** Returns the milliseconds between two times of log lines; empty if one cannot
- * be parsed. */
+/**
+ * Returns the milliseconds between two times of log lines; empty if one cannot
+ * be parsed.
+ */
 std::optional<long long> ms_between(const std::string& earlier,
                                     const std::string& later);
 
--- a/src/libcyclamenrun/operators/request_timeline.cpp
+++ b/src/libcyclamenrun/operators/request_timeline.cpp
@@ -54,8 +54,10 @@
     return part == "upstream";
 }
 
-/** Returns the arrival time of a request. A line that is logged at the end of
- * the request contains its duration. */
+/**
+ * Returns the arrival time of a request. A line that is logged at the end of
+ * the request contains its duration.
+ */
 std::string arrival_time(const parsed_log_line& first)
 {
     const bool is_end =
--- a/src/libcyclamenrun/operators/rpc_client.hpp
+++ b/src/libcyclamenrun/operators/rpc_client.hpp
@@ -19,8 +19,9 @@
 public:
     rpc_client(ip_endpoint server, secret key);
 
-    /** Makes one call, which ends by `deadline`. `service` includes the
-     * package. */
+    /**
+     * Makes one call, which ends by `deadline`. `service` includes the package.
+     */
     template <typename Response>
     rpc_outcome<Response>
     call(std::string_view service, std::string_view method,
--- a/src/libcyclamenrun/operators/rpc_error.hpp
+++ b/src/libcyclamenrun/operators/rpc_error.hpp
@@ -11,8 +11,9 @@
 namespace cyclamenrun
 {
 
-/** The error of a failed call: returned by the server or detected by the
- * client. */
+/**
+ * The error of a failed call: returned by the server or detected by the client.
+ */
 struct rpc_error {
     rpc_code code = rpc_code::unknown;
     std::string message;
@@ -33,8 +34,10 @@
  */
 std::string write_rpc_error(const rpc_error& error);
 
-/** Parses the body of an error response. Returns rpc_code::unknown and the HTTP
- * status if the body is not one. */
+/**
+ * Parses the body of an error response. Returns rpc_code::unknown and the HTTP
+ * status if the body is not one.
+ */
 rpc_error parse_rpc_error(std::string_view body, int http_status);
 
 template <typename Response>
--- a/src/libcyclamenrun/operators/rpc_http_handler.cpp
+++ b/src/libcyclamenrun/operators/rpc_http_handler.cpp
@@ -44,8 +44,10 @@
     return body;
 }
 
-/** Returns the timeout that the client requests, up to the maximum; the default
- * if the header is not a number. */
+/**
+ * Returns the timeout that the client requests, up to the maximum; the default
+ * if the header is not a number.
+ */
 milliseconds timeout_of(const std::string& header)
 {
     Poco::UInt64 requested = 0;
@@ -54,16 +56,20 @@
     return std::min(milliseconds(requested), max_timeout);
 }
 
-/** Formats whole seconds, as the header requires; rounds up so that clients do
- * not retry too early. */
+/**
+ * Formats whole seconds, as the header requires; rounds up so that clients do
+ * not retry too early.
+ */
 std::string retry_after_text(milliseconds time)
 {
     const auto seconds = std::chrono::ceil<std::chrono::seconds>(time);
     return std::to_string(seconds.count());
 }
 
-/** Logs a refused call. The path is untrusted; log_event() truncates and
- * escapes it. */
+/**
+ * Logs a refused call. The path is untrusted; log_event() truncates and escapes
+ * it.
+ */
 void log_refused(const Poco::Net::HTTPServerRequest& request,
                  const rpc_response& answer)
 {
--- a/src/libcyclamenrun/operators/rpc_router.hpp
+++ b/src/libcyclamenrun/operators/rpc_router.hpp
@@ -47,8 +47,10 @@
     template <typename Request, typename Response>
     using plain_handler = std::function<outcome<Response>(const Request&)>;
 
-    /** Adds a method; `service` includes the package, such as
-     * `cyclamenrun.v1.QueryService`. */
+    /**
+     * Adds a method; `service` includes the package, such as
+     * `cyclamenrun.v1.QueryService`.
+     */
     template <typename Request, typename Response>
     void add_method(std::string_view service, std::string_view method,
                     handler_with_deadline<Request, Response> handler);
--- a/src/libcyclamenrun/settings/settings_writer.cpp
+++ b/src/libcyclamenrun/settings/settings_writer.cpp
@@ -18,8 +18,10 @@
     return row.key.substr(row.key.rfind('.') + 1);
 }
 
-/** Returns whether the setting has no default, so that its line must be
- * commented out to keep the file valid. */
+/**
+ * Returns whether the setting has no default, so that its line must be
+ * commented out to keep the file valid.
+ */
 bool has_no_default(const settings_row& row, const std::string& value)
 {
     return row.presence == settings_presence::required || value == "\"\"";
--- a/tests/gateway/fake_upstream.hpp
+++ b/tests/gateway/fake_upstream.hpp
@@ -67,8 +67,10 @@
     fake_upstream& operator=(const fake_upstream&) = delete;
     ~fake_upstream();
 
-    /** If set, load requests get a 404 answer and don't reach the script or
-     * `arrived`. */
+    /**
+     * If set, load requests get a 404 answer and don't reach the script or
+     * `arrived`.
+     */
     std::atomic<bool> rejects_load_requests = false;
 
     ip_endpoint address() const;
--- a/tests/gateway/scripted_monitor.hpp
+++ b/tests/gateway/scripted_monitor.hpp
@@ -54,11 +54,15 @@
 
 /** Notice that grants a start. */
 v1::MonitorNotice start_given(const std::string& id, unsigned slots_taken = 1);
-/** Notice that a start is not granted yet. `refused`: the engine leaves and
- * grants no start. */
+/**
+ * Notice that a start is not granted yet. `refused`: the engine leaves and
+ * grants no start.
+ */
 v1::MonitorNotice start_waits(const std::string& id, bool refused = false);
-/** Notice that a start is not granted: the request is late, and teams that hold
- * less memory are waiting as well. */
+/**
+ * Notice that a start is not granted: the request is late, and teams that hold
+ * less memory are waiting as well.
+ */
 v1::MonitorNotice start_passed_over(const std::string& id);
 
 } // namespace cyclamenrun::testing_support
--- a/tests/gateway/test_copy_turn_search.cpp
+++ b/tests/gateway/test_copy_turn_search.cpp
@@ -40,8 +40,10 @@
     return !request.turn_ended().empty();
 }
 
-/** Engines on separate hosts with monitors, and the search of a destination
- * among them. */
+/**
+ * Engines on separate hosts with monitors, and the search of a destination
+ * among them.
+ */
 class copy_turn_searches : public testing::Test
 {
 protected:
--- a/tests/gateway/test_directory_relay.cpp
+++ b/tests/gateway/test_directory_relay.cpp
@@ -105,8 +105,10 @@
                            "domain-" + host));
     }
 
-    /** Starts a gateway and waits until it serves and, if `with_relays`, until
-     * monitors read the store for it. */
+    /**
+     * Starts a gateway and waits until it serves and, if `with_relays`, until
+     * monitors read the store for it.
+     */
     gateway_process& start_gateway(bool with_relays = true)
     {
         gateway_settings settings;
@@ -175,7 +177,8 @@
         return eventually([&] { return status_of(gateway, key) == status; });
     }
 
-    /** Checks that the gateway serves without a gap for longer than its lease.
+    /**
+     * Checks that the gateway serves without a gap for longer than its lease.
      */
     void expect_served_beyond_lease(gateway_process& gateway)
     {
--- a/tests/gateway/test_feed_follower.cpp
+++ b/tests/gateway/test_feed_follower.cpp
@@ -13,8 +13,10 @@
 namespace
 {
 
-/** Answers each call with the next answer of a script. Calls after the end of
- * the script get no answer. */
+/**
+ * Answers each call with the next answer of a script. Calls after the end of
+ * the script get no answer.
+ */
 class scripted_feed : public directory_feed<int>
 {
 public:
@@ -163,8 +165,9 @@
     EXPECT_EQ(record.lost, 0);
 }
 
-/** A follower that has read up to offset 5 and whose feed holds the next
- * call. */
+/**
+ * A follower that has read up to offset 5 and whose feed holds the next call.
+ */
 class held_follower : public testing::Test
 {
 protected:
--- a/tests/product/fake_entry.hpp
+++ b/tests/product/fake_entry.hpp
@@ -28,8 +28,10 @@
     ip_endpoint address() const;
     const secret& key() const { return key_; }
 
-    /** Makes the next `count` changes take effect but answers them with an
-     * unknown outcome. */
+    /**
+     * Makes the next `count` changes take effect but answers them with an
+     * unknown outcome.
+     */
     void answer_unknown(int count);
     /** Applies a change of another operator just before the next change. */
     void change_before_next_apply(const v1::Resource& resource);
--- a/tests/product/test_change_sender.cpp
+++ b/tests/product/test_change_sender.cpp
@@ -33,8 +33,10 @@
     return response;
 }
 
-/** Runs a sender with virtual time and scripted answers; the last answer of
- * each list is repeated. */
+/**
+ * Runs a sender with virtual time and scripted answers; the last answer of each
+ * list is repeated.
+ */
 class change_sender_test : public testing::Test
 {
 protected:
--- a/tests/product/test_logging.cpp
+++ b/tests/product/test_logging.cpp
@@ -142,8 +142,10 @@
 
     int writing_end() const { return ends_[1]; }
 
-    /** Reads until `count` lines have arrived, or until no data arrives for ten
-     * seconds. */
+    /**
+     * Reads until `count` lines have arrived, or until no data arrives for ten
+     * seconds.
+     */
     std::vector<std::string> read_lines(std::size_t count) const
     {
         std::string text;
