--- a/tests/gateway/test_directory_relay.cpp
+++ b/tests/gateway/test_directory_relay.cpp
@@ -105,8 +105,10 @@
                            "domain-" + host));
     }
 
-    /** Starts a gateway and waits until it serves and, if `with_relays`, until
-     * monitors read the store for it. */
+    /**
+     * Starts a gateway and waits until it serves and, if `with_relays`, until
+     * monitors read the store for it.
+     */
     gateway_process& start_gateway(bool with_relays = true)
     {
         gateway_settings settings;
@@ -175,7 +177,8 @@
         return eventually([&] { return status_of(gateway, key) == status; });
     }
 
-    /** Checks that the gateway serves without a gap for longer than its lease.
+    /**
+     * Checks that the gateway serves without a gap for longer than its lease.
      */
     void expect_served_beyond_lease(gateway_process& gateway)
     {
@@ -276,7 +279,7 @@
     for (std::size_t i = 0; i < fleet; ++i)
         start_gateway();
     const auto relays = choose_relays(candidates, "gateway-0", 2);
-    const auto direct_calls = [&] { return gateways_path.caller_reads(); };
+    const auto direct_calls = [&] { return gateways_path.client_reads(); };
     const auto before = direct_calls();
     for (const auto& each : engines)
         each->draining = std::find(relays.begin(), relays.end(),
