--- a/src/libcyclamenrun/gateway/answer_relay.hpp
+++ b/src/libcyclamenrun/gateway/answer_relay.hpp
@@ -40,7 +40,8 @@
 
     /**
      * Sets the shape of the answer and its latency targets (zero: no target)
-     * once the request is admitted.
+     * once the request is admitted. `last_event_id`: last event that the caller
+     * already has.
      */
     void set_route(const gateway_route& route,
                    std::optional<std::uint64_t> last_event_id);
@@ -50,7 +51,12 @@
      * the generation moved.
      */
     void prepare_next_response();
+    /** Handles the head of the current response. */
     void handle_head(http_head&& head, const response_facts& facts);
+    /**
+     * Relays or buffers bytes of the current response's body. Fails if an event
+     * is missing or too large.
+     */
     tl::expected<progress, event_problem> handle_body(std::string_view bytes,
                                                       time_point now);
 
@@ -60,6 +66,7 @@
     progress deliver(time_point now);
     /** Ends the answer after a relayed response is complete. */
     void finish(time_point now);
+    /** Writes an answer of the gateway itself. */
     void refuse(http_head head, std::string_view body);
     /** Ends the answer so that the caller sees that it is incomplete. */
     void abort();
@@ -70,12 +77,14 @@
     bool begun() const { return begun_; }
     /** True if the current response is relayed as it arrives. */
     bool relaying() const { return relaying_; }
+    /** Status of the current response. */
     unsigned status() const { return head_.status; }
     const response_facts& facts() const { return facts_; }
     std::optional<std::uint64_t> last_event_id() const
     {
         return events_.last_id();
     }
+    /** Number of events with an id that were relayed. */
     std::uint64_t events() const { return events_.events(); }
     /** From the request's arrival to the first part of its answer. */
     std::optional<milliseconds> time_to_first_part() const
@@ -86,6 +95,7 @@
 
     /** True if the unsent bytes for the caller exceed their bound. */
     bool caller_is_slow() const;
+    /** Sets a one-shot callback for when no unsent bytes are left. */
     void on_drained(std::function<void()> drained);
 
 private:
--- a/src/libcyclamenrun/gateway/configuration_lease.hpp
+++ b/src/libcyclamenrun/gateway/configuration_lease.hpp
@@ -14,9 +14,9 @@
  *
  * Guards against a key that is revoked while this VM is cut off from the
  * directory. The lease runs from the time at which the last call that confirmed
- * the configuration was sent, on a clock that counts suspension. Every change
- * accepted before that time is known here, so a change accepted later has been
- * in force for at most one term when the lease ends.
+ * the configuration was sent, on a clock that also advances while the VM is
+ * suspended. Every change accepted before that time is known here, so a change
+ * accepted later has been in force for at most one term when the lease ends.
  */
 class configuration_lease
 {
--- a/src/libcyclamenrun/gateway/copy_turn_search.cpp
+++ b/src/libcyclamenrun/gateway/copy_turn_search.cpp
@@ -11,8 +11,12 @@
 
 constexpr std::size_t initial_engines = 4;
 constexpr std::size_t further_engines = 4;
+/**
+ * Maximum number of engines with a pending request or a grant. After as many
+ * refusals, an engine that refuses is not replaced at once.
+ */
 constexpr std::size_t max_engines = 16;
-/** Delay until further engines are requested if none has granted a turn. */
+/** Interval at which further engines are requested until one is chosen. */
 constexpr milliseconds request_more_delay{40};
 /** Time for which the search waits for a better turn after the first grant. */
 constexpr milliseconds choice_delay{6};
--- a/src/libcyclamenrun/gateway/copy_turn_search.hpp
+++ b/src/libcyclamenrun/gateway/copy_turn_search.hpp
@@ -35,10 +35,11 @@
         std::function<double(const upstream_record&)> cost;
         /** The copy may begin; its turn is held until end(). */
         std::function<void(const upstream_record&)> found;
-        /** All engines have refused. */
+        /** All requested engines have refused, or there are no candidates. */
         std::function<void()> none;
     };
 
+    /** `tokens`: memory to copy. */
     copy_turn_search(gateway_context& context, std::string request_id,
                      std::uint64_t tokens, hooks on);
 
@@ -58,6 +59,7 @@
     void handle_grant(const std::string& id);
     void handle_refusal(const std::string& id);
     void choose();
+    /** Id of the copy turn; another one at each engine. */
     std::string turn_id(const upstream_record& engine) const;
 
     gateway_context& context_;
--- a/src/libcyclamenrun/gateway/directory_feed.hpp
+++ b/src/libcyclamenrun/gateway/directory_feed.hpp
@@ -33,7 +33,7 @@
     std::uint64_t next_offset = 0;
     /**
      * Offset of each item; empty in a page of the newest records or from a
-     * relay.
+     * relay, which is a monitor that reads the directory for gateways.
      */
     std::vector<std::uint64_t> offsets = {};
     /** Keys of records that were skipped because they can't be parsed. */
--- a/src/libcyclamenrun/gateway/directory_messages.hpp
+++ b/src/libcyclamenrun/gateway/directory_messages.hpp
@@ -27,6 +27,7 @@
 
 std::string_view name_of(answer_problem problem);
 
+/** Encodes a page or the failure of a read as a monitor's answer. */
 v1::DirectoryAnswer answer_of(const directory_page<upstream_change>& page);
 v1::DirectoryAnswer answer_of(const directory_page<configuration_text>& page);
 v1::DirectoryAnswer answer_of(directory_problem problem);
@@ -39,10 +40,14 @@
 tl::expected<directory_page<upstream_change>, answer_problem>
 read_upstreams(const v1::DirectoryAnswer& answer);
 
+/** Parses a configuration's text; returns nothing if it is invalid. */
 using configuration_reader =
     std::function<std::optional<gateway_configuration>(std::string_view)>;
 
-/** Configurations that can't be parsed are listed in `unreadable`. */
+/**
+ * Validates the answer as read_upstreams() does. For each configuration that
+ * can't be parsed, `unreadable` gets an item.
+ */
 tl::expected<directory_page<gateway_configuration>, answer_problem>
 read_configurations(const v1::DirectoryAnswer& answer,
                     const configuration_reader& read);
--- a/src/libcyclamenrun/gateway/directory_relay.hpp
+++ b/src/libcyclamenrun/gateway/directory_relay.hpp
@@ -43,8 +43,8 @@
 
 /**
  * Reads the directory on behalf of gateways, in a monitor. Calls of several
- * gateways share a read, and without a pending call nothing is read. Used on
- * the loop's thread only.
+ * gateways share a read, and without a pending call nothing is read. Calls are
+ * handled on the loop's thread, and leave() must be called there.
  */
 class directory_relay
 {
--- a/src/libcyclamenrun/gateway/directory_watch.hpp
+++ b/src/libcyclamenrun/gateway/directory_watch.hpp
@@ -18,9 +18,11 @@
 /** The parts of a gateway that depend on the deployment's platform. */
 struct gateway_platform {
     std::shared_ptr<const gateway_dialect> dialect;
+    /** Creates the feed of the configurations in a directory. */
     std::function<std::shared_ptr<configuration_feed>(
         std::shared_ptr<link_reactor>, const ip_endpoint&)>
         configurations;
+    /** The same for the upstreams. */
     std::function<std::shared_ptr<upstream_feed>(std::shared_ptr<link_reactor>,
                                                  const ip_endpoint&)>
         upstreams;
--- a/src/libcyclamenrun/gateway/engine_monitor.cpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.cpp
@@ -277,6 +277,7 @@
     if (!id)
         return;
     engine_id_ = *id;
+    // The next load is published with the id and without delay.
     next_publish_at_ = {};
     last_published_.clear();
     grant_starts();
--- a/src/libcyclamenrun/gateway/engine_monitor.hpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.hpp
@@ -134,7 +134,10 @@
  */
 milliseconds load_publish_interval(std::size_t gateways);
 
-/** Maximum number of known gateways; others get no load notices. */
+/**
+ * Maximum number of known gateways; others get no load reports and no start
+ * grants.
+ */
 inline constexpr std::size_t max_gateways = 512;
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/event_splitter.cpp
+++ b/src/libcyclamenrun/gateway/event_splitter.cpp
@@ -17,13 +17,13 @@
 /** Returns the line that begins at `from`; empty if it is incomplete. */
 std::optional<line> line_at(std::string_view bytes, std::size_t from)
 {
-    const auto feed = bytes.find('\n', from);
-    if (feed == std::string_view::npos)
+    const auto line_feed = bytes.find('\n', from);
+    if (line_feed == std::string_view::npos)
         return std::nullopt;
-    auto text = bytes.substr(from, feed - from);
+    auto text = bytes.substr(from, line_feed - from);
     if (text.ends_with('\r'))
         text.remove_suffix(1);
-    return line{text, feed + 1};
+    return line{text, line_feed + 1};
 }
 
 /** Returns the size of the first event; 0 if it is incomplete. */
--- a/src/libcyclamenrun/gateway/event_splitter.hpp
+++ b/src/libcyclamenrun/gateway/event_splitter.hpp
@@ -44,6 +44,7 @@
     std::string take_remainder() { return std::exchange(pending_, {}); }
 
     std::optional<std::uint64_t> last_id() const { return last_id_; }
+    /** Number of events with an id that were passed on. */
     std::uint64_t events() const { return events_; }
 
 private:
--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -86,7 +86,8 @@
     answer_.set_route(*admitted_.route, facts_.last_event_id);
     recorder_.admitted(admitted_, routes_->version(), configuration_age_,
                        since(request_.arrived, admitted_.deadline), facts_);
-    // The stream would be cut here; another process can complete it.
+    // This process would exit before the stream ends; another gateway can
+    // complete it.
     const bool outlasts_this_process =
         context_.stop_at && profile_.is_unresumable_stream() &&
         context_.reactor->now() + profile_.expected_duration() >
@@ -504,9 +505,11 @@
     attempt_state state;
     state.idempotent = route.idempotent || route.resumable;
     state.max_attempts = route.max_attempts;
+    // A generation that is resumed has run before.
     state.runs = runs_ + (resume_from_ ? 1 : 0);
     state.sends = sends_;
     state.is_past_deadline = context_.reactor->now() >= admitted_.deadline;
+    // A new run can continue the answer of a resumable route.
     state.answer_begun = answer_.begun() && !route.resumable;
     return state;
 }
--- a/src/libcyclamenrun/gateway/exchange.hpp
+++ b/src/libcyclamenrun/gateway/exchange.hpp
@@ -50,7 +50,10 @@
 private:
     // Choice of an upstream.
     void dispatch();
-    /** Placement request, for bytes sent from this VM or from `from_domain`. */
+    /**
+     * Data for a placement. The prompt or the memory is sent from this VM or
+     * from the failure domain `from_domain`.
+     */
     placement_request make_placement_request() const;
     placement_request
     make_placement_request(const std::string& from_domain) const;
@@ -125,9 +128,9 @@
 
     std::shared_ptr<upstream_attempt> attempt_;
     time_point attempt_began_{};
-    std::vector<std::string> tried_;
-    unsigned runs_ = 0;
-    unsigned sends_ = 0;
+    std::vector<std::string> tried_; ///< upstream ids; the last is the latest
+    unsigned runs_ = 0;              ///< attempts that may have run
+    unsigned sends_ = 0;             ///< all attempts
     bool over_ = false;
 
     std::shared_ptr<start_search> search_; ///< set while a start is awaited
--- a/src/libcyclamenrun/gateway/feed_history.hpp
+++ b/src/libcyclamenrun/gateway/feed_history.hpp
@@ -27,6 +27,7 @@
 /** Key and equality of the records of the configuration feed. */
 struct configuration_text_traits {
     using item = configuration_text;
+    /** One key: a newer version replaces the older ones. */
     static std::string key(const item&) { return {}; }
     static bool removes_key(const item&) { return false; }
     static bool same(const item& left, const item& right)
@@ -51,6 +52,7 @@
     {
     }
 
+    /** False before the first restart() and after invalidate(). */
     bool known() const { return known_; }
     std::uint64_t next_offset() const { return next_offset_; }
 
--- a/src/libcyclamenrun/gateway/gateway_configuration.hpp
+++ b/src/libcyclamenrun/gateway/gateway_configuration.hpp
@@ -33,9 +33,9 @@
     bool idempotent = false;
     bool resumable = false; ///< a stream that a new run may continue
     std::vector<weighted_service> services;
-    milliseconds timeout{0};   ///< maximum time to the final answer; 0: none
-    milliseconds objective{0}; ///< maximum latency of an answer that is on time
-    milliseconds gap_target{0}; ///< maximum pause of a stream that is on time
+    milliseconds timeout{0};    ///< maximum time to the final answer; 0: none
+    milliseconds objective{0};  ///< target for the time to the first part
+    milliseconds gap_target{0}; ///< target for the pauses of a stream
     unsigned max_attempts = 1;  ///< upstreams tried per request
     unsigned priority = 0;      ///< 0 is the most urgent
     bool is_public = false;     ///< needs no key
@@ -43,8 +43,8 @@
 
 /** Properties of the model engines of a service. */
 struct engine_traits {
-    unsigned slots = 0;
-    std::uint64_t memory_tokens = 0;
+    unsigned slots = 0;              ///< generations that it runs at a time
+    std::uint64_t memory_tokens = 0; ///< its memory in tokens
     double token_bytes = 0; ///< memory of one token; not used by the gateway
     double link_mbps = 0;   ///< speed of the VM's link; not used by the gateway
     bool moves = false;     ///< running generations can be moved
--- a/src/libcyclamenrun/gateway/gateway_context.hpp
+++ b/src/libcyclamenrun/gateway/gateway_context.hpp
@@ -66,7 +66,7 @@
     std::shared_ptr<monitor_link> monitors;
     /** Requests in progress. */
     std::unordered_set<exchange*> running;
-    bool stopping = false;
+    bool stopping = false; ///< a planned stop has begun
     /** When a planned stop ends this process, even with requests running. */
     std::optional<time_point> stop_at;
 };
--- a/src/libcyclamenrun/gateway/gateway_process.cpp
+++ b/src/libcyclamenrun/gateway/gateway_process.cpp
@@ -32,6 +32,7 @@
 {
     if (settings.configuration_lease <= milliseconds::zero())
         return std::nullopt;
+    // The margin takes at most half of a short lease.
     return std::max(settings.configuration_lease - lease_margin,
                     settings.configuration_lease / 2);
 }
--- a/src/libcyclamenrun/gateway/generation_move.hpp
+++ b/src/libcyclamenrun/gateway/generation_move.hpp
@@ -52,7 +52,7 @@
     /** Abandons the move and frees the copied memory. */
     void cancel();
 
-    /** True if the source may have stopped the generation or may do so. */
+    /** True if the source may have stopped the generation or may yet do so. */
     bool stop_ordered() const { return stop_ordered_; }
     const upstream_record& destination() const { return destination_; }
 
--- a/src/libcyclamenrun/gateway/generation_mover.hpp
+++ b/src/libcyclamenrun/gateway/generation_mover.hpp
@@ -42,7 +42,10 @@
         std::function<std::uint64_t()> memory_tokens;
         /** True if the generation currently runs at that upstream. */
         std::function<bool(const upstream_record&)> runs_at;
-        /** Destination chosen by estimated loads only; empty if none. */
+        /**
+         * Destination chosen by estimated loads only; empty if none.
+         * `refused_by`: id of the last destination that had no room, or empty.
+         */
         std::function<std::optional<upstream_record>(
             const upstream_record& source, const std::string& refused_by)>
             destination;
@@ -107,7 +110,7 @@
     std::shared_ptr<generation_move> move_;
     std::shared_ptr<copy_turn_search>
         search_;                  ///< holds the destination's copy turn
-    bool turn_requested_ = false; ///< requested or held
+    bool turn_requested_ = false; ///< the source's turn is requested or held
     bool source_ended_ = false;
     bool over_ = false;
     std::string refused_by_; ///< last destination that had no room
--- a/src/libcyclamenrun/gateway/monitor_link.hpp
+++ b/src/libcyclamenrun/gateway/monitor_link.hpp
@@ -41,7 +41,7 @@
  * A gateway subscribes only to the engines at which its own requests run, and
  * to those that may read the directory for it. If each monitor sent its load to
  * each gateway, the traffic would grow with both numbers, and with a hundred
- * gateways each one would receive a load only once a second.
+ * gateways each one would receive a load only every 0.8 s.
  */
 class monitor_link : public std::enable_shared_from_this<monitor_link>
 {
@@ -107,7 +107,10 @@
      */
     void watch_start(const std::string& id, start_hooks on);
     void unwatch_start(const std::string& id) { starts_.erase(id); }
-    /** Sends one start request to the monitor on that host. */
+    /**
+     * Sends one start request to the monitor on that host. `slots`: of the
+     * engine, as the directory lists it.
+     */
     void request_start(const std::string& host, const start_request& wanted,
                        unsigned slots);
     /** Withdraws a start request, or returns a grant that is not used. */
--- a/src/libcyclamenrun/gateway/monitor_process.hpp
+++ b/src/libcyclamenrun/gateway/monitor_process.hpp
@@ -17,6 +17,7 @@
 /** The parts of a monitor that depend on the deployment's platform. */
 struct monitor_platform {
     std::shared_ptr<const gateway_dialect> dialect;
+    /** Creates the feeds of a directory. */
     std::function<relay_feeds(std::shared_ptr<link_reactor>,
                               const ip_endpoint&)>
         feeds;
--- a/src/libcyclamenrun/gateway/read_coalescer.hpp
+++ b/src/libcyclamenrun/gateway/read_coalescer.hpp
@@ -27,8 +27,8 @@
     milliseconds newest_read_timeout{2500};
     milliseconds first_retry_delay{100};
     milliseconds max_retry_delay{400};
-    std::size_t max_changes = 4096;
-    std::size_t max_calls = 2048;
+    std::size_t max_changes = 4096; ///< kept for later calls
+    std::size_t max_calls = 2048;   ///< pending at a time
 };
 
 /**
--- a/src/libcyclamenrun/gateway/relay_clients.cpp
+++ b/src/libcyclamenrun/gateway/relay_clients.cpp
@@ -21,8 +21,8 @@
 constexpr milliseconds first_report_timeout{600};
 
 /**
- * One call sent to a relay. The handler is called once, when the call first
- * ends.
+ * One call sent to a relay. The handler is called once: at the answer, the end
+ * of the stream or the deadline, whichever comes first.
  */
 struct relayed_call {
     std::shared_ptr<client_stream> stream;
--- a/src/libcyclamenrun/gateway/relay_clients.hpp
+++ b/src/libcyclamenrun/gateway/relay_clients.hpp
@@ -42,6 +42,7 @@
     using answer_handler =
         std::function<void(const std::optional<v1::DirectoryAnswer>&)>;
 
+    /** `gateway`: name of this gateway; `port`: of the monitors. */
     relay_clients(std::shared_ptr<link_reactor> reactor, std::string gateway,
                   std::uint16_t port, hooks on);
     ~relay_clients();
--- a/src/libcyclamenrun/gateway/relayed_feed.hpp
+++ b/src/libcyclamenrun/gateway/relayed_feed.hpp
@@ -103,7 +103,7 @@
      * just started reads many pages first.
      */
     static constexpr milliseconds newest_relay_timeout{3000};
-    /** Time for a monitor to respond after the first of many pages. */
+    /** Wait for a monitor that responds, after the first of many pages. */
     static constexpr milliseconds relay_response_timeout{1000};
 
     struct call {
--- a/src/libcyclamenrun/gateway/request_admission.hpp
+++ b/src/libcyclamenrun/gateway/request_admission.hpp
@@ -16,7 +16,7 @@
 /** Route, team and deadline of an admitted request. */
 struct admitted_request {
     const gateway_route* route = nullptr; ///< of the current configuration
-    const gateway_team* team = nullptr;   ///< none where no key is needed
+    const gateway_team* team = nullptr;   ///< null: no key is needed
     /**
      * Earliest of the caller's deadline, the route's deadline and the default
      * answer timeout.
--- a/src/libcyclamenrun/gateway/request_facts.hpp
+++ b/src/libcyclamenrun/gateway/request_facts.hpp
@@ -20,15 +20,16 @@
 
 /** Data in the header fields of a caller's request. */
 struct request_facts {
-    std::string id; ///< chosen by the caller, unique for each send
+    std::string id; ///< chosen by the caller, unique for each sent request
     std::string host;
     std::string key; ///< team's key as received; empty: none was sent
-    std::optional<milliseconds> time_left;
+    std::optional<milliseconds> time_left; ///< until the caller's deadline
     std::uint32_t prompt_tokens = 0;
     std::uint32_t output_token_limit = 0;
     /** The caller's estimate, often inaccurate. */
     std::optional<std::uint32_t> expected_output_tokens;
     std::vector<prompt_part> prompt_parts;
+    /** Last event that the caller has, if it resumes a stream. */
     std::optional<std::uint64_t> last_event_id;
 };
 
@@ -71,8 +72,8 @@
         invalid_reply,
     };
     kind result = kind::invalid_reply;
-    std::string handle; ///< of the memory at the source
-    std::uint64_t events_made = 0;
+    std::string handle;            ///< of the memory at the source
+    std::uint64_t events_made = 0; ///< by the generation so far
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/gateway/request_profile.cpp
+++ b/src/libcyclamenrun/gateway/request_profile.cpp
@@ -27,8 +27,10 @@
 
 /** Time in which a short queue empties. */
 constexpr milliseconds default_retry_delay{200};
+/** Bounds of a delay that is derived from the objective. */
 constexpr milliseconds min_retry_delay{20};
 constexpr milliseconds max_retry_delay{1000};
+/** Upper bound of a delay that is derived from the time to room. */
 constexpr milliseconds max_queue_delay{5000};
 
 } // namespace
--- a/src/libcyclamenrun/gateway/request_profile.hpp
+++ b/src/libcyclamenrun/gateway/request_profile.hpp
@@ -21,7 +21,7 @@
 class request_profile
 {
 public:
-    /** Profile of a request that no route admits. */
+    /** Profile of a request that was not admitted. */
     request_profile() = default;
     request_profile(std::shared_ptr<const gateway_routes> routes,
                     const admitted_request& admitted,
--- a/src/libcyclamenrun/gateway/request_recorder.cpp
+++ b/src/libcyclamenrun/gateway/request_recorder.cpp
@@ -28,23 +28,24 @@
 
 void request_recorder::start_found(const std::string& service,
                                    const std::string& upstream,
-                                   std::size_t queried, milliseconds took)
+                                   std::size_t requested, milliseconds took)
 {
     metrics_.observe(exported_metric::start_wait, {service}, took);
     trace_.record(log_event_name::start_found, {{log_key::upstream, upstream},
-                                                {log_key::weighed, queried},
+                                                {log_key::weighed, requested},
                                                 {log_key::duration_ms, took}});
 }
 
-void request_recorder::start_unanswered(std::size_t queried)
+void request_recorder::start_unanswered(std::size_t requested)
 {
-    trace_.record(log_event_name::start_unheard, {{log_key::weighed, queried}});
+    trace_.record(log_event_name::start_unheard,
+                  {{log_key::weighed, requested}});
 }
 
-void request_recorder::start_passed_over(std::size_t queried)
+void request_recorder::start_passed_over(std::size_t requested)
 {
     trace_.record(log_event_name::start_passed_over,
-                  {{log_key::weighed, queried}});
+                  {{log_key::weighed, requested}});
 }
 
 void request_recorder::attempt_ended(const attempt& ended,
--- a/src/libcyclamenrun/gateway/request_recorder.hpp
+++ b/src/libcyclamenrun/gateway/request_recorder.hpp
@@ -28,15 +28,15 @@
                   const request_facts& facts);
     void placed(const placed_upstream& upstream);
     /**
-     * One of the `queried` engines granted the start; `took` is the time that
+     * One of the `requested` engines granted the start; `took` is the time that
      * the request waited for the grant.
      */
     void start_found(const std::string& service, const std::string& upstream,
-                     std::size_t queried, milliseconds took);
-    /** No monitor of the queried engines responded. */
-    void start_unanswered(std::size_t queried);
-    /** Most of the queried engines grant other teams' requests first. */
-    void start_passed_over(std::size_t queried);
+                     std::size_t requested, milliseconds took);
+    /** No monitor of the requested engines responded. */
+    void start_unanswered(std::size_t requested);
+    /** Most of the requested engines grant other teams' requests first. */
+    void start_passed_over(std::size_t requested);
 
     /** An attempt at an upstream that has ended. */
     struct attempt {
--- a/src/libcyclamenrun/gateway/start_search.cpp
+++ b/src/libcyclamenrun/gateway/start_search.cpp
@@ -28,9 +28,7 @@
  * objective of any generation.
  */
 constexpr milliseconds response_timeout{30};
-/**
- * After the first grant, the search waits this long for a better one.
- */
+/** After the first grant, the search waits this long for a better one. */
 constexpr milliseconds choice_delay{8};
 
 } // namespace
--- a/src/libcyclamenrun/gateway/upstream_attempt.hpp
+++ b/src/libcyclamenrun/gateway/upstream_attempt.hpp
@@ -41,10 +41,10 @@
 
     struct request {
         upstream_record upstream;
-        std::string id; ///< request id, to match the response
-        std::string text;
-        bool new_connection = false;       ///< do not reuse an idle connection
-        connection_timeouts timeouts;      ///< used for a new connection
+        std::string id;               ///< request id, to match the response
+        std::string text;             ///< serialized HTTP request
+        bool new_connection = false;  ///< do not reuse an idle connection
+        connection_timeouts timeouts; ///< used for a new connection
         bool has_no_response_body = false; ///< the request is a HEAD request
         time_point connect_deadline;
     };
--- a/src/libcyclamenrun/gateway/upstream_choice.cpp
+++ b/src/libcyclamenrun/gateway/upstream_choice.cpp
@@ -11,7 +11,10 @@
 
 /** Backups reduce the memory of running work, so half must be free. */
 constexpr double backup_below_memory = 0.5;
-/** Penalty: copies between failure domains occupy both links twice as long. */
+/**
+ * Penalty as a fraction of the memory: copies between failure domains occupy
+ * both links twice as long.
+ */
 constexpr double backup_other_domain = 0.1;
 
 /**
@@ -23,7 +26,7 @@
  */
 constexpr double start_request_width = 1.0;
 
-/** For copies: low enough to favour engines of the same failure domain. */
+/** The same for copies; low, to favour engines of the same failure domain. */
 constexpr double copy_request_width = 0.2;
 
 /** Lowest cost among all placements except the one at index `exclude`. */
@@ -154,6 +157,7 @@
     placement_candidate reported = state == nullptr
                                        ? placement_candidate()
                                        : placement_of(*state, request, now);
+    // A granted start does not wait for earlier prompts.
     reported.wait = 0;
     reported.slots_taken =
         static_cast<double>(occupancy.slots_taken) / std::max(1U, engine.slots);
--- a/src/libcyclamenrun/gateway/upstream_choice.hpp
+++ b/src/libcyclamenrun/gateway/upstream_choice.hpp
@@ -93,6 +93,10 @@
     std::vector<const upstream_state*>
     candidates(const std::string& service,
                const std::vector<std::string>& excluded) const;
+    /**
+     * Draws up to `count` engines at random, favouring a low cost. `width`: of
+     * the random spread, in units of cost.
+     */
     std::vector<upstream_record>
     draw(const std::vector<const upstream_state*>& from,
          const placement_request& request, const placement_weights& weights,
--- a/src/libcyclamenrun/gateway/upstream_registry.hpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.hpp
@@ -49,7 +49,7 @@
     unsigned own_running = 0;
     /** Set after a failed connection; not tried again before this time. */
     time_point unreachable_until{};
-    double failure_rate = 0;
+    double failure_rate = 0; ///< moving average; decays with time
     time_point failure_rate_updated_at{};
 
     struct dispatch {
@@ -73,9 +73,8 @@
 
 /**
  * The upstreams of all services: which exist, which are leaving, and how loaded
- * each one is. A load is estimated from the latest report of the upstream's
- * host and from this gateway's dispatches since that report. Does no I/O; used
- * by one thread.
+ * each one is. A load is estimated from the latest load report and from this
+ * gateway's dispatches since that report. Does no I/O; used by one thread.
  *
  * Of several upstreams at one address only the one that started last can be
  * running: records of its predecessors stay in the directory for seconds, or
@@ -212,8 +211,8 @@
     milliseconds objective{0};
     /** Configured memory of an engine; 0 for a service without engines. */
     std::uint64_t engine_memory_tokens = 0;
-    std::string from_domain;
-    unsigned gateways = 1; ///< number that send to the same upstreams
+    std::string from_domain; ///< failure domain of the prompt or memory
+    unsigned gateways = 1;   ///< number that send to the same upstreams
 };
 
 /**
