--- a/src/libcyclamenrun/decisions/admission.cpp
+++ b/src/libcyclamenrun/decisions/admission.cpp
@@ -11,6 +11,8 @@
 namespace
 {
 
+// Bound on the curves of answer lengths: each service has one, and so has each
+// team of a service.
 constexpr std::size_t max_curves = 1024;
 
 // Usable share of the engine's memory. The rest is lost because the engine
@@ -42,7 +44,8 @@
 // upstream becomes idle and the suspect can run alone.
 constexpr milliseconds max_suspect_wait{10'000};
 
-// Weight of a new report in the smoothed excess.
+// Weight of a new report in the smoothed excess of the reported memory over the
+// counted memory.
 constexpr double report_gain = 0.2;
 
 } // namespace
@@ -280,6 +283,7 @@
 
     memory_projection with_next = projection;
     add_to(with_next, next);
+    // Without prediction the memory is known, so the risk is nearly 0 or 1.
     const double bound =
         settings_.parts.prediction ? settings_.overflow_bound : 0.5;
     // A work item that would run alone is exempt, or it could never start.
--- a/src/libcyclamenrun/membership/route_table.cpp
+++ b/src/libcyclamenrun/membership/route_table.cpp
@@ -59,8 +59,8 @@
 }
 
 /**
- * Leaves out suspects unless all usable candidates are suspects. A suspicion
- * may be wrong, so a suspect is better than no upstream at all.
+ * Leaves out suspect upstreams unless all usable candidates are suspects. A
+ * suspicion may be wrong, so a suspect is better than no upstream at all.
  */
 std::vector<candidate>
 route_table::usable_candidates(const std::string& service) const
--- a/src/libcyclamenrun/membership/suspicion.hpp
+++ b/src/libcyclamenrun/membership/suspicion.hpp
@@ -29,7 +29,7 @@
     /** When the upstream last became a suspect. */
     time_point since() const { return since_; }
 
-    /** Points at which an upstream becomes a suspect. */
+    /** An upstream with this sum of points for its signs is a suspect. */
     static constexpr int points_to_suspect = 3;
     /** Missed heartbeats in a row that alone make an upstream a suspect. */
     static constexpr std::uint32_t missed_heartbeats_to_suspect = 5;
