--- a/src/libcyclamenrun/decisions/admission_settings.hpp
+++ b/src/libcyclamenrun/decisions/admission_settings.hpp
@@ -14,7 +14,10 @@
 /** Identifies a work item at an agent. */
 using work_id = std::uint64_t;
 
-/** Parts of the decision that can be disabled to measure their effect. */
+/**
+ * Parts of the admission decision. Benchmarks disable them to measure their
+ * effect.
+ */
 struct admission_parts {
     bool prediction = true; ///< project memory by survival curves
     bool prefix = true;     ///< count shared prompt prefixes once
@@ -22,6 +25,7 @@
     bool own_counts = true; ///< false: only the engine's last report counts
 };
 
+/** Settings of the admission of work items at one upstream. */
 struct admission_settings {
     std::uint64_t memory_tokens = 65'536; ///< the engine's memory
     std::uint32_t max_running = 64;
@@ -39,8 +43,9 @@
     /** Prompt tokens in a prefix block. */
     std::uint32_t block_tokens = 64;
     /**
-     * Bound of the uncached prompt tokens in prefill at once. Prefill slows
-     * down each token of the generations that are decoding.
+     * Bound on the uncached prompt tokens in prefill at once. Prefill slows
+     * down each token of the generations that are decoding. A longer prompt
+     * starts when no other is in prefill.
      */
     std::uint64_t max_prefill_tokens = 256;
     /** A work item with a longer expected wait is refused on arrival. */
--- a/src/libcyclamenrun/decisions/attempt_policy.cpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.cpp
@@ -87,8 +87,9 @@
                            state.sends < max_sends;
     if (!can_retry || objective <= milliseconds::zero())
         return std::nullopt;
-    // After the lower bound a second attempt can still meet the objective.
-    // After the upper bound it can hardly respond before the caller times out.
+    // An attempt that begins after the lower bound can still meet the
+    // objective. One that begins after the upper bound can hardly respond
+    // before the caller times out.
     const auto lowest = min_timeout_objectives * objective.count();
     const auto highest = max_timeout_objectives * objective.count();
     const auto usual =
--- a/src/libcyclamenrun/decisions/attempt_policy.hpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.hpp
@@ -21,12 +21,12 @@
 
 std::string_view name_of(attempt_result result);
 
-/** State of a request when an attempt has ended. */
+/** State of a request during an attempt or after it. */
 struct attempt_state {
     bool idempotent = false;
     unsigned max_attempts = 1;
-    unsigned runs = 0;  ///< attempts that may have run
-    unsigned sends = 0; ///< attempts of any result
+    unsigned runs = 0;  ///< ended attempts that may have run
+    unsigned sends = 0; ///< all attempts, the current one included
     bool is_past_deadline = false;
     /** Part of a response has been sent to the caller. */
     bool answer_begun = false;
@@ -61,9 +61,11 @@
  * of the engines unresponsive, 7.4% of the requests failed without a timeout
  * and 4.7% with it.
  *
- * `usual_bound` is the longest usual response time, see response_time. A fixed
- * timeout of 0.6 objectives takes requests out of queues whenever many callers
- * make all queues long, and cost these callers 0.017 of their requests' value.
+ * `objective` is the longest response time that counts as on time; zero
+ * disables the timeout. `usual_bound` is the longest usual response time, see
+ * response_time. A fixed timeout of 0.6 times the objective takes requests out
+ * of queues whenever many callers make all queues long, and cost these callers
+ * 0.017 of their requests' value.
  */
 std::optional<milliseconds>
 attempt_response_timeout(const attempt_state& state, milliseconds objective,
@@ -71,7 +73,7 @@
 
 /**
  * Adds a random deviation of up to a fifth to a retry delay, so that callers
- * that are refused at the same time do not come back at the same time.
+ * that are refused at the same time do not retry at the same time.
  */
 milliseconds jitter_retry_delay(milliseconds after, std::mt19937_64& random);
 
--- a/src/libcyclamenrun/decisions/drain_rate.hpp
+++ b/src/libcyclamenrun/decisions/drain_rate.hpp
@@ -28,8 +28,8 @@
 
 private:
     time_point last_advance_{};
-    double items_;
-    double seconds_;
+    double items_;   ///< departures, decayed with time
+    double seconds_; ///< time with waiting items, decayed likewise
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/engine_load_estimate.hpp
+++ b/src/libcyclamenrun/decisions/engine_load_estimate.hpp
@@ -76,14 +76,17 @@
     milliseconds reading_time(std::uint64_t tokens) const;
     /** Memory of each team in tokens, start grants included. */
     std::map<std::string, std::uint64_t> memory_by_team() const;
-    /** True if the prompt fits and leaves room_to_grow(). */
+    /**
+     * True if the prompt fits and leaves room_to_grow(). In an empty engine it
+     * need only fit.
+     */
     bool has_memory_for(const start_request& request) const;
 
 private:
     struct granted_start {
         start_request request;
         time_point granted_at;
-        time_point reading_since; ///< the epoch: still behind other prompts
+        time_point reading_since; ///< time_point{}: earlier prompts come first
     };
 
     /** Handles granted generations that the status lists as resident. */
@@ -93,6 +96,7 @@
      * status has starting or queued requests.
      */
     void drop_stale_grants(time_point now);
+    /** Records how long the engine has read prompts since the last status. */
     void record_reading(time_point now);
     /** Memory in use and the granted prompts without memory yet, in tokens. */
     double planned_memory() const;
--- a/src/libcyclamenrun/decisions/fair_share.cpp
+++ b/src/libcyclamenrun/decisions/fair_share.cpp
@@ -30,9 +30,10 @@
 
 void fair_share::drop_idle()
 {
-    // An account at the virtual time loses nothing, since
+    // Dropping an account at or below the virtual time loses nothing, since
     // raise_to_virtual_time() raises a new one to it. If that frees too few,
-    // all idle accounts are dropped with their debts to keep the bound.
+    // the idle accounts above the virtual time are dropped too, to keep the
+    // bound.
     const auto at_virtual_time = [this](const auto& item) {
         return item.second.holders == 0 && item.second.counter <= virtual_time_;
     };
--- a/src/libcyclamenrun/decisions/load_view.cpp
+++ b/src/libcyclamenrun/decisions/load_view.cpp
@@ -31,11 +31,11 @@
     }
 }
 
-void load_view::dispatched(std::uint64_t tokens, time_point now)
+void load_view::dispatched(std::uint64_t prompt_tokens, time_point now)
 {
     ++outstanding_;
-    dispatches_.push_back({now, tokens});
-    dispatched_tokens_ += tokens;
+    dispatches_.push_back({now, prompt_tokens});
+    dispatched_tokens_ += prompt_tokens;
     if (dispatches_.size() <= max_dispatches)
         return;
     dispatched_tokens_ -= dispatches_.front().tokens;
--- a/src/libcyclamenrun/decisions/load_view.hpp
+++ b/src/libcyclamenrun/decisions/load_view.hpp
@@ -23,7 +23,7 @@
 {
 public:
     void update_report(const load_report& latest, time_point now);
-    void dispatched(std::uint64_t tokens, time_point now);
+    void dispatched(std::uint64_t prompt_tokens, time_point now);
     /** Records that a dispatch has completed, with any result. */
     void completed();
 
@@ -32,8 +32,8 @@
     /** Running and queued work items, own dispatches included. */
     std::uint32_t work_items() const;
     /**
-     * Share of the memory that is in use or needed by queued work, own
-     * dispatches included; 0 if unknown.
+     * Share of the memory that is in use or needed by the prompts of queued
+     * work, own dispatches included; 0 if unknown.
      */
     double memory_share() const;
     /** Queued work items, own dispatches included. */
--- a/src/libcyclamenrun/decisions/memory_projection.hpp
+++ b/src/libcyclamenrun/decisions/memory_projection.hpp
@@ -34,7 +34,10 @@
     double overflow_risk(double memory_tokens) const;
 
 private:
-    /// Decoding steps ahead; each one covers the steps until the next.
+    /**
+     * Decoding steps ahead. The first is now; each later one covers the steps
+     * until the next.
+     */
     static constexpr std::array<std::uint32_t, 18> horizons = {
         0,   16,  32,   64,   96,   128,  192,  256,  384,
         512, 768, 1024, 1536, 2048, 3072, 4096, 6144, 8192};
--- a/src/libcyclamenrun/decisions/placement.cpp
+++ b/src/libcyclamenrun/decisions/placement.cpp
@@ -22,7 +22,7 @@
  * to others within the 1.5 s before it is reclaimed.
  */
 constexpr double memory_cost = 0.2;
-/** An upstream that fails half of its requests costs as much as a full one. */
+/** A failure rate of 0.5 costs as much as the shortage of a full memory. */
 constexpr double failure_cost = 2.0;
 /**
  * High, so that an unreachable upstream is chosen only if all are unreachable;
--- a/src/libcyclamenrun/decisions/placement.hpp
+++ b/src/libcyclamenrun/decisions/placement.hpp
@@ -48,7 +48,10 @@
 double placement_cost(const placement_candidate& candidate,
                       const placement_weights& weights = {});
 
-/** Index of a candidate of least cost; ties are broken at random. */
+/**
+ * Index of a candidate of least cost; ties are broken at random. Empty if there
+ * are no candidates.
+ */
 std::optional<std::size_t>
 choose_placement(std::span<const placement_candidate> candidates,
                  std::mt19937_64& random,
--- a/src/libcyclamenrun/decisions/relay_choice.hpp
+++ b/src/libcyclamenrun/decisions/relay_choice.hpp
@@ -19,8 +19,8 @@
 std::size_t relay_count(std::size_t gateways);
 
 /**
- * Returns the monitors that read the directory for a gateway, in order of
- * preference.
+ * Returns the hosts of up to `count` monitors that read the directory for a
+ * gateway, in the gateway's order of preference.
  *
  * Gateways with the same candidates choose the same few relays without
  * communication, by rendezvous hashing, so that an added or removed candidate
--- a/src/libcyclamenrun/decisions/start_queue.hpp
+++ b/src/libcyclamenrun/decisions/start_queue.hpp
@@ -62,7 +62,10 @@
      * all of their requests go before it, the late ones too.
      */
     bool is_passed_over(const start_request& request, time_point now) const;
-    /** True if a running generation of `tokens` could be copied here. */
+    /**
+     * True if a running generation with `tokens` of memory could be copied
+     * here, or if the engine's status is not known yet.
+     */
     bool has_room_for_copy(std::uint64_t tokens) const;
     /** The engine's estimated load, start grants included. */
     const engine_load_estimate& load_estimate() const { return load_estimate_; }
--- a/src/libcyclamenrun/decisions/survival_curve.hpp
+++ b/src/libcyclamenrun/decisions/survival_curve.hpp
@@ -59,10 +59,10 @@
 
     float decay_;
     std::uint64_t version_ = 0;
-    buckets ended_{};
-    buckets cut_off_{};
-    buckets hazard_{};
-    /// At each edge: the survival, and its integral over shorter lengths.
+    buckets ended_{};   ///< answers that ended, decayed
+    buckets cut_off_{}; ///< answers that were cut off, decayed
+    buckets hazard_{};  ///< probability to end in a bucket once reached
+    /** At each edge: the survival, and its integral over shorter lengths. */
     std::array<float, bucket_count + 1> survival_{};
     std::array<float, bucket_count + 1> integral_{};
 };
