--- a/src/libcyclamenrun/outcomes/gate.hpp
+++ b/src/libcyclamenrun/outcomes/gate.hpp
@@ -26,7 +26,7 @@
     link::WorkKind kind = link::WORK_KIND_GENERATION;
     std::string path;
     std::string body;
-    int priority = 0;
+    int priority = 0; ///< the engine preempts lower values first
     time_point deadline;
 };
 
@@ -35,7 +35,7 @@
     std::function<void(const admitted_work&)> start;
     std::function<void(work_id)> stop;
     std::function<void(reader_id)> wake; ///< pull() has data for the reader
-    /// load_change() or marks_version() may have advanced.
+    /** load_change() or marks_version() may have advanced. */
     std::function<void()> state_changed;
 };
 
@@ -54,11 +54,29 @@
     gate(gate_settings settings, gate_hooks hooks);
 
     // Commands from entries.
+    /**
+     * Queues the work of a dispatch, or refuses it, and returns a reader of the
+     * answer. A ticket that was used before gets the answer of its first use.
+     */
     outcome<reader_id> submit(const link::Dispatch& dispatch, time_point now);
+    /**
+     * Returns a further reader of an answer. Refuses an id that was not
+     * submitted, and then also its dispatch if that arrives later.
+     */
     outcome<reader_id> resume(const link::Resume& resume, time_point now);
+    /**
+     * Cancels a request. The refusal is not_run only if the work did not begin
+     * and never will.
+     */
     refusal cancel(const link::Cancel& cancel, time_point now);
+    /** Records that an entry has written the whole answer to its caller. */
     void acknowledge(const link::Acknowledge& acknowledge, time_point now);
+    /** Returns a reader's next frames, see session_table::pull(). */
     reader_frames pull(reader_id reader, std::size_t max_bytes, time_point now);
+    /**
+     * Removes a reader. Work that has no reader left is cancelled after
+     * gate_settings::resume_grace.
+     */
     void detach(reader_id reader, time_point now);
 
     // Events of the upstream. Events of work that is not running are ignored.
@@ -79,6 +97,7 @@
     void update_engine_load(const engine_load_hint& hint, time_point now);
 
     // Commands from operators and the platform.
+    /** Refuses all waiting and new work; running work continues. */
     void drain(time_point now);
     /**
      * Drains the gate because the platform reclaims the VM at `deadline`; work
@@ -87,6 +106,7 @@
     void reclaim(time_point deadline, time_point now);
     /** Applies the objective that the configuration sets for the service. */
     void apply_objective(objective goal);
+    /** Adds the poison marks that an entry has sent. */
     void merge_marks(const std::vector<link::PoisonMark>& marks,
                      time_point now);
     /** Applies expired deadlines and admits work; to be called periodically. */
--- a/src/libcyclamenrun/outcomes/gate_settings.hpp
+++ b/src/libcyclamenrun/outcomes/gate_settings.hpp
@@ -15,7 +15,7 @@
     std::string upstream;
     std::uint64_t incarnation = 0;
     time_point started_at;
-    std::string link_key;
+    std::string link_key; ///< verifies tickets
     admission_settings admission;
 
     std::size_t max_sessions = 4096;
@@ -52,6 +52,7 @@
      * without a response.
      */
     milliseconds drain_linger{15'000};
+    /** A dispatch with more time left than this gets this deadline. */
     milliseconds max_deadline{3'600'000};
 };
 
--- a/src/libcyclamenrun/outcomes/poison_mark_sync.hpp
+++ b/src/libcyclamenrun/outcomes/poison_mark_sync.hpp
@@ -40,6 +40,7 @@
 
     /** Adds the marks that the agent has not received yet to the heartbeat. */
     void write_marks(const std::string& upstream, link::Heartbeat& heartbeat);
+    /** Merges the agent's marks, and records which marks it has received. */
     void read_marks(const std::string& upstream,
                     const link::HeartbeatReply& reply, time_point now);
     std::size_t size() const;
--- a/src/libcyclamenrun/outcomes/relay.cpp
+++ b/src/libcyclamenrun/outcomes/relay.cpp
@@ -124,7 +124,7 @@
         stream_open_ = false;
         const auto why = read_message(frame.refused());
         relay_actions actions;
-        // The request is marked before it is retried: the agents' own report of
+        // The request is marked before it is retried: the agent's own report of
         // the loss may arrive after the next engine is lost as well.
         if (frame.loss() != 0)
             hooks_.engine_lost(request_.fingerprint, frame.loss(), now);
@@ -294,7 +294,8 @@
 
 relay_actions relay::refuse(refusal why, time_point)
 {
-    // An earlier attempt may have run even if the last one did not.
+    // An earlier attempt may have run even if the last one did not. With a
+    // ticket all attempts go to the same agent, which knows of each.
     if (why.kind == refusal_kind::not_run && may_have_run_ && !request_.ticket)
         why.kind =
             is_call() ? refusal_kind::outcome_unknown : refusal_kind::failed;
--- a/src/libcyclamenrun/outcomes/relay.hpp
+++ b/src/libcyclamenrun/outcomes/relay.hpp
@@ -16,7 +16,10 @@
 
 /** Functions of the entry that a relay calls. */
 struct relay_hooks {
-    /** Chooses an upstream that is not in `excluded`. */
+    /**
+     * Chooses an upstream that is not in `excluded`; `suspect`: the request
+     * may crash the engine.
+     */
     std::function<outcome<route_target>(
         const relay_request& request, const std::vector<std::string>& excluded,
         bool suspect, time_point now)>
@@ -38,16 +41,18 @@
 
 /** Limits of one relay. */
 struct relay_settings {
-    int max_attempts = 4;
+    int max_attempts = 4; ///< dispatches of the request
     /**
      * How long the relay tries to reach a lost agent again. A frozen agent
      * holds answers that no other process has, so the window is longer than a
      * usual freeze.
      */
     milliseconds reattach_window{10'000};
+    /** Pause between two tries to reach a lost agent. */
     milliseconds reattach_delay{200};
     /** Streams with invalid frames after which an attempt is abandoned. */
     int max_invalid_streams = 2;
+    /** Limit for the text of an answer with delivery_mode::whole. */
     std::size_t max_buffered_bytes = std::size_t{4} << 20U;
 };
 
@@ -76,6 +81,7 @@
     relay_actions on_time(time_point now);
 
     bool done() const { return done_; }
+    /** When on_time() is due next. */
     time_point next_event() const;
     const relay_request& request() const { return request_; }
     const route_target& target() const { return target_; }
@@ -118,18 +124,18 @@
     relay_hooks hooks_;
 
     route_target target_;
-    std::vector<std::string> excluded_;
+    std::vector<std::string> excluded_; ///< upstreams that were tried
     std::optional<generation_id> generation_;
     std::vector<std::string> buffered_tokens_;
     std::size_t buffered_bytes_ = 0;
     std::uint64_t next_index_ = 0;
     int attempts_ = 0;
-    int invalid_streams_ = 0;  // in this attempt
-    stream_number stream_ = 0; // the last stream opened
+    int invalid_streams_ = 0;  ///< in this attempt
+    stream_number stream_ = 0; ///< the last stream opened; 0: none
     bool stream_open_ = false;
     bool reattaching_ = false;
-    bool token_delivered_ = false; // the caller has received a token
-    bool may_have_run_ = false;    // in any attempt of this request
+    bool token_delivered_ = false; ///< the caller has received a token
+    bool may_have_run_ = false;    ///< in any attempt of this request
     bool suspect_ = false;
     bool done_ = false;
     std::optional<time_point> reattach_at_;
--- a/src/libcyclamenrun/outcomes/relay_action.hpp
+++ b/src/libcyclamenrun/outcomes/relay_action.hpp
@@ -34,7 +34,7 @@
 struct send_message {
     std::string upstream;
     std::string path;
-    std::string frame;
+    std::string frame; ///< serialized Cancel or Acknowledge
 };
 
 /** Write tokens to the caller. */
--- a/src/libcyclamenrun/outcomes/relay_request.hpp
+++ b/src/libcyclamenrun/outcomes/relay_request.hpp
@@ -32,8 +32,9 @@
     time_point deadline;
     std::uint32_t prompt_tokens = 0;
     std::uint32_t max_output_tokens = 0;
+    /** Hash of the service and the prompt or body; names it in poison marks. */
     std::uint64_t fingerprint = 0;
-    std::vector<std::uint64_t> prefix_blocks;
+    std::vector<std::uint64_t> prefix_blocks; ///< see prefix_blocks_of()
     bool idempotent = true;
     std::optional<link::Ticket> ticket;
     /** Set when the caller resumes: the last token that it has received. */
--- a/src/libcyclamenrun/outcomes/session_table.hpp
+++ b/src/libcyclamenrun/outcomes/session_table.hpp
@@ -16,7 +16,7 @@
 
 using work_id = std::uint64_t;
 
-/** An entry's stream that reads the answer of a work item. */
+/** Identifies an entry's stream that reads the answer of a work item. */
 using reader_id = std::uint64_t;
 
 /** Frames for one reader. */
@@ -64,6 +64,11 @@
                               std::uint64_t next_index);
     /** Removes a reader. Returns its work item, or 0 for an unknown reader. */
     work_id detach(reader_id reader);
+    /**
+     * Returns the reader's next frames, with up to `max_bytes` of token text,
+     * but at least one token if there is one. The final frame follows the last
+     * token of work that has ended.
+     */
     reader_frames pull(reader_id reader, std::size_t max_bytes);
 
     void append_token(work_session& session, const std::string& text);
--- a/src/libcyclamenrun/outcomes/ticket_authority.hpp
+++ b/src/libcyclamenrun/outcomes/ticket_authority.hpp
@@ -40,6 +40,7 @@
 
     /** Encodes a ticket as printable ASCII, the form that callers receive. */
     static std::string to_text(const link::Ticket& ticket);
+    /** Decodes a ticket; does not verify its signature. */
     static outcome<link::Ticket> from_text(std::string_view text);
 
 private:
--- a/src/libcyclamenrun/outcomes/ticket_use_registry.hpp
+++ b/src/libcyclamenrun/outcomes/ticket_use_registry.hpp
@@ -63,7 +63,8 @@
     std::uint64_t incarnation_;
     time_point started_at_;
     std::size_t capacity_;
-    std::unordered_map<std::uint64_t, use> uses_; // keyed by the ticket's nonce
+    /** Keyed by the ticket's nonce. */
+    std::unordered_map<std::uint64_t, use> uses_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/outcomes/work_session.hpp
+++ b/src/libcyclamenrun/outcomes/work_session.hpp
@@ -37,22 +37,25 @@
     generation_id generation;
     work_state state = work_state::waiting;
     time_point deadline;
-    bool suspect = false;
+    bool suspect = false; ///< runs alone, see poison_verdict
 
     replay_buffer replay;
     std::string finish_reason;
-    std::optional<call_answer> answer;
+    std::optional<call_answer> answer; ///< of a call
     std::optional<refusal> refused;
 
-    std::vector<std::uint64_t> readers; // ids of the answer's readers
+    std::vector<std::uint64_t> readers; ///< ids of the answer's readers
     /**
      * When the work is cancelled for lack of a reader; not set while it has
      * one.
      */
     std::optional<time_point> orphan_deadline;
-    /** Id of the engine loss that ended the work and marked it; 0 if none. */
+    /**
+     * Id of the engine loss that ended the work and for which the request has a
+     * poison mark; 0 if none.
+     */
     std::uint64_t loss = 0;
-    /** Whether the entry has received the whole answer. */
+    /** Whether an entry has acknowledged the answer. */
     bool acknowledged = false;
     /** When the answer may be removed; valid in state `ended`. */
     time_point keep_until;
