--- a/src/libcyclamenrun/agent/agent_server.cpp
+++ b/src/libcyclamenrun/agent/agent_server.cpp
@@ -187,6 +187,7 @@
 
 void agent_server::heartbeat(const stream_pointer& stream)
 {
+    // The deadline is the time of arrival until the wait is added below.
     pending_heartbeat pending{stream, {}, clock_()};
     if (!pending.request.ParseFromString(stream->take_request())) {
         stream->respond_once({});
--- a/src/libcyclamenrun/entry/caller_http_handler.cpp
+++ b/src/libcyclamenrun/entry/caller_http_handler.cpp
@@ -19,7 +19,7 @@
 constexpr std::string_view services_prefix = "/v1/services/";
 constexpr std::string_view calls_suffix = "/calls";
 constexpr std::string_view tickets_suffix = "/tickets";
-constexpr std::size_t max_caller_id_bytes = 128;
+constexpr std::size_t max_echoed_id_bytes = 128;
 
 std::string header(const Poco::Net::HTTPServerRequest& request,
                    const std::string& name)
@@ -61,7 +61,7 @@
 std::string response_request_id(const std::string& caller_id,
                                 const std::string& generated_id)
 {
-    return is_usable_id(caller_id, max_caller_id_bytes) ? caller_id
+    return is_usable_id(caller_id, max_echoed_id_bytes) ? caller_id
                                                         : generated_id;
 }
 
@@ -96,8 +96,8 @@
     log_event(log_severity::info, log_event_name::caller_refused,
               {{log_key::request_id, request_id_},
                {log_key::reason, handled.error().reason}});
-    // On a kept connection, unread bytes of the body would be parsed as the
-    // next request.
+    // On a persistent connection, unread bytes of the body would be parsed as
+    // the next request.
     response.setKeepAlive(false);
     http_caller_writer writer(request, response, {request_id_, {}, {}, false});
     writer.refuse(handled.error());
--- a/src/libcyclamenrun/entry/caller_request.cpp
+++ b/src/libcyclamenrun/entry/caller_request.cpp
@@ -14,12 +14,16 @@
 namespace
 {
 
+// Limits of a service whose configuration sets none.
 constexpr std::uint32_t default_max_output_tokens = 65536;
 constexpr std::uint32_t default_max_prompt_tokens = 131072;
-constexpr std::size_t bytes_per_token = 4;
+constexpr std::size_t bytes_per_token = 4; // an estimate
+// Has to equal block_tokens in admission_settings and router_settings.
 constexpr std::size_t tokens_per_block = 64;
 constexpr std::size_t max_prefix_blocks = 64;
-constexpr std::size_t max_caller_id_bytes = 64;
+// Longest caller's id that becomes the beginning of a request id. The whole id
+// then stays within the 128 bytes that an agent accepts.
+constexpr std::size_t max_id_prefix_bytes = 64;
 
 refusal invalid_request(std::string detail)
 {
@@ -34,7 +38,7 @@
 std::string make_request_id(const std::string& caller_id)
 {
     const auto unique = std::to_string(random_u64());
-    return is_usable_id(caller_id, max_caller_id_bytes)
+    return is_usable_id(caller_id, max_id_prefix_bytes)
                ? caller_id + '~' + unique
                : unique;
 }
@@ -71,10 +75,12 @@
 outcome<void> set_idempotency_and_deadline(const caller_headers& headers,
                                            const v1::Service& service,
                                            const caller_limits& limits,
-                                           bool idempotent, time_point now,
+                                           bool idempotent_by_default,
+                                           time_point now,
                                            relay_request& request)
 {
-    const auto flag = flag_of(headers.idempotent, idempotent, "X-Idempotent");
+    const auto flag =
+        flag_of(headers.idempotent, idempotent_by_default, "X-Idempotent");
     if (!flag)
         return tl::unexpected(flag.error());
     request.idempotent = *flag;
--- a/src/libcyclamenrun/entry/caller_request.hpp
+++ b/src/libcyclamenrun/entry/caller_request.hpp
@@ -78,8 +78,8 @@
 std::uint32_t estimate_tokens(std::size_t bytes);
 
 /**
- * Chained hashes of the prompt's first blocks. Two prompts have equal hashes
- * for the blocks of their common prefix.
+ * Chained hashes of the prompt's first blocks of about 64 tokens, 64 blocks at
+ * most. Two prompts have equal hashes for the blocks of their common prefix.
  */
 std::vector<std::uint64_t> prefix_blocks_of(const std::string& prompt);
 
--- a/src/libcyclamenrun/entry/entry_core.hpp
+++ b/src/libcyclamenrun/entry/entry_core.hpp
@@ -32,6 +32,7 @@
 class caller_writer;
 class link_loop;
 
+/** Settings of an entry_core. */
 struct entry_core_settings {
     std::string name;
     std::string link_key;
--- a/src/libcyclamenrun/entry/entry_process.cpp
+++ b/src/libcyclamenrun/entry/entry_process.cpp
@@ -34,6 +34,7 @@
 namespace
 {
 
+/** Threads that serve the links to agents. */
 constexpr std::size_t link_loops = 4;
 constexpr int caller_stack_bytes = 256 * 1024;
 constexpr int operator_threads = 16;
--- a/src/libcyclamenrun/entry/http_caller_writer.cpp
+++ b/src/libcyclamenrun/entry/http_caller_writer.cpp
@@ -87,6 +87,7 @@
 
 bool http_caller_writer::is_disconnected()
 {
+    // A socket that is readable without data has been closed by its peer.
     try {
         auto& socket =
             dynamic_cast<Poco::Net::HTTPServerRequestImpl&>(request_).socket();
@@ -169,7 +170,7 @@
              : "\"text\":" + quoted) +
         ",\"finish_reason\":" + json_quoted(end.finish_reason);
     auto body = chunk(choice);
-    body.pop_back();
+    body.pop_back(); // the closing brace, to append a member
     return body + ",\"usage\":{\"completion_tokens\":" +
            std::to_string(end.token_count) + "}}";
 }
--- a/src/libcyclamenrun/entry/metrics_caller_writer.hpp
+++ b/src/libcyclamenrun/entry/metrics_caller_writer.hpp
@@ -11,7 +11,10 @@
 
 class metrics;
 
-/** Forwards writes to another writer and records the gaps between tokens. */
+/**
+ * Forwards writes to another writer and records the gaps between tokens, and
+ * the longest of them with the wait for the first token included.
+ */
 class metrics_caller_writer : public caller_writer
 {
 public:
--- a/src/libcyclamenrun/entry/team_authenticator.hpp
+++ b/src/libcyclamenrun/entry/team_authenticator.hpp
@@ -12,6 +12,7 @@
 namespace cyclamenrun
 {
 
+/** A team and the hash of its key. */
 struct team_key {
     std::string team;
     key_hash hash; ///< of the whole key, `TEAM.SECRET`
--- a/src/libcyclamenrun/entry/team_registry.hpp
+++ b/src/libcyclamenrun/entry/team_registry.hpp
@@ -52,7 +52,7 @@
 
     std::shared_ptr<const team_authenticator> authenticator() const;
 
-    mutable std::mutex mutex_; // guards authenticator_
+    mutable std::mutex mutex_; ///< guards authenticator_
     std::shared_ptr<const team_authenticator> authenticator_;
     sharded<limits_shard> shards_;
 };
