--- a/src/libcyclamenrun/configuration/change_validation.hpp
+++ b/src/libcyclamenrun/configuration/change_validation.hpp
@@ -50,6 +50,7 @@
 constexpr std::size_t max_model_length = 128;
 constexpr std::size_t max_team_services = 256;
 constexpr std::size_t max_resources_per_kind = 4096;
+/** Of a record on the log. A change may take up to half of it. */
 constexpr std::size_t max_record_bytes = 64UL * 1024;
 constexpr std::uint32_t max_output_tokens = 1U << 20U;
 constexpr std::uint32_t max_prompt_tokens = 1U << 22U;
--- a/src/libcyclamenrun/configuration/configuration_recovery.hpp
+++ b/src/libcyclamenrun/configuration/configuration_recovery.hpp
@@ -18,8 +18,9 @@
 /**
  * Restores an entry's configuration from a peer when the log can't provide it:
  * the log is unavailable, or records expired before this entry read them.
- * Peers are entries and agents. An accepted change therefore survives the loss
- * of the entry that accepted it as long as one process that holds it is alive.
+ * Peers are processes that hold a configuration; an entry queries agents. An
+ * accepted change therefore survives the loss of the entry that accepted it as
+ * long as one agent that holds it is alive.
  */
 class configuration_recovery
 {
--- a/src/libcyclamenrun/configuration/configuration_state.hpp
+++ b/src/libcyclamenrun/configuration/configuration_state.hpp
@@ -28,7 +28,7 @@
     reused_id,    ///< a different change already used this id
     stale_claim,  ///< the claim's base fencing number was not current
     snapshot,     ///< only repeats the content of earlier records
-    unparsable,   ///< not a record, or one without content
+    unparsable,   ///< not a record, one without content, or an invalid claim
     newer_schema, ///< written with the schema of a later release
     oversized,    ///< larger than change_limits::max_record_bytes
     out_of_order, ///< not the next record; not applied
--- a/src/libcyclamenrun/configuration/log_tailer.hpp
+++ b/src/libcyclamenrun/configuration/log_tailer.hpp
@@ -28,11 +28,11 @@
 /** Position, state and failures of a log_tailer, shown in the state dump. */
 struct tail_status {
     tail_state state = tail_state::following;
-    std::uint64_t first_retained = 0;
-    std::uint64_t end = 0;
-    std::uint64_t gaps = 0;
-    std::uint64_t incomplete_pages = 0;
-    std::uint64_t failures = 0;
+    std::uint64_t first_retained = 0;   ///< the oldest offset still kept
+    std::uint64_t end = 0;              ///< offset of the next append
+    std::uint64_t gaps = 0;             ///< times that unread records expired
+    std::uint64_t incomplete_pages = 0; ///< pages in which a record was missing
+    std::uint64_t failures = 0; ///< failed reads, not those of expired records
     std::uint32_t failures_in_a_row = 0;
 };
 
@@ -71,8 +71,9 @@
 
     void start();
     /**
-     * Stops the thread and waits for the read in flight, which takes at most
-     * tail_settings::read_wait.
+     * Stops the thread and waits for the read in flight. The read takes up to
+     * tail_settings::read_wait plus the log's call timeout unless the owner
+     * cancels it.
      */
     void stop();
 
