--- a/src/libcyclamenrun/configuration/snapshot_parts.hpp
+++ b/src/libcyclamenrun/configuration/snapshot_parts.hpp
@@ -15,7 +15,8 @@
 
 /**
  * Splits the snapshot into log records of about `part_bytes` at most. A single
- * larger item gets a record of its own.
+ * larger item gets a record of its own. `snapshot_id` tells the parts of this
+ * snapshot from those of others.
  */
 std::vector<std::string> snapshot_records(const v1::SnapshotRecord& snapshot,
                                           std::uint64_t snapshot_id,
@@ -33,6 +34,7 @@
     std::optional<v1::SnapshotRecord> add(const v1::SnapshotRecord& part);
 
     static constexpr std::size_t max_incomplete = 4;
+    /** A snapshot of more parts is ignored. */
     static constexpr std::uint32_t max_parts = 256;
 
 private:
--- a/src/libcyclamenrun/operators/change_sender.hpp
+++ b/src/libcyclamenrun/operators/change_sender.hpp
@@ -27,10 +27,10 @@
 /**
  * Sends an operator's change to an entry until its outcome is known.
  *
- * Guards against an answer that is lost after the change took effect: the
- * change would be reported as failed. All attempts have the same change id:
- * FindChange returns the outcome if there is one, and a second record with the
- * same id has no effect.
+ * Guards against a lost answer, after which a change that took effect would be
+ * reported as failed. All attempts have the same change id: FindChange returns
+ * the outcome if there is one, and a second record with the same id has no
+ * effect.
  */
 class change_sender
 {
--- a/src/libcyclamenrun/operators/request_timeline.cpp
+++ b/src/libcyclamenrun/operators/request_timeline.cpp
@@ -117,6 +117,7 @@
     std::set<std::string> names;
     for (const auto& step : steps_) {
         names.insert(step.field("upstream"));
+        // The event of a move has the source in `name`.
         names.insert(step.field("name"));
     }
     names.erase("");
--- a/src/libcyclamenrun/operators/resource_file.hpp
+++ b/src/libcyclamenrun/operators/resource_file.hpp
@@ -51,8 +51,8 @@
 /**
  * Parses a file that an operator wrote for `cyclamenrunctl apply`. Returns the
  * resources in an order in which they can be applied: services first, since
- * teams and assignments refer to them. Checks only the syntax and the types;
- * the entry checks the rules of the resources.
+ * teams and assignments refer to them. Checks the syntax and each value by
+ * itself; the entry checks the rules of the resources.
  */
 settings_outcome<std::vector<v1::Resource>>
 parse_resource_file(std::string_view text, const std::string& file);
--- a/src/libcyclamenrun/operators/rpc_code.cpp
+++ b/src/libcyclamenrun/operators/rpc_code.cpp
@@ -14,6 +14,7 @@
     int http_status;
 };
 
+/** One row per code, in the order of the enum. */
 constexpr std::array codes{
     code_row{rpc_code::unknown, "unknown", 500},
     code_row{rpc_code::invalid_argument, "invalid_argument", 400},
--- a/src/libcyclamenrun/operators/rpc_error.hpp
+++ b/src/libcyclamenrun/operators/rpc_error.hpp
@@ -25,6 +25,7 @@
     bool operator==(const rpc_error&) const = default;
 };
 
+/** Returns the error by which a refusal is reported to operators. */
 rpc_error to_rpc_error(const refusal& cause);
 
 /**
@@ -35,8 +36,9 @@
 std::string write_rpc_error(const rpc_error& error);
 
 /**
- * Parses the body of an error response. Returns rpc_code::unknown and the HTTP
- * status if the body is not one.
+ * Parses the body of an error response. If it cannot be parsed, the error has
+ * rpc_code::unknown and a message with the HTTP status. Without a member
+ * `may_have_run`, a status of 500 or more means that the call may have run.
  */
 rpc_error parse_rpc_error(std::string_view body, int http_status);
 
--- a/src/libcyclamenrun/operators/rpc_router.hpp
+++ b/src/libcyclamenrun/operators/rpc_router.hpp
@@ -21,6 +21,7 @@
     time_point deadline; ///< by which the client expects the answer
 };
 
+/** The HTTP response to a call. */
 struct rpc_response {
     int status = 200;
     std::string content_type;
