--- a/src/libcyclamenrun/settings/settings_error.hpp
+++ b/src/libcyclamenrun/settings/settings_error.hpp
@@ -16,7 +16,7 @@
     syntax,        ///< The file is not valid TOML.
     unknown_key,   ///< No such setting; often a misspelling.
     wrong_type,    ///< For example text for a number.
-    not_allowed,   ///< The type is right but the value is out of range.
+    not_allowed,   ///< The type is right but the value is not accepted.
     missing,       ///< A setting without a default is missing.
     contradictory, ///< Two settings contradict each other.
 };
--- a/src/libcyclamenrun/settings/settings_row.cpp
+++ b/src/libcyclamenrun/settings/settings_row.cpp
@@ -43,6 +43,7 @@
     return number_text(row.minimum) + " to " + number_text(row.maximum);
 }
 
+/** Visits a row's target; implements type_of(). */
 struct type_name {
     std::string operator()(const std::string*) const { return "text"; }
     std::string operator()(const std::uint64_t*) const { return "integer"; }
@@ -63,6 +64,7 @@
     std::string operator()(const upstream_kind*) const { return "word"; }
 };
 
+/** Visits a row's target; describes the allowed values. */
 struct allowed_text {
     const settings_row& row;
 
@@ -111,6 +113,7 @@
     }
 };
 
+/** Visits a row's target; formats its value as TOML. */
 struct value_text {
     std::string operator()(const std::string* text) const
     {
--- a/src/libcyclamenrun/settings/settings_row.hpp
+++ b/src/libcyclamenrun/settings/settings_row.hpp
@@ -38,11 +38,14 @@
     std::string_view key; ///< dotted path in the file
     settings_target target;
     settings_presence presence = settings_presence::optional;
-    /** Bounds of a number, of a text's length in bytes or of a list's size. */
+    /**
+     * Bounds of a number, of a text's length in bytes or of a list's size;
+     * unused for other types.
+     */
     double minimum = 0;
     double maximum = 0;
-    std::string_view unit;
-    std::string_view doc; ///< description
+    std::string_view unit; ///< empty if there is none
+    std::string_view doc;  ///< description
 };
 
 using settings_table = std::vector<settings_row>;
