--- a/src/libcyclamenrun/observability/line_output.hpp
+++ b/src/libcyclamenrun/observability/line_output.hpp
@@ -42,8 +42,10 @@
 
 private:
     bool has_room(log_severity severity, std::size_t bytes) const;
+    /** Writes as much of the queue as the descriptor accepts at once. */
     void write_some();
     bool writable(int wait_ms) const;
+    /** Function of the writer thread. */
     void write_rest();
 
     const int descriptor_;
--- a/src/libcyclamenrun/observability/log_line.cpp
+++ b/src/libcyclamenrun/observability/log_line.cpp
@@ -32,6 +32,7 @@
     return std::string(date.data(), size) + fraction.data();
 }
 
+/** Visits a field's value; formats it as JSON. */
 struct value_text {
     std::string operator()(const std::string& text) const
     {
--- a/src/libcyclamenrun/observability/metrics.cpp
+++ b/src/libcyclamenrun/observability/metrics.cpp
@@ -67,6 +67,10 @@
     }
 
 private:
+    /**
+     * Starts a new window if the current one has ended. The ended window
+     * becomes the previous one unless it ended a whole window ago.
+     */
     void rotate(time_point now)
     {
         if (now < window_end_)
--- a/src/libcyclamenrun/observability/metrics.hpp
+++ b/src/libcyclamenrun/observability/metrics.hpp
@@ -17,10 +17,10 @@
     std::uint64_t count = 0;        ///< since the process started
     double mean = 0;                ///< since the process started
     double maximum = 0;             ///< since the process started
-    std::uint64_t recent_count = 0; ///< samples of the quantiles
+    std::uint64_t recent_count = 0; ///< in the window of the quantiles
     /**
-     * Over the last complete window, or over the current window if the last one
-     * has too few samples; empty if both have too few.
+     * Quantiles over the last complete window, or over the current window if
+     * the last one has too few samples; empty if both have too few.
      */
     std::optional<double> recent_p50;
     std::optional<double> recent_p99;
@@ -39,7 +39,9 @@
     metrics(const metrics&) = delete;
     metrics& operator=(const metrics&) = delete;
 
+    /** Adds a sample in the unit of the metric. */
     void record(metric id, double value, time_point now);
+    /** Adds a sample to a metric whose unit is the millisecond. */
     void record(metric id, duration value, time_point now);
 
     metric_summary summary(metric id, time_point now) const;
--- a/src/libcyclamenrun/observability/state_dump.hpp
+++ b/src/libcyclamenrun/observability/state_dump.hpp
@@ -29,6 +29,7 @@
     explicit state_dump(std::size_t section_bytes = default_section_bytes);
 
     void add_section(std::string name, section_writer writer);
+    /** Returns a JSON object with one member for each section. */
     std::string write() const;
 
     static constexpr std::size_t default_section_bytes = 262144;
