--- a/src/ctl/command_line.hpp
+++ b/src/ctl/command_line.hpp
@@ -19,6 +19,7 @@
 public:
     command_line();
 
+    /** Returns exit_code::usage if the command line has errors. */
     exit_code run(int argument_count, const char* const* arguments);
 
 private:
@@ -28,6 +29,7 @@
     void add_key_command();
     void add_explain_command();
     exit_code run_selected();
+    /** Runs `command` with the options for calls to an entry. */
     template <typename Command>
     exit_code run_with_entry(Command command) const;
 
@@ -39,6 +41,7 @@
     bool wait_ = false;
     std::string file_;
     std::string kind_;
+    /** Name of a resource or an upstream, id of a change or a request. */
     std::string name_;
     std::vector<std::string> log_files_;
 };
--- a/src/ctl/commands.hpp
+++ b/src/ctl/commands.hpp
@@ -26,6 +26,10 @@
 exit_code run_find_change(const ctl_options& options,
                           const std::string& change_id);
 exit_code run_drain(const ctl_options& options, const std::string& upstream);
+/**
+ * Prints the state of an upstream's agent, or that of the entry if `upstream`
+ * is empty.
+ */
 exit_code run_dump(const ctl_options& options, const std::string& upstream);
 exit_code run_revisions(const ctl_options& options);
 
--- a/src/ctl/operator_client.hpp
+++ b/src/ctl/operator_client.hpp
@@ -27,6 +27,10 @@
     rpc_outcome<v1::FindChangeResponse>
     find_change(const std::string& change_id) const;
     rpc_outcome<v1::ListRevisionsResponse> list_revisions() const;
+    /**
+     * Returns the state of an upstream's agent, or that of the entry if
+     * `upstream` is empty.
+     */
     rpc_outcome<v1::DumpStateResponse>
     dump_state(const std::string& upstream) const;
 
