--- a/src/libcyclamenrun/links/agent_links.hpp
+++ b/src/libcyclamenrun/links/agent_links.hpp
@@ -40,9 +40,9 @@
 
 /**
  * An entry's links to agents. Exchanges heartbeats with each watched agent.
- * The agent delays its reply until its state changes, so a link without
- * changes carries one small exchange per interval. Connections to other
- * agents are made when a stream is opened.
+ * The agent delays its reply until its state changes or the heartbeat interval
+ * has passed, so a link without changes carries one small exchange per
+ * interval. Connections to other agents are made when a stream is opened.
  */
 class agent_links
 {
@@ -57,7 +57,10 @@
     /** Replaces the set of agents that heartbeats are exchanged with. */
     void watch(const std::vector<agent_address>& agents);
 
-    /** Opens a stream to any agent. Returns null after close(). */
+    /**
+     * Opens a stream to any agent and sends `frame` as the request. Returns
+     * null after close().
+     */
     std::shared_ptr<client_stream> open(const agent_address& agent,
                                         const std::string& path,
                                         const std::string& frame,
--- a/src/libcyclamenrun/links/agent_query.hpp
+++ b/src/libcyclamenrun/links/agent_query.hpp
@@ -20,6 +20,7 @@
 class agent_query : public std::enable_shared_from_this<agent_query>
 {
 public:
+    /** Returns the callbacks for the stream of the request. */
     client_handlers handlers();
     /** Sets the stream of the request; null if none could be opened. */
     void set_stream(std::shared_ptr<client_stream> stream);
--- a/src/libcyclamenrun/links/client_stream.cpp
+++ b/src/libcyclamenrun/links/client_stream.cpp
@@ -84,10 +84,10 @@
     unreturned_bytes_ += bytes;
     // A frame larger than the flow control window would never arrive: its
     // first part fills the window and can't be consumed without the rest.
-    // nghttp2 returns credit only once half of the window is consumed, so as
-    // little as half of it may be open when a frame begins. The credit for
-    // frames larger than that is therefore returned before they are complete.
-    // Memory is then bounded by max_frame_bytes, not by the window.
+    // nghttp2 returns credit only once half of the window is consumed, so the
+    // peer may have credit for only half of it when a frame begins. The credit
+    // for frames larger than that is therefore returned before they are
+    // complete. Memory is then bounded by max_frame_bytes, not by the window.
     const auto size = decoder_.frame_size();
     if (!size || *size + frame_prefix_bytes <= large_frame_bytes_)
         return;
@@ -97,6 +97,8 @@
 
 void client_stream::deliver(std::string frame)
 {
+    // The caller passes only the payload's size to consumed(), so the credit
+    // for the length prefix is settled here.
     if (returned_early_bytes_ == 0)
         return_credit(frame_prefix_bytes);
     else
--- a/src/libcyclamenrun/links/link_client.hpp
+++ b/src/libcyclamenrun/links/link_client.hpp
@@ -16,9 +16,10 @@
 class link_loop;
 
 /**
- * The client end of a link: an entry's connection to one peer. It connects
- * when a stream is opened and there is no connection. Thread-safe. Streams
- * that are open when the client is destroyed continue to their end.
+ * The client end of a link: a connection to one peer, such as an entry's to an
+ * agent. It connects when a stream is opened and there is no connection.
+ * Thread-safe. Streams that are open when the client is destroyed continue to
+ * their end.
  */
 class link_client : public std::enable_shared_from_this<link_client>
 {
@@ -26,7 +27,7 @@
     static std::shared_ptr<link_client>
     create(link_loop& loop, const Poco::Net::SocketAddress& address,
            std::string link_key, const link_limits& limits);
-    /** For owners that must not keep the link_loop alive. */
+    /** For owners without a link_loop, which they must not keep alive. */
     static std::shared_ptr<link_client>
     create(std::shared_ptr<link_reactor> reactor,
            const Poco::Net::SocketAddress& address, std::string link_key,
@@ -36,6 +37,10 @@
     link_client& operator=(const link_client&) = delete;
     ~link_client();
 
+    /**
+     * Opens a stream and sends `request_frame` on it. All failures are reported
+     * to the handlers.
+     */
     std::shared_ptr<client_stream> open(std::string path,
                                         const std::string& request_frame,
                                         client_handlers handlers);
--- a/src/libcyclamenrun/links/link_client_connection.cpp
+++ b/src/libcyclamenrun/links/link_client_connection.cpp
@@ -21,6 +21,7 @@
 /** A connection is replaced when its stream ids reach this value. */
 constexpr std::uint32_t max_stream_id = 0x7fff0000;
 
+/** Returns the failure of a stream that the peer did not end cleanly. */
 link_failure failure_of(std::uint32_t error_code)
 {
     switch (error_code) {
--- a/src/libcyclamenrun/links/link_client_connection.hpp
+++ b/src/libcyclamenrun/links/link_client_connection.hpp
@@ -14,7 +14,7 @@
 namespace cyclamenrun
 {
 
-/** The client end of a link, used by entries. */
+/** An HTTP/2 connection of a link_client to its peer. */
 class link_client_connection final : public link_connection
 {
 public:
@@ -36,8 +36,10 @@
 
     void start();
 
+    /** Sends the stream's request, once the handshake is complete. */
     void open(const std::shared_ptr<client_stream>& stream);
     void cancel(const std::shared_ptr<client_stream>& stream);
+    /** Returns flow control credit; see return_stream_credit(). */
     void return_window(std::int32_t stream, std::size_t bytes);
     /**
      * Number of the owner's streams, including those that wait for the
--- a/src/libcyclamenrun/links/link_connection.cpp
+++ b/src/libcyclamenrun/links/link_connection.cpp
@@ -107,6 +107,7 @@
         fail(link_failure::connection_lost);
         return;
     }
+    // Poco returns a negative size if the socket has no data.
     if (size < 0)
         return;
     if (size == 0) {
--- a/src/libcyclamenrun/links/link_connection.hpp
+++ b/src/libcyclamenrun/links/link_connection.hpp
@@ -28,7 +28,9 @@
 
 /** Result of reading a stream's data to send. */
 struct link_chunk {
+    /** Bytes read; 0 without `end` if no data is available now. */
     std::size_t size = 0;
+    /** The stream has no data after these bytes. */
     bool end = false;
     /** The stream does not exist or has failed and must be reset. */
     bool broken = false;
@@ -67,6 +69,7 @@
     virtual void stream_half_closed(std::int32_t stream) = 0;
     virtual void stream_closed(std::int32_t stream,
                                std::uint32_t error_code) = 0;
+    /** Called before the headers of a request are appended to the output. */
     virtual void request_sent(std::int32_t stream) = 0;
     virtual void goaway_received() = 0;
     /** Copies the next bytes to send on the stream into `room`. */
@@ -132,7 +135,7 @@
     link_output output_;
     link_keepalive keepalive_;
     link_reactor::watch_id watch_ = 0;
-    std::optional<time_point> timer_;
+    std::optional<time_point> timer_; ///< time of the next check
     std::optional<link_failure> failure_;
     bool connecting_ = false;
     bool flush_pending_ = false;
--- a/src/libcyclamenrun/links/link_failure.hpp
+++ b/src/libcyclamenrun/links/link_failure.hpp
@@ -10,13 +10,13 @@
 /** Why a stream between two cyclamenrun processes failed. */
 enum class link_failure : std::uint8_t {
     connect_failed,
-    unauthenticated,
+    unauthenticated, ///< The two ends do not have the same link key.
     connection_lost,
-    reset_by_peer,
+    reset_by_peer, ///< The peer reset the stream.
     protocol_error,
-    too_large,
-    cancelled,
-    timed_out,
+    too_large, ///< The request or a frame of the answer exceeds the limit.
+    cancelled, ///< This process cancelled the stream.
+    timed_out, ///< The handshake or the answer to a PING took too long.
     too_many_streams,
 };
 
--- a/src/libcyclamenrun/links/link_frame_decoder.hpp
+++ b/src/libcyclamenrun/links/link_frame_decoder.hpp
@@ -38,7 +38,7 @@
     /** Whether a frame was received in part. */
     bool mid_frame() const { return prefix_size_ > 0; }
 
-    /** Size of the partial frame; empty until its length is received. */
+    /** Payload size of the partial frame; empty until its prefix is read. */
     std::optional<std::size_t> frame_size() const;
 
 private:
--- a/src/libcyclamenrun/links/link_keepalive.hpp
+++ b/src/libcyclamenrun/links/link_keepalive.hpp
@@ -10,6 +10,7 @@
 namespace cyclamenrun
 {
 
+/** What a connection is to do next. */
 enum class keepalive_step : std::uint8_t { wait, ping, disconnect };
 
 /**
--- a/src/libcyclamenrun/links/link_listener.cpp
+++ b/src/libcyclamenrun/links/link_listener.cpp
@@ -91,6 +91,7 @@
 
 void link_listener::add(const Poco::Net::StreamSocket& socket)
 {
+    // Returning drops the last reference to the socket, which closes it.
     if (authenticated_.size() >= context_->limits.max_connections)
         return;
     if (unauthenticated_.size() >= context_->limits.max_unauthenticated)
--- a/src/libcyclamenrun/links/link_listener.hpp
+++ b/src/libcyclamenrun/links/link_listener.hpp
@@ -28,6 +28,7 @@
 
     void start();
     void stop_accepting();
+    /** Stops accepting and closes all connections. */
     void close_all();
 
     void ready(bool readable, bool writable) override;
--- a/src/libcyclamenrun/links/link_loop.hpp
+++ b/src/libcyclamenrun/links/link_loop.hpp
@@ -13,8 +13,9 @@
 class link_reactor;
 
 /**
- * A thread that serves many links. A process has several loops to spread its
- * load. Each connection stays on one loop, so its state needs no lock.
+ * A thread that serves many connections. A process may have several loops to
+ * spread its load. Each connection stays on one loop, so its state needs no
+ * lock.
  *
  * The destructor closes all connections of the loop; it must not run on the
  * loop's own thread, which it joins.
--- a/src/libcyclamenrun/links/link_reactor.hpp
+++ b/src/libcyclamenrun/links/link_reactor.hpp
@@ -34,7 +34,10 @@
     link_reactor& operator=(const link_reactor&) = delete;
     ~link_reactor();
 
-    /** Runs until stop(), then closes all sockets and runs the queued tasks. */
+    /**
+     * Runs until stop(), then closes all sockets and runs the queued tasks.
+     * Timers that are still pending are dropped.
+     */
     void run();
 
     // Thread-safe.
@@ -85,6 +88,7 @@
     bool stopped_ = false;         // under mutex_
     bool wake_up_pending_ = false; // under mutex_
 
+    // The members below are used on the loop's thread only.
     bool stopping_ = false;
     time_point now_;
     std::uint64_t next_watch_ = 1;
--- a/src/libcyclamenrun/links/link_server_connection.cpp
+++ b/src/libcyclamenrun/links/link_server_connection.cpp
@@ -51,6 +51,7 @@
         reset_stream(stream, NGHTTP2_REFUSED_STREAM);
         return;
     }
+    // A proof is as large as a nonce.
     const std::size_t max_request_bytes =
         open ? limits().max_frame_bytes : nonce_bytes;
     const auto self =
--- a/src/libcyclamenrun/links/link_server_connection.hpp
+++ b/src/libcyclamenrun/links/link_server_connection.hpp
@@ -23,7 +23,7 @@
     request_handler handler;
 };
 
-/** The server end of a link, used by agents. */
+/** The server end of a link, accepted by a link_listener. */
 class link_server_connection final : public link_connection
 {
 public:
--- a/src/libcyclamenrun/links/link_session.cpp
+++ b/src/libcyclamenrun/links/link_session.cpp
@@ -146,7 +146,9 @@
     if (nghttp2_option_new(&raw) != 0)
         throw std::bad_alloc();
     option_pointer made(raw, nghttp2_option_del);
+    // on_data_chunk() and link_connection return flow control credit instead.
     nghttp2_option_set_no_auto_window_update(raw, 1);
+    // Discards closed streams, which nghttp2 would keep for the priority tree.
     nghttp2_option_set_no_closed_streams(raw, 1);
     return made;
 }
