--- a/src/libcyclamenrun/http/http_client.cpp
+++ b/src/libcyclamenrun/http/http_client.cpp
@@ -64,6 +64,7 @@
 {
     if (!connection_ || !connection_->open())
         open_connection();
+    // A failure is posted, so that call() returns before the handler is called.
     if (connection_)
         connection_->send(request_);
     else
--- a/src/libcyclamenrun/http/http_client.hpp
+++ b/src/libcyclamenrun/http/http_client.hpp
@@ -35,7 +35,7 @@
  * Sends HTTP requests to one peer, one at a time, over a persistent connection.
  * A connection is never reused after a timeout, since a late answer could be
  * taken for the answer to a later call. The object keeps itself alive until the
- * pending call completes.
+ * pending call completes. To be used on the reactor's thread only.
  */
 class http_client : public std::enable_shared_from_this<http_client>
 {
@@ -47,10 +47,14 @@
     http_client(const http_client&) = delete;
     http_client& operator=(const http_client&) = delete;
 
-    /** Starts a call. No other call may be pending. */
+    /**
+     * Starts a call. No other call may be pending. The `Host` field and the
+     * framing fields are added to `head`; a GET has no body.
+     */
     void call(http_head head, const std::string& body, time_point deadline,
               answer_handler on_answer);
     bool busy() const { return static_cast<bool>(on_answer_); }
+    /** Closes the connection. A pending call then ends at its deadline. */
     void close();
 
 private:
--- a/src/libcyclamenrun/http/http_reader.hpp
+++ b/src/libcyclamenrun/http/http_reader.hpp
@@ -52,7 +52,10 @@
     /** Starts the message after a complete one, reading buffered bytes. */
     tl::expected<void, http_problem> next_message();
 
-    /** Handles an orderly end of the connection by the peer. */
+    /**
+     * Handles an orderly end of the connection by the peer, which completes a
+     * message whose body ends with the connection.
+     */
     tl::expected<void, http_problem> end_of_connection();
 
     /** Expects responses without a body, as answers to HEAD are. */
--- a/src/libcyclamenrun/http/http_session.hpp
+++ b/src/libcyclamenrun/http/http_session.hpp
@@ -24,7 +24,9 @@
 /** Limits on a caller's requests, fetched again before each request. */
 struct session_limits {
     http_limits message;
+    /** Time without data from the caller while a head is incomplete. */
     milliseconds header_timeout{3000};
+    /** Time without data in a body or between requests. */
     milliseconds idle_timeout{15000};
 };
 
@@ -98,7 +100,7 @@
     bool request_keep_alive_ = true;
     bool serving_ = false;
     bool closing_ = false;
-    bool head_only_ = false;
+    bool head_only_ = false; ///< the current request is a HEAD
     /** Of the current answer; writers of other answers have no effect. */
     std::uint64_t answer_number_ = 0;
     session_hooks::disconnect_handler on_disconnect_;
--- a/src/libcyclamenrun/http/tcp_acceptor.cpp
+++ b/src/libcyclamenrun/http/tcp_acceptor.cpp
@@ -18,10 +18,10 @@
 constexpr int backlog = 256;
 /** Bounds the accepts per wake-up, so that open connections don't starve. */
 constexpr int max_accepts_per_wakeup = 32;
-/** Pause before accepting again after descriptors have run out. */
+/** Pause before accepting again after descriptors or memory have run out. */
 constexpr milliseconds accept_retry_delay{50};
 
-bool out_of_descriptors(int error)
+bool out_of_resources(int error)
 {
     return error == EMFILE || error == ENFILE || error == ENOBUFS ||
            error == ENOMEM;
@@ -73,7 +73,7 @@
     const int fd = ::accept4(socket_.impl()->sockfd(), nullptr, nullptr,
                              SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) {
-        if (out_of_descriptors(errno))
+        if (out_of_resources(errno))
             pause();
         return false;
     }
--- a/src/libcyclamenrun/http/tcp_connection.cpp
+++ b/src/libcyclamenrun/http/tcp_connection.cpp
@@ -32,13 +32,13 @@
  */
 void set_timeouts(int socket, const connection_timeouts& timeouts)
 {
-    const auto idle = static_cast<int>(
+    const auto idle_s = static_cast<int>(
         std::max<std::int64_t>(1, timeouts.idle_probe / second));
     set_option(socket, IPPROTO_TCP, TCP_USER_TIMEOUT,
                static_cast<int>(timeouts.unacknowledged.count()));
     set_option(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
-    set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, idle);
-    set_option(socket, IPPROTO_TCP, TCP_KEEPINTVL, idle);
+    set_option(socket, IPPROTO_TCP, TCP_KEEPIDLE, idle_s);
+    set_option(socket, IPPROTO_TCP, TCP_KEEPINTVL, idle_s);
     set_option(socket, IPPROTO_TCP, TCP_KEEPCNT, keepalive_probes);
 }
 
