--- a/src/libcyclamenrun/base/sharded.hpp
+++ b/src/libcyclamenrun/base/sharded.hpp
@@ -33,18 +33,18 @@
     template <typename Use>
     auto with(std::string_view key, Use use)
     {
-        auto& entry = *shards_[hash64(key) % shards_.size()];
-        const std::scoped_lock lock(entry.mutex);
-        return use(*entry.state);
+        auto& selected = *shards_[hash64(key) % shards_.size()];
+        const std::scoped_lock lock(selected.mutex);
+        return use(*selected.state);
     }
 
     /** Calls `use` with the state of each shard in turn, under its lock. */
     template <typename Use>
     void with_each(Use use)
     {
-        for (const auto& entry : shards_) {
-            const std::scoped_lock lock(entry->mutex);
-            use(*entry->state);
+        for (const auto& each : shards_) {
+            const std::scoped_lock lock(each->mutex);
+            use(*each->state);
         }
     }
 
--- a/src/libcyclamenrun/http/tcp_connection.hpp
+++ b/src/libcyclamenrun/http/tcp_connection.hpp
@@ -17,8 +17,9 @@
 
 /** How a connection ended. */
 enum class connection_end : std::uint8_t {
-    finished,    ///< The peer closed it in an orderly way.
-    broken,      ///< It was reset, or the peer's host does not respond.
+    finished, ///< The peer closed it in an orderly way.
+    /** It was reset, the peer's host does not respond, or the reactor stops. */
+    broken,
     unreachable, ///< It was never established: no byte reached the peer.
 };
 
--- a/src/libcyclamenrun/outside/engine_client.hpp
+++ b/src/libcyclamenrun/outside/engine_client.hpp
@@ -21,7 +21,8 @@
 struct engine_request {
     std::string request_id;
     std::string path; ///< /v1/completions or /v1/chat/completions
-    std::string body; ///< JSON object; id, stream and priority are added
+    /** JSON object; run() adds request_id, stream and priority. */
+    std::string body;
     int priority = 0; ///< higher runs first
     time_point deadline;
     /** Fails with epoch_changed if the engine's epoch differs; 0: any epoch. */
--- a/src/libcyclamenrun/outside/http_deadline_socket.hpp
+++ b/src/libcyclamenrun/outside/http_deadline_socket.hpp
@@ -14,7 +14,7 @@
  * A client socket with one absolute deadline for all reads and writes. With
  * only a timeout for each read, a peer that sends single bytes slowly could
  * hold a call forever. Each read or write is also limited by the response
- * timeout. Both limits throw Poco::TimeoutException.
+ * timeout. Reaching either limit throws Poco::TimeoutException.
  */
 class http_deadline_socket : public Poco::Net::StreamSocketImpl
 {
--- a/src/libcyclamenrun/outside/http_exchange.cpp
+++ b/src/libcyclamenrun/outside/http_exchange.cpp
@@ -192,7 +192,8 @@
     // Passes on exceptions of the socket, so that they can be classified.
     body_->exceptions(std::ios::badbit);
     if (response.hasContentLength())
-        expected_ = static_cast<std::size_t>(response.getContentLength64());
+        content_length_ =
+            static_cast<std::size_t>(response.getContentLength64());
     chunked_ = response.getChunkedTransferEncoding();
     http_head head{response.getStatus(), response.getContentType(), {}};
     for (const auto& [name, value] : response)
@@ -208,8 +209,8 @@
  */
 bool http_exchange::complete() const
 {
-    if (expected_)
-        return received_ == *expected_;
+    if (content_length_)
+        return received_ == *content_length_;
     return chunked_ && !socket_->closed_by_peer() &&
            socket_->tail() == last_chunk;
 }
--- a/src/libcyclamenrun/outside/http_exchange.hpp
+++ b/src/libcyclamenrun/outside/http_exchange.hpp
@@ -25,7 +25,7 @@
     lost_before_answer, ///< closed before the status line
     lost_mid_answer,    ///< closed before the end of the body
     malformed,
-    timed_out, ///< the deadline passed, or no byte came within response_timeout
+    timed_out, ///< deadline passed, or a read or write took response_timeout
     cancelled,
     too_large,
 };
@@ -41,7 +41,7 @@
 
 struct http_limits {
     milliseconds connect_timeout = milliseconds(1000);
-    /** Response timeout: the longest wait for the next byte of an answer. */
+    /** The longest wait of one read or write. */
     milliseconds response_timeout = milliseconds(30000);
     std::size_t max_answer_bytes = std::size_t(16) << 20;
 };
@@ -114,7 +114,7 @@
     std::uint64_t attachment_ = 0;
     std::string buffer_;
     std::size_t received_ = 0;
-    std::optional<std::size_t> expected_;
+    std::optional<std::size_t> content_length_;
     bool chunked_ = false;
     bool sent_ = false;
 };
--- a/src/libcyclamenrun/outside/logging_platform_log.hpp
+++ b/src/libcyclamenrun/outside/logging_platform_log.hpp
@@ -13,8 +13,8 @@
 
 /**
  * Forwards calls to the platform's log. Logs the start and the end of each
- * outage once, however many calls fail in between. Records the duration of
- * appends.
+ * outage once, however many calls fail in between, and each read of records
+ * that are no longer kept. Records the duration of successful appends.
  */
 class logging_platform_log : public platform_log
 {
--- a/src/libcyclamenrun/outside/platform_log.hpp
+++ b/src/libcyclamenrun/outside/platform_log.hpp
@@ -12,14 +12,14 @@
 namespace cyclamenrun
 {
 
-/** Why a call of the log failed, and what became of an append. */
+/** Why a call to the log failed, and whether an append took effect. */
 enum class log_failure : std::uint8_t {
     unavailable,   ///< not appended
-    timed_out,     ///< an append may have taken effect
+    timed_out,     ///< or connection lost; an append may have taken effect
     rate_limited,  ///< not appended
     too_large,     ///< not appended
     retained_away, ///< the requested records are no longer kept
-    malformed,     ///< an append may have taken effect
+    malformed,     ///< unexpected answer; an append may have taken effect
 };
 
 std::string_view name_of(log_failure failure);
@@ -57,7 +57,10 @@
     virtual tl::expected<std::uint64_t, log_error>
     append(std::string_view data) = 0;
 
-    /** Returns at most `max` records; waits up to `wait` for the first. */
+    /**
+     * Returns at most `max` records from offset `from` on; waits up to `wait`
+     * for the first.
+     */
     virtual tl::expected<log_page, log_error>
     read(std::uint64_t from, std::uint32_t max, milliseconds wait) = 0;
 };
--- a/src/libcyclamenrun/outside/platform_log_client.hpp
+++ b/src/libcyclamenrun/outside/platform_log_client.hpp
@@ -15,7 +15,10 @@
 class platform_log_client : public platform_log
 {
 public:
-    /** `call_timeout` is the timeout of each call; a read adds its `wait`. */
+    /**
+     * `call_timeout` is the timeout of each call; a read adds its `wait`.
+     * `stop` ends calls that are in progress.
+     */
     platform_log_client(std::string address, const std::string& log,
                         http_limits limits, milliseconds call_timeout,
                         clock_function clock, cancellation* stop = nullptr);
--- a/src/libcyclamenrun/outside/request_deadline_listener.cpp
+++ b/src/libcyclamenrun/outside/request_deadline_listener.cpp
@@ -14,6 +14,7 @@
 namespace
 {
 
+/** Creates a request_deadline_socket for each accepted connection. */
 class listener_impl : public Poco::Net::ServerSocketImpl
 {
 public:
@@ -42,6 +43,10 @@
     milliseconds request_timeout_;
 };
 
+/**
+ * Gives access to the protected constructor of ServerSocket, whose second
+ * argument only selects the overload.
+ */
 class listener : public Poco::Net::ServerSocket
 {
 public:
--- a/src/libcyclamenrun/outside/runner_client.hpp
+++ b/src/libcyclamenrun/outside/runner_client.hpp
@@ -21,7 +21,7 @@
     time_point deadline;
 };
 
-/** The runner's answer, including its own error statuses. */
+/** The runner's answer, whatever its status. */
 struct runner_answer {
     int status = 0;
     std::string content_type;
--- a/src/libcyclamenrun/outside/sse_parser.hpp
+++ b/src/libcyclamenrun/outside/sse_parser.hpp
@@ -37,7 +37,7 @@
 class sse_parser
 {
 public:
-    /** Returning false stops parsing the current bytes. */
+    /** Handles an event. False drops the rest of the bytes passed to feed(). */
     using event_function = std::function<bool(sse_event&&)>;
 
     explicit sse_parser(sse_limits limits = {});
--- a/src/libcyclamenrun/outside/vm_list.hpp
+++ b/src/libcyclamenrun/outside/vm_list.hpp
@@ -10,7 +10,10 @@
 namespace cyclamenrun
 {
 
-enum class vm_state : std::uint8_t { live, leaving };
+enum class vm_state : std::uint8_t {
+    live,
+    leaving ///< its process gets no new work
+};
 
 std::string_view name_of(vm_state state);
 std::optional<vm_state> vm_state_of(std::string_view name);
--- a/src/libcyclamenrun/outside/vm_list_client.hpp
+++ b/src/libcyclamenrun/outside/vm_list_client.hpp
@@ -23,6 +23,10 @@
 class vm_list_client
 {
 public:
+    /**
+     * `call_timeout` is the timeout of each call; read() adds its `wait`.
+     * `stop` ends calls that are in progress.
+     */
     vm_list_client(std::string address, http_limits limits,
                    milliseconds call_timeout, clock_function clock,
                    cancellation* stop = nullptr);
--- a/src/libcyclamenrun/outside/weight_store_client.hpp
+++ b/src/libcyclamenrun/outside/weight_store_client.hpp
@@ -16,7 +16,7 @@
 class cancellation;
 
 enum class weight_store_failure : std::uint8_t {
-    unavailable,
+    unavailable, ///< the last try before the deadline failed
     not_found,
     timed_out, ///< still rate-limited at the deadline
     cancelled,
@@ -25,9 +25,10 @@
 std::string_view name_of(weight_store_failure failure);
 
 /**
- * HTTP client of the rate-limited weight store. Retries after the Retry-After
- * time plus an exponential delay with random jitter. The jitter spreads the
- * retries of the VMs of a failure domain that restarts as a whole.
+ * HTTP client of the rate-limited store of model weights. Retries after the
+ * Retry-After time plus an exponential delay with random jitter, 30 s at most.
+ * The jitter spreads the retries of the VMs of a failure domain that restarts
+ * as a whole.
  */
 class weight_store_client
 {
