--- a/tests/configuration/configuration_history.hpp
+++ b/tests/configuration/configuration_history.hpp
@@ -17,8 +17,8 @@
 enum class violation : std::uint8_t {
     revision_went_back, ///< the revision of one reader decreased
     states_differ,      ///< two readers at one revision hold different states
-    accepted_lost,    ///< reported as accepted, but missing at a later revision
-    refused_in_force, ///< reported as refused, but in force at a reader
+    accepted_lost, ///< reported as accepted, but missing from its revision on
+    refused_in_force,      ///< reported as refused, but in force at a reader
     contradictory_answers, ///< one change reported both accepted and refused
 };
 
--- a/tests/decisions/test_admission.cpp
+++ b/tests/decisions/test_admission.cpp
@@ -151,6 +151,7 @@
         std::ignore = controller.enqueue(work_of(id, "office"), start);
     auto running = controller.admit(start);
     for (work_id id = 1; running.size() < 4; ++id) {
+        // The first token ends an item's prefill, so the next one can start.
         controller.record_output_tokens(running.back(), 50, start);
         const auto more = controller.admit(start);
         ASSERT_FALSE(more.empty()) << id;
@@ -226,6 +227,8 @@
               refusal_reason::queue_full);
 }
 
+// A suspect was running when an upstream was lost. It runs alone, so that a
+// second loss identifies it as the cause.
 TEST(admission, a_suspect_runs_alone_and_is_not_starved)
 {
     admission controller(admission_settings{});
--- a/tests/decisions/test_router.cpp
+++ b/tests/decisions/test_router.cpp
@@ -14,7 +14,7 @@
 
 const time_point start = time_point{} + 1h;
 
-std::vector<candidate> runners(std::size_t count)
+std::vector<candidate> make_candidates(std::size_t count)
 {
     std::vector<candidate> all;
     for (std::size_t i = 0; i < count; ++i) {
@@ -47,12 +47,12 @@
 }
 
 // Guards against a thundering herd: if only the last load reports counted, all
-// requests of a burst between two reports would go to the one runner with the
-// least load.
+// requests of a burst between two reports would go to the one upstream with
+// the least load.
 TEST(router, a_burst_between_two_reports_is_spread)
 {
     router routes({}, 1);
-    const auto candidates = runners(5);
+    const auto candidates = make_candidates(5);
     for (const auto& one : candidates) {
         load_report load = report_of(one.upstream, 1s);
         load.memory_tokens_used = one.upstream == "runner-2" ? 4'900 : 5'000;
@@ -76,7 +76,7 @@
 TEST(router, a_late_report_does_not_hide_what_was_sent_after_it_was_made)
 {
     router routes({}, 1);
-    const auto candidates = runners(2);
+    const auto candidates = make_candidates(2);
     for (const auto& one : candidates)
         routes.update_report(report_of(one.upstream, 1s), start);
     const auto request = request_of(0);
@@ -96,7 +96,7 @@
 TEST(router, a_prefix_stays_where_it_is_cached_until_that_is_too_full)
 {
     router routes({}, 1);
-    const auto candidates = runners(8);
+    const auto candidates = make_candidates(8);
     for (const auto& one : candidates)
         routes.update_report(report_of(one.upstream, 1s), start);
     const auto request = request_of(77);
@@ -117,7 +117,7 @@
 
 TEST(router, entries_agree_on_the_preferred_upstreams_of_a_suspect)
 {
-    const auto candidates = runners(1'200);
+    const auto candidates = make_candidates(1'200);
     std::set<std::size_t> chosen;
     for (std::uint64_t seed = 0; seed < 20; ++seed) {
         router routes({}, seed);
@@ -138,7 +138,7 @@
 TEST(router, leaving_excluded_and_full_upstreams_are_not_chosen)
 {
     router routes({}, 1);
-    const auto candidates = runners(3);
+    const auto candidates = make_candidates(3);
     load_report leaving = report_of("runner-0", 1s);
     leaving.leaving = true;
     routes.update_report(leaving, start);
@@ -163,7 +163,7 @@
     router_settings settings;
     settings.max_upstreams = 10;
     router routes(settings, 1);
-    for (const auto& one : runners(100))
+    for (const auto& one : make_candidates(100))
         routes.update_report(report_of(one.upstream, 1s), start);
     EXPECT_EQ(routes.size(), 10U);
 }
--- a/tests/decisions/test_thundering_herds.cpp
+++ b/tests/decisions/test_thundering_herds.cpp
@@ -268,6 +268,7 @@
 
 private:
     std::vector<placement_candidate> reported_{engines};
+    /** Dispatches since the last load reports, by gateway and engine. */
     std::vector<std::vector<std::vector<generation>>> own_{
         gateways, std::vector<std::vector<generation>>(engines)};
 };
@@ -286,6 +287,7 @@
     }
 
 protected:
+    /** A generation that has not started, and the engines queried for it. */
     struct search {
         generation request;
         std::vector<int> queried;
--- a/tests/faults/fault_kinds.hpp
+++ b/tests/faults/fault_kinds.hpp
@@ -25,28 +25,29 @@
     acknowledged, ///< the agent has received the acknowledgement
 };
 
+/** Faults of the processes that serve the work, their link, or the caller. */
 enum class fault : std::uint8_t {
     upstream_dies,
     agent_dies,
     entry_dies,
-    reclaimed,
-    entry_stops,
-    agent_stops,
+    reclaimed,   ///< the platform reclaims the agent's VM at short notice
+    entry_stops, ///< planned: open requests are completed
+    agent_stops, ///< planned: the agent drains
     link_stalls_to_agent,
     link_stalls_to_entry,
-    link_cut,
+    link_cut, ///< both directions stall for longer than the keepalive time
     answer_late,
-    answer_lost,
-    answer_of_another,
+    answer_lost,         ///< of a call that took effect
+    answer_of_another,   ///< a frame of another request arrives
     answer_out_of_order, ///< two frames of the answer are swapped
     answer_with_gap,     ///< one frame of the answer is missing
     connection_stuck,    ///< messages on it are delayed; new connections work
-    agent_frozen,
+    agent_frozen,        ///< the process is suspended for a while
     entry_frozen,
-    memory_full,
+    memory_full, ///< the upstream makes no progress for a while
     caller_gone,
-    caller_slow,
-    caller_resends,
+    caller_slow,    ///< reads nothing for a while
+    caller_resends, ///< at the other entry, without waiting for its answer
 };
 
 /** A fault, and its delay after the step at which it is injected. */
--- a/tests/faults/fault_world.cpp
+++ b/tests/faults/fault_world.cpp
@@ -13,9 +13,9 @@
 
 constexpr std::size_t agent_count = 3;
 constexpr std::size_t entry_count = 2;
-constexpr milliseconds tick{50};
+constexpr milliseconds tick_interval{50};
 constexpr milliseconds keepalive{3'000};
-constexpr milliseconds connect_time{1'000};
+constexpr milliseconds connect_timeout{1'000};
 constexpr milliseconds restart_time{500};
 constexpr milliseconds long_freeze{8'000};
 constexpr milliseconds short_stall{400};
@@ -155,7 +155,7 @@
         if (node.leaving && node.agent_gate->drained(time_.now()))
             kill_agent(index_of(node.name));
     }
-    time_.after(tick, [this] { tick_agents(); });
+    time_.after(tick_interval, [this] { tick_agents(); });
 }
 
 void fault_world::freeze_agent(std::size_t index, milliseconds pause)
@@ -261,15 +261,15 @@
     }
     auto& links = link_pair_of(stream->entry, stream->agent);
     if (!agents_[stream->agent].agent_gate) {
-        // The agent is down and refuses the connection.
+        // The agent is down, so its VM refuses the connection.
         time_.after(milliseconds(2),
                     [this, stream] { handle_stream_lost(stream, false); });
         return;
     }
     // A dispatch uses an open connection. A resume follows the loss of the
-    // agent, so it needs a new connection, which fails over a stalled link.
+    // agent, so it needs a new connection, which times out on a stalled link.
     if (links.to_agent.stalled() && action.path == "/resume") {
-        time_.after(connect_time,
+        time_.after(connect_timeout,
                     [this, stream] { handle_stream_lost(stream, false); });
         return;
     }
--- a/tests/faults/test_random.cpp
+++ b/tests/faults/test_random.cpp
@@ -19,7 +19,7 @@
 }
 
 /**
- * Guards against violations of the guarantees (see the matrix) when faults
+ * Guards against violations of the guarantees (see test_matrix.cpp) when faults
  * overlap. Up to six faults are injected at one step and at random times after
  * it, so that a fault also hits the recovery from an earlier one: a retry, a
  * resume, a restarted agent. Each failure prints its seed, which is sufficient
--- a/tests/gateway/fake_upstream.cpp
+++ b/tests/gateway/fake_upstream.cpp
@@ -13,7 +13,7 @@
 namespace
 {
 
-constexpr std::chrono::seconds limit{10};
+constexpr std::chrono::seconds wait_timeout{10};
 
 } // namespace
 
@@ -122,7 +122,8 @@
 std::vector<arrived_request> fake_upstream::wait_for(std::size_t count) const
 {
     std::unique_lock lock(mutex_);
-    changed_.wait_for(lock, limit, [&] { return arrived_.size() >= count; });
+    changed_.wait_for(lock, wait_timeout,
+                      [&] { return arrived_.size() >= count; });
     return arrived_;
 }
 
--- a/tests/gateway/gateway_fixture.cpp
+++ b/tests/gateway/gateway_fixture.cpp
@@ -27,7 +27,7 @@
     return result;
 }
 
-gateway_route stream(const std::string& prefix, bool resumable)
+gateway_route stream_route(const std::string& prefix, bool resumable)
 {
     auto result = route(prefix, "model");
     result.shape = answer_shape::event_stream;
@@ -124,7 +124,7 @@
     gateway_configuration result;
     result.version = 1;
     result.routes = {route("/plain/", "app"), route("/safe/", "app"),
-                     stream("/gen/", false), stream("/res/", true)};
+                     stream_route("/gen/", false), stream_route("/res/", true)};
     result.routes[1].idempotent = true;
     result.routes[1].max_attempts = 2;
     result.has_teams = true;
--- a/tests/gateway/scripted_monitor.cpp
+++ b/tests/gateway/scripted_monitor.cpp
@@ -10,7 +10,7 @@
 namespace
 {
 
-constexpr std::chrono::seconds limit{10};
+constexpr std::chrono::seconds wait_timeout{10};
 constexpr long receive_timeout_us = 20000;
 
 } // namespace
@@ -60,7 +60,7 @@
     const std::function<bool(const v1::MonitorRequest&)>& matches) const
 {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, limit, [&] {
+    return changed_.wait_for(lock, wait_timeout, [&] {
         return std::any_of(received_.begin(), received_.end(), matches);
     });
 }
--- a/tests/gateway/test_directory_relay.cpp
+++ b/tests/gateway/test_directory_relay.cpp
@@ -21,7 +21,7 @@
 namespace
 {
 
-constexpr std::chrono::seconds limit{10};
+constexpr std::chrono::seconds wait_timeout{10};
 /** Age at which a configuration may not be used any more. */
 constexpr milliseconds lease{4000};
 
@@ -137,7 +137,7 @@
         return *gateways.back();
     }
 
-    /** The gateway's last read of each feed went through a monitor. */
+    /** Whether the last read of each feed went through a monitor. */
     bool uses_relays(gateway_process& gateway)
     {
         return state_of(gateway).find("\"relayed\":true") != std::string::npos;
@@ -151,7 +151,8 @@
     }
 
     template <typename Condition>
-    static bool eventually(Condition condition, milliseconds within = limit)
+    static bool eventually(Condition condition,
+                           milliseconds within = wait_timeout)
     {
         const auto deadline = steady_now() + within;
         while (steady_now() < deadline) {
@@ -211,8 +212,9 @@
     const auto before = store.calls();
     std::this_thread::sleep_for(std::chrono::duration<double>(seconds));
     const auto calls = static_cast<double>(store.calls() - before);
-    // Each of two relays calls the feeds every 0.3 and 0.45 s. A single gateway
-    // without relays makes 3.3 and 1.1 calls a second.
+    // Each of two relays reads the configurations every 0.3 s and the upstreams
+    // every 0.45 s. A single gateway without relays makes 3.3 and 1.1 calls a
+    // second.
     EXPECT_LT(calls / seconds, 24);
     EXPECT_GT(calls, 0);
 }
--- a/tests/gateway/test_feed_follower.cpp
+++ b/tests/gateway/test_feed_follower.cpp
@@ -78,6 +78,7 @@
     return {std::move(items), next};
 }
 
+/** What a follower has reported through its hooks. */
 struct follower_record {
     std::vector<int> items;
     int complete_sets = 0;
--- a/tests/gateway/test_gateway_routes.cpp
+++ b/tests/gateway/test_gateway_routes.cpp
@@ -59,9 +59,10 @@
     EXPECT_EQ(found(routes, ""), "none");
 }
 
+/** A request and the state of the gateway's configuration. */
 struct admission_case {
-    bool known = true;
-    bool lease = true;
+    bool known = true; ///< a configuration has been read
+    bool lease = true; ///< its lease is valid
     std::string key = "k2";
     std::string target = "/a/x";
 };
