--- a/tests/gateway/test_generations.cpp
+++ b/tests/gateway/test_generations.cpp
@@ -17,8 +17,9 @@
 }
 
 /**
- * An engine that streams until it receives a stop order. For a request that
- * resumes from memory it sends the events after the caller's last one.
+ * An engine that streams until it receives a stop order, which is a copy order
+ * marked as the last one. For a request that resumes from memory it sends the
+ * events after the caller's last one.
  */
 class generating_engine
 {
@@ -42,11 +43,13 @@
     std::atomic<int> hold_before = 1000;
     /** Closes the connection of a new run in the middle of this event. */
     std::atomic<int> break_before = 1000;
+    /** If false, copy orders are rejected. */
     std::atomic<bool> has_room = true;
     /** Number of stop orders that are executed without a reply. */
     std::atomic<int> lost_stop_answers = 0;
     /** Number of stop orders that are lost before execution. */
     std::atomic<int> lost_stop_orders = 0;
+    /** Number of copy orders received, including stop orders. */
     std::atomic<int> orders = 0;
     /** Called when a stop order arrives, before the reply. */
     std::function<void()> on_stop;
@@ -89,6 +92,7 @@
         for (int id = first; id <= last_event; ++id) {
             wait_until([&] { return id < hold_before || stopped_; });
             if (stopped_ || (from.empty() && id >= break_before)) {
+                // An incomplete event, which no caller may receive.
                 reply.send("8\r\nid: 99\nd\r\n");
                 reply.close();
                 ended_ = true;
@@ -297,6 +301,7 @@
                 continue;
             ++resumed;
             EXPECT_EQ(arrived.field("Last-Event-Id"), "4");
+            // The handle of a backup copy is the id of its request.
             EXPECT_EQ(arrived.field("Kv-From"),
                       to_string(upstream->address()) + "/r2");
         }
--- a/tests/gateway/test_programs.cpp
+++ b/tests/gateway/test_programs.cpp
@@ -129,8 +129,8 @@
     EXPECT_THAT(text, HasSubstr("cyclamenrun_directory_call_seconds_count"));
 }
 
-// A record that can't be parsed is skipped, and the log and a metric name it,
-// so that an engineer can find out why an upstream is missing.
+// A record that can't be parsed is skipped, named in the log and counted in a
+// metric, so that an engineer can find out why an upstream is missing.
 TEST_F(gateway_program, reports_unreadable_records)
 {
     store.put("keyed.servers", "i-7", R"({"service":7})");
--- a/tests/gateway/test_read_coalescer.cpp
+++ b/tests/gateway/test_read_coalescer.cpp
@@ -25,6 +25,7 @@
     return {id, record};
 }
 
+/** The page of a read without an offset: the newest record of each key. */
 upstream_page newest(std::vector<upstream_change> items, std::uint64_t next)
 {
     upstream_page page;
@@ -33,6 +34,7 @@
     return page;
 }
 
+/** The page of a read from an offset. */
 upstream_page read_from(std::uint64_t from, std::vector<upstream_change> items)
 {
     upstream_page page;
@@ -43,7 +45,7 @@
     return page;
 }
 
-/** A coalescer that has read record "a" up to offset 5, in virtual time. */
+/** A coalescer in virtual time that has read "a"; its next offset is 5. */
 class coalesced_reads : public testing::Test
 {
 protected:
@@ -311,7 +313,10 @@
             each.reads.emplace(coalescer_timing());
     }
 
-    /** Returns false if a gateway held a valid lease on an expired version. */
+    /**
+     * Returns false if a gateway held a valid lease although it did not know a
+     * version that was accepted at least one lease term earlier.
+     */
     bool run()
     {
         for (long at = 0; at < duration_ms; at += 50)
@@ -333,7 +338,7 @@
     using text_page = directory_page<configuration_text>;
 
     static constexpr long duration_ms = 20000;
-    static constexpr long term_ms = 4600;
+    static constexpr long term_ms = 4600; ///< of each lease
 
     struct process {
         long suspended_until = 0;
@@ -347,7 +352,7 @@
     };
     struct gateway : process {
         std::optional<std::uint64_t> offset;
-        std::uint64_t version = 0; ///< versions accepted are 1, 2, ...
+        std::uint64_t version = 0; ///< newest one known, from 1; 0: none
         configuration_lease lease{milliseconds(term_ms)};
         std::uint64_t call = 0;
         bool call_pending = false;
@@ -401,11 +406,11 @@
     {
         if (each.suspended_until > now_ || !each.lease.valid(boot()))
             return;
-        const auto must_know = static_cast<std::uint64_t>(
+        const auto required_version = static_cast<std::uint64_t>(
             std::upper_bound(accepted_.begin(), accepted_.end(),
                              now_ - term_ms) -
             accepted_.begin());
-        lease_respected_ = lease_respected_ && each.version >= must_know;
+        lease_respected_ = lease_respected_ && each.version >= required_version;
     }
 
     void send_call(std::size_t index)
@@ -477,7 +482,10 @@
         at(now_ + delay(), [this, &reader, sent] { serve_read(reader, sent); });
     }
 
-    /** Simulates the directory, which holds a read until there is a record. */
+    /**
+     * Simulates the directory, which holds a read until there is a new record
+     * or the read's wait has ended.
+     */
     void serve_read(relay& reader, const text_coalescer::read& request)
     {
         const auto end = accepted_.size();
--- a/tests/gateway/test_start_search.cpp
+++ b/tests/gateway/test_start_search.cpp
@@ -36,7 +36,7 @@
     reply.end_stream();
 }
 
-/** A gateway and two engines on separate hosts, with monitors beside them. */
+/** A gateway and two engines on separate hosts; tests add their monitors. */
 class start_searches : public gateway_fixture
 {
 protected:
@@ -149,7 +149,7 @@
     EXPECT_LT(steady_now() - began, milliseconds(500));
 }
 
-/** Streams, and reports a queue of this length. */
+/** Returns a script that streams, and reports a queue of this length. */
 fake_upstream::script answer_with_queue(int queued)
 {
     return [queued](const arrived_request& request, upstream_reply& reply) {
@@ -210,6 +210,7 @@
         return first->count_of(wants_start) + second->count_of(wants_start);
     };
     EXPECT_GT(request_count(), 0U);
+    // The gateway sends no requests once no monitor has responded for 3 s.
     std::this_thread::sleep_for(milliseconds(3200));
     const auto before = request_count();
     EXPECT_EQ(send_request("/gen/x").status(), 200U);
@@ -280,6 +281,7 @@
         monitor("127.0.0.1", [&](const v1::MonitorRequest& request) -> notice {
             if (!wants_start(request))
                 return std::nullopt;
+            // The grant that would follow this reply is lost.
             if (requests++ == 0)
                 return start_waits(request.start_wanted().id());
             return start_given(request.start_wanted().id());
@@ -365,7 +367,7 @@
 TEST_F(start_searches, subscribe_to_the_loads_of_a_few_engines)
 {
     std::vector<std::unique_ptr<scripted_monitor>> monitors;
-    std::atomic<int> chosen = 0;
+    std::atomic<int> granting_host = 0;
     for (int host = 1; host <= 6; ++host) {
         const auto name = "127.0.0." + std::to_string(host);
         if (host > 2)
@@ -380,7 +382,7 @@
                     load.mutable_load()->set_engine_address(engine);
                     return load;
                 }
-                if (chosen != host)
+                if (granting_host != host)
                     return start_waits(request.start_wanted().id());
                 return start_given(request.start_wanted().id());
             }));
@@ -396,16 +398,17 @@
     const auto deadline = steady_now() + std::chrono::seconds(10);
     while (subscribed().size() < 2 && steady_now() < deadline)
         std::this_thread::sleep_for(milliseconds(10));
+    // Subscriptions are sent once a second; any surplus ones arrive meanwhile.
     std::this_thread::sleep_for(milliseconds(1200));
     const auto relays = subscribed();
     EXPECT_EQ(relays.size(), 2U);
-    chosen = relays.contains(6) ? 5 : 6;
-    while (relays.contains(chosen))
-        --chosen;
+    granting_host = relays.contains(6) ? 5 : 6;
+    while (relays.contains(granting_host))
+        --granting_host;
     hold_streams = true;
     test_caller caller(gateway->address());
     caller.send(request("/gen/x"));
-    EXPECT_TRUE(monitors[chosen - 1]->wait_for(wants_loads));
+    EXPECT_TRUE(monitors[granting_host - 1]->wait_for(wants_loads));
     hold_streams = false;
     EXPECT_EQ(caller.read().status(), 200U);
     EXPECT_EQ(subscribed().size(), 3U);
--- a/tests/gateway/test_upstream_failures.cpp
+++ b/tests/gateway/test_upstream_failures.cpp
@@ -295,8 +295,8 @@
 }
 
 // Guards against further requests to an upstream that never responds: a request
-// that is not idempotent expires there as possibly run, and later requests
-// avoid the upstream.
+// that is not idempotent may have run there, so it times out, and later
+// requests avoid the upstream.
 TEST_F(upstream_failures, an_unresponsive_upstream_is_avoided_after_a_timeout)
 {
     start();
--- a/tests/gateway/test_upstream_registry.cpp
+++ b/tests/gateway/test_upstream_registry.cpp
@@ -61,7 +61,7 @@
         put(newer_first ? predecessor : successor);
         ASSERT_EQ(usable(), 1U);
         EXPECT_EQ(registry.available("s").front()->record.id, "after");
-        // A load from that address belongs to the newer upstream.
+        // A load report from that address belongs to the newer upstream.
         registry.update_load(successor.address, {}, at(0));
         EXPECT_TRUE(registry.find("after")->load);
         EXPECT_FALSE(registry.find("before")->load);
@@ -231,7 +231,7 @@
     EXPECT_EQ(registry.find("a")->failure_rate, 0);
 }
 
-TEST_F(upstream_registry_test, load_reports_that_an_engine_leaves)
+TEST_F(upstream_registry_test, load_report_marks_a_leaving_engine)
 {
     put(record("a"));
     engine_load load;
@@ -245,7 +245,8 @@
     EXPECT_EQ(usable(), 0U);
 }
 
-TEST_F(upstream_registry_test, counts_own_dispatches_until_a_load_contains_them)
+TEST_F(upstream_registry_test,
+       counts_own_dispatches_until_a_load_report_has_them)
 {
     put(record("a"));
     placement_request request;
@@ -302,7 +303,7 @@
 // The monitors of some engines do not respond, so this gateway knows only its
 // own requests there. The estimate must include the other gateways, or such an
 // engine would seem emptier the more gateways there are.
-TEST_F(upstream_registry_test, counts_other_gateways_without_a_load)
+TEST_F(upstream_registry_test, counts_other_gateways_without_a_load_report)
 {
     put(record("a"));
     registry.dispatched("a", 1000, at(0));
