--- a/tests/links/test_streams.cpp
+++ b/tests/links/test_streams.cpp
@@ -69,14 +69,14 @@
 {
     limits.connection_window = 128U << 10;
     const std::string frame(996, 'x'); // 1000 bytes with its length
-    std::atomic<std::size_t> made = 0;
+    std::atomic<std::size_t> made_bytes = 0;
     serve([&](const auto& stream) {
         if (stream->request() == "quick") {
             answer_reversed(stream);
             return;
         }
         stream->respond([&](std::size_t) {
-            made += 1000;
+            made_bytes += 1000;
             return pulled_frames{{frame}, false};
         });
     });
@@ -84,20 +84,20 @@
     std::shared_ptr<client_stream> streams[20];
     for (int i = 0; i < 20; ++i)
         streams[i] = client->open("/dispatch", "", slow[i].handlers());
-    const std::size_t whole_frames = limits.stream_window / 1000;
+    const std::size_t frames_per_window = limits.stream_window / 1000;
     for (received_answer& answer : slow)
-        ASSERT_TRUE(answer.wait_frames(whole_frames));
+        ASSERT_TRUE(answer.wait_frames(frames_per_window));
 
     // All stream windows are full; their sum exceeds the connection window.
     received_answer quick;
     EXPECT_TRUE(request_and_wait(quick, "quick").clean);
     wait_for_posted_tasks(server_loop);
-    EXPECT_LE(made, 20 * (limits.stream_window + 1000));
-    EXPECT_EQ(slow[0].frames().size(), whole_frames);
+    EXPECT_LE(made_bytes, 20 * (limits.stream_window + 1000));
+    EXPECT_EQ(slow[0].frames().size(), frames_per_window);
 
-    streams[0]->consumed(whole_frames * frame.size());
-    EXPECT_TRUE(slow[0].wait_frames(2 * whole_frames));
-    EXPECT_EQ(slow[1].frames().size(), whole_frames);
+    streams[0]->consumed(frames_per_window * frame.size());
+    EXPECT_TRUE(slow[0].wait_frames(2 * frames_per_window));
+    EXPECT_EQ(slow[1].frames().size(), frames_per_window);
     for (const auto& stream : streams)
         stream->cancel();
     for (received_answer& answer : slow)
--- a/tests/processes/deployment.hpp
+++ b/tests/processes/deployment.hpp
@@ -66,7 +66,7 @@
      */
     void wait_until_ready();
 
-    /** Adds or updates a VM on the platform's list: live or leaving. */
+    /** Lists a VM on the platform, or updates it; `state`: live or leaving. */
     void list_vm(const std::string& id, const std::string& address,
                  const std::string& service,
                  const std::string& state = "live") const;
@@ -91,8 +91,9 @@
     caller_stream resume(const entry_process& entry,
                          const std::string& last_event_id) const;
     /**
-     * Sends a call with a deadline and a ticket, or none if `ticket` is empty.
-     * Returns the answer; empty if the entry does not answer.
+     * Sends a call whose deadline is `limit` from now, with a ticket, or none
+     * if `ticket` is empty. Returns the answer; empty if the entry does not
+     * answer.
      */
     std::optional<http_answer> call(const entry_process& entry,
                                     const std::string& ticket,
@@ -104,9 +105,12 @@
     upstream_processes& upstream(std::size_t at) { return *upstreams_.at(at); }
     entry_process& entry(std::size_t at) { return *entries_.at(at); }
 
-    /** Waits until an upstream has an event of this kind, and returns it. */
+    /**
+     * Waits until an engine or runner has recorded an event of this kind;
+     * returns its upstream.
+     */
     upstream_processes& wait_for_event(const std::string& kind);
-    /** Counts the events of this kind over all upstreams. */
+    /** Counts the events of this kind that all engines and runners recorded. */
     std::size_t count_events(const std::string& kind) const;
 
 private:
--- a/tests/processes/test_generation_faults.cpp
+++ b/tests/processes/test_generation_faults.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t seen_tokens = 40; ///< read before the fault
 /**
  * Limit for the end of a stream whose engine is frozen: two polls of a busy
- * engine, and a margin.
+ * engine by its agent, and a margin.
  */
 constexpr milliseconds engine_loss_limit(5000);
 
