--- a/tests/standins/engine/engine_api.hpp
+++ b/tests/standins/engine/engine_api.hpp
@@ -12,7 +12,7 @@
 namespace cyclamenrun::stand_in
 {
 
-/** The HTTP API of the stand-in engine, and faults of its answers. */
+/** The HTTP API of the stand-in engine; injects faults into its answers. */
 class engine_api
 {
 public:
@@ -35,11 +35,11 @@
 
     engine_core& core_;
     history& events_;
-    const std::uint64_t epoch_; ///< random, drawn at start
+    const std::uint64_t epoch_; ///< random; differs after a restart
     std::mutex fence_lock_;
-    std::uint64_t highest_fence_ = 0;
+    std::uint64_t highest_fence_ = 0; ///< highest fencing number of an order
     std::atomic<std::uint64_t> end_at_token_ = 0; ///< cuts streams; 0: off
-    std::atomic<int> refuse_status_ = 0;   ///< of refused generations; 0: off
+    std::atomic<int> refuse_status_ = 0;   ///< refuses generations; 0: off
     std::atomic<bool> foreign_id_ = false; ///< streams carry a wrong request id
 };
 
--- a/tests/standins/engine/engine_core.cpp
+++ b/tests/standins/engine/engine_core.cpp
@@ -263,12 +263,12 @@
 /** Draws a log-normal length: most are short, a few very long. */
 std::uint64_t engine_core::draw_length(const run_parameters& parameters) const
 {
-    constexpr double spread = 1.2;
+    constexpr double sigma = 1.2;
     if (parameters.output_tokens)
         return std::min(*parameters.output_tokens, parameters.max_tokens);
     std::mt19937_64 random(hash64(parameters.prompt, options_.seed));
     std::lognormal_distribution<double> length(
-        std::log(static_cast<double>(options_.median_output_tokens)), spread);
+        std::log(static_cast<double>(options_.median_output_tokens)), sigma);
     const auto drawn = static_cast<std::uint64_t>(length(random)) + 1;
     return std::min(drawn, parameters.max_tokens);
 }
--- a/tests/standins/engine/engine_run.hpp
+++ b/tests/standins/engine/engine_run.hpp
@@ -12,13 +12,14 @@
 namespace cyclamenrun::stand_in
 {
 
+/** Parameters of a request to the engine. */
 struct run_parameters {
     std::string request_id;
     std::string prompt;
     std::uint64_t max_tokens = 0;
     std::int64_t priority = 0;
-    std::optional<std::uint64_t> output_tokens;  ///< missing: drawn
-    std::optional<std::uint64_t> crash_at_token; ///< kills the engine
+    std::optional<std::uint64_t> output_tokens; ///< if missing, drawn at random
+    std::optional<std::uint64_t> crash_at_token; ///< the engine crashes there
 };
 
 /** The next token of a run, or its end. */
@@ -41,11 +42,11 @@
 
     const run_parameters parameters;
     std::uint64_t prompt_tokens = 0;
-    std::uint64_t target_tokens = 0;
+    std::uint64_t target_tokens = 0; ///< output length at which it ends
     std::uint64_t generated_tokens = 0;
-    std::uint64_t prefill_left = 0;
-    std::uint64_t sequence = 0; ///< arrival order
-    bool active = false;        ///< in the batch, holds memory
+    std::uint64_t prefill_left = 0; ///< tokens to compute before decoding
+    std::uint64_t sequence = 0;     ///< arrival order
+    bool active = false;            ///< in the batch, holds memory
 
     std::uint64_t memory_tokens() const
     {
--- a/tests/standins/engine/prefix_cache.cpp
+++ b/tests/standins/engine/prefix_cache.cpp
@@ -29,6 +29,7 @@
     bool prefix_cached = true;
     for (std::size_t at = 0; at + block_bytes <= text.size();
          at += block_bytes) {
+        // A block is identified by the hash of the prompt up to its end.
         chain = hash64(text.substr(at, block_bytes), chain);
         prefix_cached = prefix_cached && cached_.contains(chain);
         if (prefix_cached)
--- a/tests/standins/history.hpp
+++ b/tests/standins/history.hpp
@@ -16,6 +16,7 @@
 class history
 {
 public:
+    /** Adds an event and its time since the start, as `ms`. */
     void add(Poco::JSON::Object event)
     {
         const std::lock_guard guard(lock_);
--- a/tests/standins/platform/listed_vms.hpp
+++ b/tests/standins/platform/listed_vms.hpp
@@ -19,10 +19,12 @@
 public:
     explicit listed_vms(std::chrono::milliseconds lag);
 
+    /** Adds a VM, or replaces the one with the same id. */
     void put(vm added);
     void remove(const std::string& id);
     /** Waits up to `wait` for a revision above `after`; returns the list. */
     vm_list read(std::uint64_t after, std::chrono::milliseconds wait);
+    /** Ends all waits in read(). */
     void stop();
 
 private:
--- a/tests/standins/platform/platform_api.hpp
+++ b/tests/standins/platform/platform_api.hpp
@@ -32,21 +32,22 @@
  * each append that reaches the log decrements both.
  */
 struct platform_faults {
-    bool log_out = false;
-    bool list_out = false;
-    bool weights_out = false;
-    std::uint64_t slow_ms = 0; ///< delay added to each log request
-    std::uint64_t lose_append_answers = 0;
-    std::uint64_t duplicate_appends = 0;
+    bool log_out = false;                  ///< the logs are unavailable
+    bool list_out = false;                 ///< the list of VMs is unavailable
+    bool weights_out = false;              ///< downloads of weights fail
+    std::uint64_t slow_ms = 0;             ///< delay added to each log request
+    std::uint64_t lose_append_answers = 0; ///< append, but don't answer
+    std::uint64_t duplicate_appends = 0;   ///< append the record twice
 };
 
-/** The HTTP API of the stand-in platform: logs, list of VMs, weights. */
+/** The HTTP API of the stand-in platform: logs, list of VMs, model weights. */
 class platform_api
 {
 public:
     explicit platform_api(const platform_options& options);
 
     void handle(server_request& request, server_response& response);
+    /** Ends all waits in handle(). */
     void stop();
 
 private:
--- a/tests/standins/platform/stored_log.hpp
+++ b/tests/standins/platform/stored_log.hpp
@@ -20,7 +20,7 @@
 
 /** Result of a read of a log. */
 struct stored_page {
-    std::uint64_t first_retained = 0; ///< offset
+    std::uint64_t first_retained = 0; ///< offset of the oldest record
     std::uint64_t next = 0;           ///< offset of the next append
     std::vector<stored_record> records;
 };
@@ -37,14 +37,15 @@
                      std::chrono::milliseconds wait);
     /** Drops all but the newest `count` records, as retention does. */
     void retain(std::uint64_t count);
+    /** Ends all waits in read(). */
     void stop();
 
 private:
-    const std::uint64_t retain_;
+    const std::uint64_t retain_; ///< maximum number of records
     std::mutex lock_;
     std::condition_variable changed_;
     std::deque<std::string> records_;
-    std::uint64_t first_ = 0;
+    std::uint64_t first_ = 0; ///< offset of the first of records_
     bool stopping_ = false;
 };
 
--- a/tests/standins/runner/runner_api.hpp
+++ b/tests/standins/runner/runner_api.hpp
@@ -31,6 +31,7 @@
     explicit runner_api(std::chrono::milliseconds delay) : delay_(delay) {}
 
     void handle(server_request& request, server_response& response);
+    /** Ends all waits in handle(). */
     void stop();
 
 private:
--- a/tests/standins/stand_in_server.hpp
+++ b/tests/standins/stand_in_server.hpp
@@ -73,10 +73,7 @@
     handle_function handle_;
 };
 
-/**
- * Serves HTTP until SIGTERM or SIGINT, then calls `stop`, which must end all
- * waits in handlers.
- */
+/** An HTTP server whose handlers may block. */
 class server
 {
 public:
@@ -93,6 +90,10 @@
         std::signal(SIGPIPE, SIG_IGN);
     }
 
+    /**
+     * Prints the address, serves HTTP until SIGTERM or SIGINT, then calls
+     * `stop`, which must end all waits in handlers. Returns the exit status.
+     */
     int run(const std::string& listen, handle_function handle,
             const std::function<void()>& stop)
     {
