--- a/bench/configuration_command.cpp
+++ b/bench/configuration_command.cpp
@@ -210,9 +210,10 @@
                   << percentile(times.after_submit_ms, 0.5) << ", "
                   << p99.back() << " | " << times.cpu_us_per_reader << '\n';
     }
-    const auto [slope, start] = fit_line(counts, p99);
-    std::cout << "p99 after submit = " << start << " ms + " << slope
-              << " ms a reader; at 1570: " << start + slope * 1570 << " ms\n";
+    const auto [slope, intercept] = fit_line(counts, p99);
+    std::cout << "p99 after submit = " << intercept << " ms + " << slope
+              << " ms a reader; at 1570: " << intercept + slope * 1570
+              << " ms\n";
 }
 
 void report_cost()
@@ -307,7 +308,7 @@
     std::shared_ptr<snapshot_writer> writer;
 };
 
-/** Three entries in virtual time that read the log as often as when idle. */
+/** Three entries in virtual time, which read the log at the idle interval. */
 class log_traffic_simulation
 {
 public:
@@ -318,6 +319,7 @@
             entries_.push_back(std::make_unique<virtual_entry>(
                 log_, numbered("entry-", i), [this] { return now_; },
                 last_id_));
+        // More reads than the log has pages, so that all entries are ready.
         for (int i = 0; i < 10; ++i)
             read_all();
     }
--- a/bench/decision_cost_command.cpp
+++ b/bench/decision_cost_command.cpp
@@ -20,6 +20,7 @@
 constexpr std::size_t rounds = 20'000;
 const time_point begin = time_point{} + 1h;
 
+/** Size of a deployment whose decisions are measured. */
 struct cost_size {
     std::size_t upstreams;
     std::size_t teams;
--- a/bench/deployment.hpp
+++ b/bench/deployment.hpp
@@ -25,7 +25,7 @@
     double share;                ///< of all requests
     std::uint32_t weight;        ///< fair share
     double long_share;           ///< share of its requests with long answers
-    std::uint32_t prefix_blocks; ///< common to all its prompts
+    std::uint32_t prefix_blocks; ///< number that all its prompts share
 };
 
 /**
@@ -38,13 +38,14 @@
     objective goal;
     std::vector<std::string> failure_domains;
     std::size_t engines = 10;
-    double one_way_ms = 0.5; ///< between failure domains
-    double deadline_s = 120;
+    double one_way_ms = 0.5; ///< network delay between failure domains
+    double deadline_s = 120; ///< of each request
     length_distribution short_answer;
     length_distribution long_answer;
     std::vector<team_profile> teams;
 };
 
+/** Returns the deployment "amianto" or "guatemala". */
 std::optional<deployment> deployment_of(std::string_view name);
 
 } // namespace cyclamenrun::bench
--- a/bench/fake_engine.hpp
+++ b/bench/fake_engine.hpp
@@ -43,7 +43,7 @@
         bool stored; ///< false: evicted
     };
     struct step_result {
-        std::vector<sequence_id> tokens; ///< sequences that made one token each
+        std::vector<sequence_id> tokens; ///< sequences that generated a token
         std::vector<sequence_id>
             finished; ///< sequences that ended with that token
         std::vector<cache_event> cache_events;
@@ -82,7 +82,7 @@
         std::uint32_t prefill_left = 0; ///< prompt tokens not computed yet
         std::uint32_t recompute = 0; ///< part of these that was computed before
         std::uint64_t blocks = 0;    ///< held, without prefix blocks
-        bool decodes = false;        ///< makes a token in the current step
+        bool decodes = false;        ///< generates a token in the current step
     };
     struct cached_block {
         std::uint32_t users = 0;
@@ -118,7 +118,7 @@
 
     engine_settings settings_;
     std::uint64_t total_blocks_;
-    std::uint64_t blocks_per_prefix_block_; ///< blocks of the engine
+    std::uint64_t blocks_per_prefix_block_; ///< engine blocks in each
     std::uint64_t private_blocks_used_ = 0;
     std::list<sequence> running_; ///< oldest first
     std::list<sequence> waiting_;
--- a/bench/linear_fit.hpp
+++ b/bench/linear_fit.hpp
@@ -6,6 +6,7 @@
 namespace cyclamenrun::bench
 {
 
+/** A value measured at a size. */
 struct sample_point {
     double size = 0.0;
     double value = 0.0;
--- a/bench/path_bench.cpp
+++ b/bench/path_bench.cpp
@@ -160,6 +160,7 @@
     result.direct.request = request_of(settings, settings.direct);
     result.through.address = settings.through;
     result.through.request = request_of(settings, settings.through);
+    // The processor time so far is subtracted from the one at the end.
     for (const int pid : settings.pids)
         result.processes.push_back(
             {pid, resident_kilobytes(pid), 0, -processor_seconds(pid)});
--- a/bench/path_bench.hpp
+++ b/bench/path_bench.hpp
@@ -18,6 +18,7 @@
     double processor_seconds = 0; ///< during the whole run
 };
 
+/** Measurements of both paths. */
 struct path_result {
     path_target direct;
     path_target through;
--- a/bench/path_links.cpp
+++ b/bench/path_links.cpp
@@ -165,6 +165,7 @@
             std::this_thread::sleep_until(begin + i * step);
             sources_[i % sources_.size()]->produce(settings_.token_bytes);
         }
+        // Allows time for the last tokens to arrive.
         std::this_thread::sleep_for(std::chrono::milliseconds(100));
     }
 
--- a/bench/path_links.hpp
+++ b/bench/path_links.hpp
@@ -9,6 +9,7 @@
 namespace cyclamenrun::bench
 {
 
+/** Settings of a link measurement. */
 struct links_settings {
     std::size_t streams = 300;
     std::uint64_t tokens_per_second = 30; ///< of each stream
@@ -22,10 +23,14 @@
     double server_microseconds = 0;
     double producer_microseconds = 0; ///< of the thread that produces tokens
     double bytes_per_stream = 0;      ///< heap of both ends while data flows
-    log_histogram delay;              ///< from wake to on_frame, microseconds
+    /** From the creation of a token to on_frame, in microseconds. */
+    log_histogram delay;
 };
 
-/** Measures a client and a server in this process, each on its own loop. */
+/**
+ * Measures streams between a link client and a link server in this process,
+ * each on its own loop.
+ */
 links_result measure_links(const links_settings& settings);
 
 } // namespace cyclamenrun::bench
--- a/bench/policy.hpp
+++ b/bench/policy.hpp
@@ -17,7 +17,10 @@
     oracle,      ///< cyclamenrun with known answer lengths
 };
 
-/** A policy under trial; parts of cyclamenrun can be disabled by name. */
+/**
+ * A policy under trial. Parts of cyclamenrun can be disabled by name; they are
+ * described at admission_parts and router_settings.
+ */
 struct policy {
     policy_kind kind = policy_kind::cyclamenrun;
     bool prediction = true;
@@ -43,7 +46,7 @@
     none,
     engine_lost,
     engine_reclaimed, ///< lost after a notice
-    late_reports,     ///< of the load
+    late_reports,     ///< load reports arrive late
     cache_gaps,       ///< most cache events are lost
     entry_lost,
     domain_cut, ///< one failure domain is unreachable for some time
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -19,7 +19,7 @@
 
 const time_point epoch = time_point{} + 1h;
 
-// Readers don't notice gaps between tokens up to this length.
+// People who read an answer don't notice gaps between tokens up to this length.
 constexpr double max_unnoticed_gap_ms = 100.0;
 // Maximum retries of a refused caller, each after the time in its refusal.
 constexpr std::uint32_t max_caller_retries = 3;
@@ -77,8 +77,9 @@
     time_point last_request{}; ///< including retries
     time_point deadline{};
     time_point last_token{};
+    /** Wait for the first token, and the noticed parts of later gaps. */
     double stall_ms = 0;
-    std::vector<std::string> excluded;
+    std::vector<std::string> excluded; ///< upstreams already tried
 };
 
 /** Discrete event simulation of one trial in virtual time. */
@@ -92,8 +93,9 @@
     using action = std::function<void()>;
     struct event {
         time_point at;
-        std::uint64_t order;
+        std::uint64_t order; ///< of insertion, for equal times
         action act;
+        /** Inverted, so that the queue yields the earliest event first. */
         bool operator<(const event& other) const
         {
             return at != other.at ? at > other.at : order > other.order;
@@ -120,7 +122,8 @@
     void retry_elsewhere(std::size_t id, const std::optional<refusal>& why);
     void refuse(std::size_t id, const refusal& why);
     void give_up(std::size_t id);
-    void end(std::size_t id);
+    /** Ends a caller that gets no complete answer. */
+    void end_unanswered(std::size_t id);
 
     void step(std::size_t upstream);
     void end_step(std::size_t upstream);
@@ -451,7 +454,7 @@
         now_ + wait >= caller.deadline) {
         if (is_measured(caller))
             ++measures_.finally_refused;
-        end(id);
+        end_unanswered(id);
         return;
     }
     ++caller.retries_made;
@@ -477,10 +480,10 @@
     }
     if (is_measured(caller))
         ++measures_.gave_up;
-    end(id);
+    end_unanswered(id);
 }
 
-void simulation::end(std::size_t id)
+void simulation::end_unanswered(std::size_t id)
 {
     caller_state& caller = callers_[id];
     caller.current_phase = caller_state::phase::done;
@@ -643,7 +646,7 @@
     }
     if (is_measured(caller))
         ++measures_.cut_short;
-    end(id);
+    end_unanswered(id);
 }
 
 void simulation::resend_poison(std::size_t id)
@@ -655,7 +658,7 @@
     caller.current_phase = caller_state::phase::not_dispatched;
     caller.delivered = 0;
     if (settings_.tested_policy.uses_cyclamenrun() && caller.losses >= 2) {
-        end(id);
+        end_unanswered(id);
         return;
     }
     after(1s, [this, id] {
--- a/bench/workload.cpp
+++ b/bench/workload.cpp
@@ -28,8 +28,8 @@
 
     double next(std::mt19937_64& random)
     {
-        const double mean_s = in_burst_ ? 4.0 : 12.0;
-        if (std::bernoulli_distribution(slot_s / mean_s)(random))
+        const double mean_duration_s = in_burst_ ? 4.0 : 12.0;
+        if (std::bernoulli_distribution(slot_s / mean_duration_s)(random))
             in_burst_ = !in_burst_;
         return in_burst_ ? burst_ : calm_;
     }
