--- a/src/libcyclamenrun/decisions/engine_load_estimate.cpp
+++ b/src/libcyclamenrun/decisions/engine_load_estimate.cpp
@@ -30,7 +30,7 @@
 void engine_load_estimate::update_status(const engine_status& status,
                                          time_point now)
 {
-    record_reading(now);
+    record_prefill(now);
     status_ = status;
     status_at_ = now;
     std::erase_if(started_, [&](const start_request& each) {
@@ -44,13 +44,13 @@
     drop_stale_grants(now);
 }
 
-void engine_load_estimate::record_reading(time_point now)
+void engine_load_estimate::record_prefill(time_point now)
 {
-    const bool reading = status_.starting > 0 && !granted_.empty() &&
-                         granted_.front().reading_since != time_point{};
-    if (reading)
-        speed_.record_reading_time(
-            now - std::max(status_at_, granted_.front().reading_since));
+    const bool prefilling = status_.starting > 0 && !granted_.empty() &&
+                            granted_.front().prefill_since != time_point{};
+    if (prefilling)
+        speed_.record_prefill_time(
+            now - std::max(status_at_, granted_.front().prefill_since));
 }
 
 void engine_load_estimate::record_started(time_point now)
@@ -66,7 +66,7 @@
         started_.push_back(found->request);
         granted_.erase(found);
         if (!granted_.empty())
-            granted_.front().reading_since = now;
+            granted_.front().prefill_since = now;
     }
 }
 
@@ -84,8 +84,8 @@
         speed_.record_prompt(granted_.front().request.prompt_tokens);
         granted_.pop_front();
     }
-    if (!granted_.empty() && granted_.front().reading_since == time_point{})
-        granted_.front().reading_since = now;
+    if (!granted_.empty() && granted_.front().prefill_since == time_point{})
+        granted_.front().prefill_since = now;
 }
 
 void engine_load_estimate::grant(const start_request& start, time_point now)
@@ -123,13 +123,13 @@
     return {taken_slots(), static_cast<std::uint64_t>(planned_memory())};
 }
 
-milliseconds engine_load_estimate::reading_time(std::uint64_t tokens) const
+milliseconds engine_load_estimate::prefill_time(std::uint64_t tokens) const
 {
     return milliseconds(
         std::llround(static_cast<double>(tokens) / speed_.tokens_per_ms()));
 }
 
-milliseconds engine_load_estimate::reading_backlog(time_point now) const
+milliseconds engine_load_estimate::prefill_backlog(time_point now) const
 {
     // A gateway that reaches no monitor sends requests without a start grant.
     const std::size_t not_started = status_.starting + status_.queued;
@@ -137,23 +137,23 @@
     const double prompt = mean_prompt_ > 0
                               ? mean_prompt_
                               : static_cast<double>(status_.next_prompt_tokens);
-    auto remaining = reading_time(
+    auto remaining = prefill_time(
         static_cast<std::uint64_t>(static_cast<double>(ungranted) * prompt));
     for (const auto& each : granted_)
-        remaining += reading_time(each.request.prompt_tokens);
-    if (granted_.empty() || granted_.front().reading_since == time_point{})
+        remaining += prefill_time(each.request.prompt_tokens);
+    if (granted_.empty() || granted_.front().prefill_since == time_point{})
         return remaining;
     const auto elapsed = std::chrono::duration_cast<milliseconds>(
-        now - granted_.front().reading_since);
+        now - granted_.front().prefill_since);
     return remaining -
            std::min(elapsed,
-                    reading_time(granted_.front().request.prompt_tokens));
+                    prefill_time(granted_.front().request.prompt_tokens));
 }
 
 double engine_load_estimate::planned_memory() const
 {
     double tokens = static_cast<double>(status_.memory_used);
-    // The engine allocates a prompt's memory when it begins to read it.
+    // The engine allocates a prompt's memory when it begins to prefill it.
     auto allocated = status_.starting;
     for (const auto& each : granted_) {
         if (allocated > 0 && each.granted_at < status_at_)
--- a/src/libcyclamenrun/decisions/engine_load_estimate.hpp
+++ b/src/libcyclamenrun/decisions/engine_load_estimate.hpp
@@ -2,7 +2,7 @@
 #define CYCLAMENRUN_ENGINE_LOAD_ESTIMATE_HPP
 
 #include "clock.hpp"
-#include "reading_speed.hpp"
+#include "prefill_speed.hpp"
 
 #include <cstdint>
 #include <deque>
@@ -69,11 +69,11 @@
     /** Slots of the generations that run, wait or have a start grant. */
     std::size_t taken_slots() const;
     engine_occupancy occupancy() const;
-    /** Time that the engine needs to read the prompts not yet read. */
-    milliseconds reading_backlog(time_point now) const;
-    double tokens_read_per_ms() const { return speed_.tokens_per_ms(); }
-    /** Time that the engine needs to read `tokens` of a prompt. */
-    milliseconds reading_time(std::uint64_t tokens) const;
+    /** Time that the engine needs to prefill the prompts not yet prefilled. */
+    milliseconds prefill_backlog(time_point now) const;
+    double prefill_tokens_per_ms() const { return speed_.tokens_per_ms(); }
+    /** Time that the engine needs to prefill `tokens` of a prompt. */
+    milliseconds prefill_time(std::uint64_t tokens) const;
     /** Memory of each team in tokens, start grants included. */
     std::map<std::string, std::uint64_t> memory_by_team() const;
     /**
@@ -86,7 +86,7 @@
     struct granted_start {
         start_request request;
         time_point granted_at;
-        time_point reading_since; ///< time_point{}: earlier prompts come first
+        time_point prefill_since; ///< time_point{}: earlier prompts come first
     };
 
     /** Handles granted generations that the status lists as resident. */
@@ -96,8 +96,8 @@
      * status has starting or queued requests.
      */
     void drop_stale_grants(time_point now);
-    /** Records how long the engine has read prompts since the last status. */
-    void record_reading(time_point now);
+    /** Records the engine's prefill time since the last status. */
+    void record_prefill(time_point now);
     /** Memory in use and the granted prompts without memory yet, in tokens. */
     double planned_memory() const;
     /** Null if this monitor did not grant the generation's start. */
@@ -125,7 +125,7 @@
     std::deque<granted_start> granted_; ///< not started yet, in order of grants
     std::vector<start_request> started_; ///< granted and resident
     double mean_prompt_ = 0;             ///< of granted starts, in tokens
-    reading_speed speed_;
+    prefill_speed speed_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/decisions/placement.hpp
+++ b/src/libcyclamenrun/decisions/placement.hpp
@@ -28,7 +28,7 @@
 
 /** Weights of the placement cost that differ between kinds of requests. */
 struct placement_weights {
-    /** Weight of the wait until earlier prompts have been read. */
+    /** Weight of the wait until earlier prompts have been prefilled. */
     double wait = 1;
     /**
      * Cost of another failure domain. 0.5 ms of latency and the transfer of
--- a/src/libcyclamenrun/decisions/reading_speed.cpp
+++ b/src/libcyclamenrun/decisions/prefill_speed.cpp
@@ -1,4 +1,4 @@
-#include "reading_speed.hpp"
+#include "prefill_speed.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -10,7 +10,7 @@
 {
 
 /**
- * Reading time after which a sample's weight is 1/e. It spans some ten prompts,
+ * Prefill time after which a sample's weight is 1/e. It spans some ten prompts,
  * so that no single prompt dominates the estimate.
  */
 constexpr double decay_ms = 5000;
@@ -19,19 +19,19 @@
 
 } // namespace
 
-void reading_speed::record_reading_time(duration time)
+void prefill_speed::record_prefill_time(duration time)
 {
     const double ms = std::chrono::duration<double, std::milli>(time).count();
     if (ms <= 0)
         return;
     const double decay = std::exp(-ms / decay_ms);
     tokens_ *= decay;
-    reading_ms_ = reading_ms_ * decay + ms;
+    prefill_ms_ = prefill_ms_ * decay + ms;
 }
 
-double reading_speed::tokens_per_ms() const
+double prefill_speed::tokens_per_ms() const
 {
-    return std::clamp(tokens_ / reading_ms_,
+    return std::clamp(tokens_ / prefill_ms_,
                       prior_tokens_per_ms / max_factor_from_prior,
                       prior_tokens_per_ms * max_factor_from_prior);
 }
--- a/src/libcyclamenrun/decisions/start_queue.cpp
+++ b/src/libcyclamenrun/decisions/start_queue.cpp
@@ -10,9 +10,9 @@
 {
 
 /**
- * The next start is granted this long before the engine has read all earlier
- * prompts, so that the request arrives in time: a few milliseconds for the
- * network, the rest for variations of the reading speed.
+ * The next start is granted this long before the engine has prefilled all
+ * earlier prompts, so that the request arrives in time: a few milliseconds for
+ * the network, the rest for variations of the prefill speed.
  */
 constexpr milliseconds grant_lead_time{30};
 
@@ -55,7 +55,7 @@
 
 bool start_queue::is_late(const start_request& request, time_point now) const
 {
-    return now + load_estimate_.reading_time(request.prompt_tokens) >
+    return now + load_estimate_.prefill_time(request.prompt_tokens) >
            request.first_due;
 }
 
@@ -87,9 +87,9 @@
         });
 }
 
-bool start_queue::can_read_more(time_point now) const
+bool start_queue::can_start_prefill(time_point now) const
 {
-    return load_estimate_.reading_backlog(now) <= grant_lead_time &&
+    return load_estimate_.prefill_backlog(now) <= grant_lead_time &&
            load_estimate_.taken_slots() < slots_;
 }
 
@@ -101,7 +101,7 @@
     std::vector<start_request> granted;
     if (leaving_ || !load_estimate_.known())
         return granted;
-    while (!waiting_.empty() && can_read_more(now)) {
+    while (!waiting_.empty() && can_start_prefill(now)) {
         sort(now);
         const auto next = std::find_if(
             waiting_.begin(), waiting_.end(), [&](const waiting_start& each) {
@@ -129,7 +129,7 @@
 
 std::optional<time_point> start_queue::next_event(time_point now) const
 {
-    const auto backlog = load_estimate_.reading_backlog(now);
+    const auto backlog = load_estimate_.prefill_backlog(now);
     if (waiting_.empty() || backlog <= grant_lead_time)
         return std::nullopt;
     return now + backlog - grant_lead_time;
--- a/src/libcyclamenrun/decisions/start_queue.hpp
+++ b/src/libcyclamenrun/decisions/start_queue.hpp
@@ -86,10 +86,10 @@
     };
 
     /**
-     * True if a slot is free and the engine has read all earlier prompts, or
-     * will have within grant_lead_time.
+     * True if a slot is free and the engine has prefilled all earlier prompts,
+     * or will have within grant_lead_time.
      */
-    bool can_read_more(time_point now) const;
+    bool can_start_prefill(time_point now) const;
     void sort(time_point now);
     bool is_late(const start_request& request, time_point now) const;
 
--- a/src/libcyclamenrun/gateway/engine_monitor.cpp
+++ b/src/libcyclamenrun/gateway/engine_monitor.cpp
@@ -367,8 +367,8 @@
     message.set_queued(load.queued);
     const auto& load_estimate = starts_.load_estimate();
     message.set_unread_ms(static_cast<std::uint32_t>(
-        load_estimate.reading_backlog(reactor_->now()).count()));
-    message.set_tokens_read_per_ms(load_estimate.tokens_read_per_ms());
+        load_estimate.prefill_backlog(reactor_->now()).count()));
+    message.set_tokens_read_per_ms(load_estimate.prefill_tokens_per_ms());
     message.set_memory_used(load_estimate.occupancy().memory_taken);
     message.set_memory_total(load.memory_total);
     message.set_leaving(load.leaving);
--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -324,7 +324,7 @@
     resume_from_ = resume_from;
     answer_.prepare_next_response();
     ++sends_;
-    // A resumed generation does not read its prompt again.
+    // A resumed generation does not prefill its prompt again.
     context_.upstreams.dispatched(
         upstream.id, resume_from ? 0 : facts_.prompt_tokens, attempt_began_);
     const auto self = shared_from_this();
@@ -360,8 +360,8 @@
 void exchange::handle_head(http_head&& head, const response_facts& facts)
 {
     context_.upstreams.connection_succeeded(attempt_->upstream().id);
-    // A resumed generation does not read its prompt, so its response time is
-    // not typical.
+    // A resumed generation does not prefill its prompt, so its response time
+    // is not typical.
     if (!resume_from_)
         context_.route_response_times.add(
             admitted_.route->name,
--- a/src/libcyclamenrun/gateway/monitor_link.cpp
+++ b/src/libcyclamenrun/gateway/monitor_link.cpp
@@ -49,8 +49,8 @@
     engine_load load;
     load.running = message.running();
     load.queued = message.queued();
-    load.unread = milliseconds(message.unread_ms());
-    load.tokens_read_per_ms = message.tokens_read_per_ms();
+    load.prefill_backlog = milliseconds(message.unread_ms());
+    load.prefill_tokens_per_ms = message.tokens_read_per_ms();
     load.memory_used = message.memory_used();
     load.memory_total = message.memory_total();
     load.leaving = message.leaving();
--- a/src/libcyclamenrun/gateway/upstream_record.hpp
+++ b/src/libcyclamenrun/gateway/upstream_record.hpp
@@ -37,7 +37,7 @@
 /** Load of a model engine, as measured on its own host. */
 struct engine_load {
     std::uint32_t running = 0;
-    std::uint32_t starting = 0; ///< of `running`: their prompts are being read
+    std::uint32_t starting = 0; ///< of `running`: those in prefill
     std::uint32_t queued = 0;
     std::vector<resident_generation> generations; ///< that have begun
     /** Prompt of the first queued request. */
@@ -45,11 +45,11 @@
     std::uint64_t memory_used = 0;  ///< tokens that can't be evicted
     std::uint64_t memory_total = 0; ///< tokens
     /**
-     * Time needed to read the prompts ahead of a new one. Reported, like the
-     * reading speed, by the monitor only and not by the engine itself.
+     * Time needed to prefill the prompts ahead of a new one. Reported, like the
+     * prefill speed, by the monitor only and not by the engine itself.
      */
-    milliseconds unread{0};
-    double tokens_read_per_ms = 0; ///< reading speed; 0: not reported
+    milliseconds prefill_backlog{0};
+    double prefill_tokens_per_ms = 0; ///< 0: not reported
     bool leaving = false;
     std::optional<std::uint32_t> leaves_in_ms; ///< empty if not known
 };
--- a/src/libcyclamenrun/gateway/upstream_registry.cpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.cpp
@@ -1,6 +1,6 @@
 #include "upstream_registry.hpp"
 
-#include "reading_speed.hpp"
+#include "prefill_speed.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -66,16 +66,16 @@
 
 struct load_estimate {
     double requests = 0;
-    double unread_ms = 0; ///< time to read the prompts ahead of a new one
+    double prefill_backlog_ms = 0; ///< of the prompts ahead of a new one
     double memory_tokens = 0;
 };
 
-double reading_ms(const upstream_state& upstream, double tokens)
+double prefill_ms(const upstream_state& upstream, double tokens)
 {
     const bool reported =
-        upstream.load && upstream.load->tokens_read_per_ms > 0;
-    return tokens / (reported ? upstream.load->tokens_read_per_ms
-                              : reading_speed::prior_tokens_per_ms);
+        upstream.load && upstream.load->prefill_tokens_per_ms > 0;
+    return tokens / (reported ? upstream.load->prefill_tokens_per_ms
+                              : prefill_speed::prior_tokens_per_ms);
 }
 
 /**
@@ -99,18 +99,19 @@
         result.memory_tokens =
             result.requests * request.gateways *
             (static_cast<double>(request.prompt_tokens) + remaining_output);
-        result.unread_ms = reading_ms(upstream, unreported);
+        result.prefill_backlog_ms = prefill_ms(upstream, unreported);
         return result;
     }
     const auto& load = *upstream.load;
     result.requests = static_cast<double>(load.running + load.queued +
                                           upstream.unreported.size());
-    result.unread_ms = static_cast<double>(load.unread.count()) +
-                       reading_ms(upstream, unreported);
-    // A load that the engine itself reported has no reading times, only the
+    result.prefill_backlog_ms =
+        static_cast<double>(load.prefill_backlog.count()) +
+        prefill_ms(upstream, unreported);
+    // A load that the engine itself reported has no prefill times, only the
     // number of waiting requests.
-    if (load.tokens_read_per_ms <= 0)
-        result.unread_ms += reading_ms(
+    if (load.prefill_tokens_per_ms <= 0)
+        result.prefill_backlog_ms += prefill_ms(
             upstream, static_cast<double>((load.starting + load.queued) *
                                           request.prompt_tokens));
     result.memory_tokens = static_cast<double>(load.memory_used) + unreported +
@@ -458,7 +459,7 @@
         return candidate;
     const double objective = static_cast<double>(
         std::max(request.objective, milliseconds(1)).count());
-    candidate.wait = load.unread_ms / objective;
+    candidate.wait = load.prefill_backlog_ms / objective;
     candidate.memory_taken =
         (load.memory_tokens +
          static_cast<double>(request.prompt_tokens + request.output_tokens)) /
@@ -473,8 +474,8 @@
     if (request.engine_memory_tokens == 0 || !upstream.load)
         return milliseconds(0);
     const double ms =
-        estimate_load(upstream, request, now).unread_ms +
-        reading_ms(upstream, static_cast<double>(request.prompt_tokens));
+        estimate_load(upstream, request, now).prefill_backlog_ms +
+        prefill_ms(upstream, static_cast<double>(request.prompt_tokens));
     return milliseconds(std::llround(ms));
 }
 
--- a/tests/decisions/test_start_queue.cpp
+++ b/tests/decisions/test_start_queue.cpp
@@ -76,7 +76,7 @@
 
 // Guards against a thundering herd on a new engine: ten gateways see that it is
 // empty and all send to it, so that the last request waits for nine prompts
-// while other engines have nothing to read.
+// while other engines have nothing to prefill.
 TEST_F(start_queues, grant_one_start_at_a_time_at_a_new_engine)
 {
     queue.update_status(idle_engine(), false, at(0));
@@ -84,7 +84,7 @@
         queue.request_start(request_for(std::to_string(i)), at(0));
     EXPECT_EQ(grant(0), names{"0"});
     EXPECT_EQ(grant(100), names{});
-    // 2,000 tokens are read in 286 ms; the next grant is 30 ms earlier.
+    // 2,000 tokens are prefilled in 286 ms; the next grant is 30 ms earlier.
     EXPECT_EQ(queue.next_event(at(100)), at(256));
     EXPECT_EQ(grant(256), names{"1"});
     EXPECT_EQ(queue.waiting(), 8U);
@@ -211,7 +211,7 @@
     queue.update_status(engine_with({8000}), false, at(0));
     queue.request_start(request_for("a", 6000), at(0));
     ASSERT_EQ(grant(0), names{"a"});
-    // The prompt is being read, and the status includes its memory.
+    // The prompt is in prefill, and the status includes its memory.
     auto status = engine_with({8000});
     status.running = 2;
     status.starting = 1;
@@ -304,7 +304,7 @@
     status.queued = 3;
     status.next_prompt_tokens = 2100;
     queue.update_status(status, false, at(0));
-    EXPECT_EQ(queue.load_estimate().reading_backlog(at(0)), milliseconds(1200));
+    EXPECT_EQ(queue.load_estimate().prefill_backlog(at(0)), milliseconds(1200));
     queue.request_start(request_for("a"), at(0));
     EXPECT_EQ(grant(10), names{});
 }
@@ -318,17 +318,17 @@
 
 TEST(reading_speeds, start_from_the_prior_and_follow_measurements)
 {
-    reading_speed speed;
+    prefill_speed speed;
     EXPECT_DOUBLE_EQ(speed.tokens_per_ms(), 7);
     // An engine three times as fast as the prior, for ten seconds.
     for (int i = 0; i < 100; ++i) {
-        speed.record_reading_time(milliseconds(100));
+        speed.record_prefill_time(milliseconds(100));
         speed.record_prompt(2100);
     }
     EXPECT_NEAR(speed.tokens_per_ms(), 21, 3);
     // The engine becomes slow; the estimate follows within half a minute.
     for (int i = 0; i < 300; ++i) {
-        speed.record_reading_time(milliseconds(100));
+        speed.record_prefill_time(milliseconds(100));
         speed.record_prompt(200);
     }
     EXPECT_NEAR(speed.tokens_per_ms(), 2, 1);
@@ -337,12 +337,12 @@
 // A corrupt report must not stop an engine permanently.
 TEST(reading_speeds, stay_within_the_plausible_range)
 {
-    reading_speed speed;
-    speed.record_reading_time(std::chrono::hours(10));
+    prefill_speed speed;
+    speed.record_prefill_time(std::chrono::hours(10));
     EXPECT_GT(speed.tokens_per_ms(), 0.1);
     speed.record_prompt(std::uint64_t(1) << 60);
     EXPECT_LE(speed.tokens_per_ms(), 350);
-    speed.record_reading_time(milliseconds(-5));
+    speed.record_prefill_time(milliseconds(-5));
     EXPECT_LE(speed.tokens_per_ms(), 350);
 }
 
--- a/tests/decisions/test_thundering_herds.cpp
+++ b/tests/decisions/test_thundering_herds.cpp
@@ -21,7 +21,7 @@
 constexpr int engines = 46;
 constexpr int gateways = 25;
 constexpr double memory_tokens = 21856;
-constexpr double read_tokens_per_ms = 7;
+constexpr double prefill_tokens_per_ms = 7;
 constexpr double arrivals_per_s = 75;
 constexpr int load_age_ms = 200;
 constexpr int poll_ms = 100;
@@ -42,7 +42,7 @@
     int arrived_ms = 0;
     double prompt = 0;
     double output = 0;
-    double unread = 0;
+    double prefill_left = 0;
     double generated = 0;
     std::string id;
     std::string team;
@@ -63,17 +63,18 @@
 };
 
 /**
- * Reads one prompt at a time; each running generation makes a token per step.
+ * Prefills one prompt at a time; each running generation makes a token per
+ * step.
  */
 struct engine {
-    std::deque<generation> queue; ///< the first is read if its memory fits
-    bool reading = false;
+    std::deque<generation> queue; ///< the first is prefilled if its memory fits
+    bool prefilling = false;
     std::vector<generation> running;
     int back_at_ms = 0; ///< the engine is removed until then
 
     double memory_used() const
     {
-        double sum = reading ? queue.front().prompt : 0;
+        double sum = prefilling ? queue.front().prompt : 0;
         for (const auto& each : running)
             sum += each.prompt + each.generated;
         return sum;
@@ -81,31 +82,31 @@
 
     void step(int now, std::map<std::string, team_result>& results)
     {
-        if (!reading && !queue.empty())
-            reading = memory_used() + queue.front().prompt <= memory_tokens;
+        if (!prefilling && !queue.empty())
+            prefilling = memory_used() + queue.front().prompt <= memory_tokens;
         for (auto& each : running)
             each.generated += 1;
         std::erase_if(running, [](const generation& each) {
             return each.generated >= each.output;
         });
-        if (!reading)
+        if (!prefilling)
             return;
         auto& head = queue.front();
-        head.unread -= read_tokens_per_ms * step_ms;
-        if (head.unread > 0)
+        head.prefill_left -= prefill_tokens_per_ms * step_ms;
+        if (head.prefill_left > 0)
             return;
         auto& result = results[head.team];
         ++(now - head.arrived_ms <= objective_ms ? result.in_time
                                                  : result.late);
         running.push_back(head);
         queue.pop_front();
-        reading = false;
+        prefilling = false;
     }
 
     engine_status status() const
     {
         engine_status result;
-        result.starting = reading ? 1 : 0;
+        result.starting = prefilling ? 1 : 0;
         result.running =
             static_cast<std::uint32_t>(running.size()) + result.starting;
         result.queued =
@@ -195,7 +196,7 @@
         drawn.team = team;
         drawn.arrived_ms = now_ms;
         drawn.prompt = std::uniform_real_distribution<>(1000, 5000)(random);
-        drawn.unread = drawn.prompt;
+        drawn.prefill_left = drawn.prompt;
         // Half of the outputs have a few tokens, the others hundreds.
         std::exponential_distribution<> length(1.0 / 600);
         drawn.output =
@@ -236,7 +237,7 @@
                 continue;
             auto place = reported_[i];
             for (const auto& own : own_[gateway][i]) {
-                place.wait += own.prompt / read_tokens_per_ms / objective_ms;
+                place.wait += own.prompt / prefill_tokens_per_ms / objective_ms;
                 place.memory_taken += own.prompt / memory_tokens;
             }
             place.memory_taken += request.prompt / memory_tokens;
@@ -254,14 +255,15 @@
         if (now_ms % load_age_ms != 0)
             return;
         for (int i = 0; i < engines; ++i) {
-            double unread = 0;
+            double prefill_left = 0;
             for (const auto& each : upstreams[i].queue)
-                unread += each.unread;
-            reported_[i].wait = unread / read_tokens_per_ms / objective_ms;
+                prefill_left += each.prefill_left;
+            reported_[i].wait =
+                prefill_left / prefill_tokens_per_ms / objective_ms;
             reported_[i].slots_taken =
                 static_cast<double>(upstreams[i].running.size()) / 24;
             reported_[i].memory_taken =
-                (upstreams[i].memory_used() + unread) / memory_tokens;
+                (upstreams[i].memory_used() + prefill_left) / memory_tokens;
         }
         own_.assign(gateways, std::vector<std::vector<generation>>(engines));
     }
--- a/tests/gateway/test_overload.cpp
+++ b/tests/gateway/test_overload.cpp
@@ -37,13 +37,13 @@
     }
 
     /** Sends a load report several times, since reports are unacknowledged. */
-    void report_load(unsigned queued, unsigned unread_ms)
+    void report_load(unsigned queued, unsigned prefill_backlog_ms)
     {
         v1::MonitorNotice notice;
         auto& load = *notice.mutable_load();
         load.set_engine_address(address);
         load.set_queued(queued);
-        load.set_unread_ms(unread_ms);
+        load.set_unread_ms(prefill_backlog_ms);
         load.set_memory_total(100000);
         const auto bytes = notice.SerializeAsString();
         Poco::Net::DatagramSocket socket;
--- a/tests/gateway/test_upstream_registry.cpp
+++ b/tests/gateway/test_upstream_registry.cpp
@@ -266,16 +266,16 @@
     EXPECT_DOUBLE_EQ(wait(20), 0.5);
     auto busy = idle;
     busy.running = 1;
-    busy.unread = milliseconds(250);
+    busy.prefill_backlog = milliseconds(250);
     registry.update_load({"10.0.0.1", 80}, busy, at(120));
     EXPECT_DOUBLE_EQ(wait(120), 0.25);
     registry.update_load({"10.0.0.1", 80}, idle, at(900));
     EXPECT_DOUBLE_EQ(wait(900), 0);
 }
 
-// Engines may read prompts four times faster or slower than others. A gateway
-// that assumed one speed would prefer slow engines with short queues, and
-// callers would wait there. Each engine's monitor reports its reading speed.
+// Engines may prefill four times faster or slower than others. A gateway that
+// assumed one speed would prefer slow engines with short queues, and callers
+// would wait there. Each engine's monitor reports its prefill speed.
 TEST_F(upstream_registry_test, uses_reading_speed_reported_by_the_monitor)
 {
     put(record("a"));
@@ -286,7 +286,7 @@
     engine_load load;
     load.memory_total = 10000;
     const auto time_to_first_part = [&](double speed) {
-        load.tokens_read_per_ms = speed;
+        load.prefill_tokens_per_ms = speed;
         registry.update_load({"10.0.0.1", 80}, load, at(0));
         return estimated_time_to_first_part(*registry.find("a"), request,
                                             at(0));
@@ -294,7 +294,7 @@
     EXPECT_EQ(time_to_first_part(7), milliseconds(400));
     EXPECT_EQ(time_to_first_part(28), milliseconds(100));
     EXPECT_EQ(time_to_first_part(1.75), milliseconds(1600));
-    load.unread = milliseconds(300);
+    load.prefill_backlog = milliseconds(300);
     EXPECT_EQ(time_to_first_part(28), milliseconds(400));
     // Without a reported speed the default speed is assumed.
     EXPECT_EQ(time_to_first_part(0), milliseconds(700));
