--- a/bench/capacity_probes.cpp
+++ b/bench/capacity_probes.cpp
@@ -332,7 +332,7 @@
     return time_each(5'000, [&](int i) {
         const auto work = static_cast<std::size_t>(i);
         (void)probed_gate->submit(generation(work), start);
-        probed_gate->finished(work + 1, "stop", start);
+        probed_gate->record_finish(work + 1, "stop", start);
     });
 }
 
--- a/bench/decision_cost_command.cpp
+++ b/bench/decision_cost_command.cpp
@@ -96,8 +96,8 @@
         const auto& request = requests[i % size.teams];
         const time_point now = begin + i * 1ms;
         const auto chosen = routes.choose(request, candidates, now);
-        routes.dispatched(candidates[*chosen].upstream, request, now);
-        routes.completed(candidates[*chosen].upstream, now);
+        routes.record_dispatch(candidates[*chosen].upstream, request, now);
+        routes.record_completion(candidates[*chosen].upstream, now);
     }
     return microseconds_each(processor_time() - before, rounds);
 }
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -394,7 +394,7 @@
         ++upstream;
     caller.current_phase = caller_state::phase::dispatched;
     caller.upstream = upstream;
-    entry.routes().dispatched(name, incoming, now_);
+    entry.routes().record_dispatch(name, incoming, now_);
     after(from_s(settings_.tested_deployment.one_way_ms / 1000),
           [this, id, upstream] { deliver(id, upstream); });
 }
@@ -425,7 +425,7 @@
 {
     caller_state& caller = callers_[id];
     bench_entry& entry = *entries_[caller.entry];
-    entry.routes().completed(agents_[caller.upstream]->name, now_);
+    entry.routes().record_completion(agents_[caller.upstream]->name, now_);
     caller.excluded.push_back(agents_[caller.upstream]->name);
     caller.current_phase = caller_state::phase::not_dispatched;
     caller.upstream = SIZE_MAX;
@@ -475,7 +475,7 @@
         return;
     if (caller.current_phase == caller_state::phase::dispatched) {
         agents_[caller.upstream]->cancel(id, now_);
-        entries_[caller.entry]->routes().completed(
+        entries_[caller.entry]->routes().record_completion(
             agents_[caller.upstream]->name, now_);
     }
     if (is_measured(caller))
@@ -573,8 +573,8 @@
 {
     caller_state& caller = callers_[id];
     caller.current_phase = caller_state::phase::done;
-    entries_[caller.entry]->routes().completed(agents_[caller.upstream]->name,
-                                               now_);
+    entries_[caller.entry]->routes().record_completion(
+        agents_[caller.upstream]->name, now_);
     if (in_window(now_)) {
         ++measures_.answers_in_window;
         measures_.tokens_in_window += caller.delivered;
@@ -638,8 +638,8 @@
         retry_elsewhere(id, std::nullopt);
         return;
     }
-    entries_[caller.entry]->routes().completed(agents_[caller.upstream]->name,
-                                               now_);
+    entries_[caller.entry]->routes().record_completion(
+        agents_[caller.upstream]->name, now_);
     if (caller.poison && caller.losses < max_poison_attempts) {
         resend_poison(id);
         return;
--- a/src/libcyclamenrun/agent/upstream_driver.cpp
+++ b/src/libcyclamenrun/agent/upstream_driver.cpp
@@ -219,7 +219,7 @@
     }};
     const auto result = engine_.run(request, events, active.cancel);
     if (result)
-        gate_->finished(admitted.work, result->finish_reason, clock_());
+        gate_->record_finish(admitted.work, result->finish_reason, clock_());
     else
         handle_generation_failure(admitted, result.error());
 }
@@ -248,10 +248,10 @@
     request.deadline = admitted.deadline;
     auto result = runner_.call(request, active.cancel);
     if (result)
-        gate_->answered(admitted.work,
-                        {result->status, std::move(result->content_type),
-                         std::move(result->body)},
-                        clock_());
+        gate_->record_answer(admitted.work,
+                             {result->status, std::move(result->content_type),
+                              std::move(result->body)},
+                             clock_());
     else
         gate_->run_failed(admitted.work, refusal_of(result.error()), clock_());
 }
--- a/src/libcyclamenrun/decisions/load_view.cpp
+++ b/src/libcyclamenrun/decisions/load_view.cpp
@@ -31,7 +31,7 @@
     }
 }
 
-void load_view::dispatched(std::uint64_t prompt_tokens, time_point now)
+void load_view::record_dispatch(std::uint64_t prompt_tokens, time_point now)
 {
     ++outstanding_;
     dispatches_.push_back({now, prompt_tokens});
@@ -42,7 +42,7 @@
     dispatches_.pop_front();
 }
 
-void load_view::completed()
+void load_view::record_completion()
 {
     if (outstanding_ > 0)
         --outstanding_;
--- a/src/libcyclamenrun/decisions/load_view.hpp
+++ b/src/libcyclamenrun/decisions/load_view.hpp
@@ -23,9 +23,9 @@
 {
 public:
     void update_report(const load_report& latest, time_point now);
-    void dispatched(std::uint64_t prompt_tokens, time_point now);
+    void record_dispatch(std::uint64_t prompt_tokens, time_point now);
     /** Records that a dispatch has completed, with any result. */
-    void completed();
+    void record_completion();
 
     bool leaving() const { return report_.leaving; }
     bool reported() const { return reported_; }
--- a/src/libcyclamenrun/decisions/prefix_cache_view.cpp
+++ b/src/libcyclamenrun/decisions/prefix_cache_view.cpp
@@ -27,7 +27,7 @@
     }
 }
 
-void prefix_cache_view::evicted(std::uint64_t block)
+void prefix_cache_view::record_eviction(std::uint64_t block)
 {
     const auto found = index_.find(block);
     if (found == index_.end())
--- a/src/libcyclamenrun/decisions/prefix_cache_view.hpp
+++ b/src/libcyclamenrun/decisions/prefix_cache_view.hpp
@@ -23,7 +23,7 @@
 
     /** Records that the engine runs a work item with these blocks. */
     void record_use(std::span<const std::uint64_t> blocks);
-    void evicted(std::uint64_t block);
+    void record_eviction(std::uint64_t block);
     void clear();
 
     /** Number of leading blocks that are cached. */
--- a/src/libcyclamenrun/decisions/team_limiter.cpp
+++ b/src/libcyclamenrun/decisions/team_limiter.cpp
@@ -104,7 +104,7 @@
         found->second.tokens -= tokens;
 }
 
-void team_limiter::finished(const std::string& team)
+void team_limiter::record_end(const std::string& team)
 {
     const auto found = teams_.find(team);
     if (found != teams_.end() && found->second.running > 0)
--- a/src/libcyclamenrun/decisions/team_limiter.hpp
+++ b/src/libcyclamenrun/decisions/team_limiter.hpp
@@ -41,7 +41,7 @@
     outcome<void> admit(const std::string& team, const team_limits& limits,
                         std::uint32_t prompt_tokens, time_point now);
     void record_output(const std::string& team, std::uint32_t tokens);
-    void finished(const std::string& team);
+    void record_end(const std::string& team);
 
     std::size_t size() const { return teams_.size(); }
 
--- a/src/libcyclamenrun/entry/entry_core.cpp
+++ b/src/libcyclamenrun/entry/entry_core.cpp
@@ -222,10 +222,10 @@
     };
     hooks.dispatched = [this](const relay_request& request,
                               const std::string& upstream) {
-        routes_.dispatched(request, upstream, clock_());
+        routes_.record_dispatch(request, upstream, clock_());
     };
     hooks.completed = [this, service](const std::string& upstream) {
-        routes_.completed(service, upstream, clock_());
+        routes_.record_completion(service, upstream, clock_());
     };
     hooks.load = [this](const link::LoadReport& load) {
         routes_.update_report(load, clock_());
--- a/src/libcyclamenrun/entry/team_registry.cpp
+++ b/src/libcyclamenrun/entry/team_registry.cpp
@@ -83,7 +83,7 @@
 void team_registry::finish(const std::string& team)
 {
     shards_.with(team,
-                 [&](limits_shard& shard) { shard.limiter.finished(team); });
+                 [&](limits_shard& shard) { shard.limiter.record_end(team); });
 }
 
 outcome<void> team_registry::spend_retry(const std::string& team)
--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -325,7 +325,7 @@
     answer_.prepare_next_response();
     ++sends_;
     // A resumed generation does not prefill its prompt again.
-    context_.upstreams.dispatched(
+    context_.upstreams.record_dispatch(
         upstream.id, resume_from ? 0 : facts_.prompt_tokens, attempt_began_);
     const auto self = shared_from_this();
     upstream_attempt::hooks on;
@@ -345,7 +345,7 @@
 void exchange::release_attempt()
 {
     if (attempt_) {
-        context_.upstreams.completed(attempt_->upstream().id);
+        context_.upstreams.record_completion(attempt_->upstream().id);
         // A generation that has begun is part of its engine's load, which the
         // monitor polls.
         if (uses_monitors() && !answer_.begun())
--- a/src/libcyclamenrun/gateway/upstream_registry.cpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.cpp
@@ -322,8 +322,9 @@
         unreported.pop_front();
 }
 
-void upstream_registry::dispatched(const std::string& id,
-                                   std::uint64_t prompt_tokens, time_point now)
+void upstream_registry::record_dispatch(const std::string& id,
+                                        std::uint64_t prompt_tokens,
+                                        time_point now)
 {
     expect_dispatch(id, prompt_tokens, now);
     const auto found = upstreams_.find(id);
@@ -331,7 +332,7 @@
         ++found->second.own_running;
 }
 
-void upstream_registry::completed(const std::string& id)
+void upstream_registry::record_completion(const std::string& id)
 {
     const auto found = upstreams_.find(id);
     if (found == upstreams_.end() || found->second.own_running == 0)
--- a/src/libcyclamenrun/gateway/upstream_registry.hpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.hpp
@@ -134,9 +134,12 @@
     void update_load(const ip_endpoint& address, const engine_load& load,
                      time_point now);
 
-    /** Records a request sent to the upstream; completed() records its end. */
-    void dispatched(const std::string& id, std::uint64_t prompt_tokens,
-                    time_point now);
+    /**
+     * Records a request sent to the upstream; record_completion() records its
+     * end.
+     */
+    void record_dispatch(const std::string& id, std::uint64_t prompt_tokens,
+                         time_point now);
     /**
      * Adds to the upstream's estimated load a request that will soon be
      * dispatched to it.
@@ -147,7 +150,7 @@
      * Records that a dispatched request has ended. Erases a removed upstream
      * when its last request has ended.
      */
-    void completed(const std::string& id);
+    void record_completion(const std::string& id);
     /** Records a success in the failure rate of the upstream. */
     void succeeded(const std::string& id, time_point now);
     /** Records a failure in the failure rate of the upstream. */
--- a/src/libcyclamenrun/membership/route_table.cpp
+++ b/src/libcyclamenrun/membership/route_table.cpp
@@ -95,20 +95,21 @@
     return route;
 }
 
-void route_table::dispatched(const relay_request& request,
-                             const std::string& upstream, time_point now)
+void route_table::record_dispatch(const relay_request& request,
+                                  const std::string& upstream, time_point now)
 {
     const auto route = route_request_for(request);
     routers_.with(request.service, [&](router& router) {
-        router.dispatched(upstream, route, now);
+        router.record_dispatch(upstream, route, now);
     });
 }
 
-void route_table::completed(const std::string& service,
-                            const std::string& upstream, time_point now)
+void route_table::record_completion(const std::string& service,
+                                    const std::string& upstream, time_point now)
 {
-    routers_.with(service,
-                  [&](router& router) { router.completed(upstream, now); });
+    routers_.with(service, [&](router& router) {
+        router.record_completion(upstream, now);
+    });
 }
 
 void route_table::update_report(const link::LoadReport& load, time_point now)
--- a/src/libcyclamenrun/membership/route_table.hpp
+++ b/src/libcyclamenrun/membership/route_table.hpp
@@ -45,10 +45,10 @@
     outcome<route_target> choose(const relay_request& request, objective goal,
                                  const std::vector<std::string>& excluded,
                                  bool suspect, time_point now);
-    void dispatched(const relay_request& request, const std::string& upstream,
-                    time_point now);
-    void completed(const std::string& service, const std::string& upstream,
-                   time_point now);
+    void record_dispatch(const relay_request& request,
+                         const std::string& upstream, time_point now);
+    void record_completion(const std::string& service,
+                           const std::string& upstream, time_point now);
     /** Applies a report that came with an answer or a heartbeat reply. */
     void update_report(const link::LoadReport& load, time_point now);
     /** The agent's incarnation and estimated uptime, for a ticket. */
--- a/src/libcyclamenrun/membership/router.cpp
+++ b/src/libcyclamenrun/membership/router.cpp
@@ -81,23 +81,23 @@
 
 void router::evicted(const std::string& upstream, std::uint64_t block)
 {
-    state_of(upstream).cache.evicted(block);
+    state_of(upstream).cache.record_eviction(block);
 }
 
-void router::dispatched(const std::string& upstream,
-                        const route_request& request, time_point now)
+void router::record_dispatch(const std::string& upstream,
+                             const route_request& request, time_point now)
 {
     tracked_upstream& state = state_of(upstream);
     if (settings_.own_counts)
-        state.load.dispatched(request.prompt_tokens, now);
+        state.load.record_dispatch(request.prompt_tokens, now);
     state.cache.record_use(request.prefix_blocks);
 }
 
-void router::completed(const std::string& upstream, time_point)
+void router::record_completion(const std::string& upstream, time_point)
 {
     const auto found = upstreams_.find(upstream);
     if (found != upstreams_.end())
-        found->second.load.completed();
+        found->second.load.record_completion();
 }
 
 void router::remove(const std::string& upstream)
--- a/src/libcyclamenrun/membership/router.hpp
+++ b/src/libcyclamenrun/membership/router.hpp
@@ -56,9 +56,9 @@
     /** Handles a cache event, as cached() does. */
     void evicted(const std::string& upstream, std::uint64_t block);
 
-    void dispatched(const std::string& upstream, const route_request& request,
-                    time_point now);
-    void completed(const std::string& upstream, time_point now);
+    void record_dispatch(const std::string& upstream,
+                         const route_request& request, time_point now);
+    void record_completion(const std::string& upstream, time_point now);
     /** Drops the state of an upstream that was removed. */
     void remove(const std::string& upstream);
 
--- a/src/libcyclamenrun/outcomes/gate.cpp
+++ b/src/libcyclamenrun/outcomes/gate.cpp
@@ -314,8 +314,8 @@
     run(deferred);
 }
 
-void gate::finished(work_id work, const std::string& finish_reason,
-                    time_point now)
+void gate::record_finish(work_id work, const std::string& finish_reason,
+                         time_point now)
 {
     deferred_calls deferred;
     {
@@ -332,7 +332,7 @@
     run(deferred);
 }
 
-void gate::answered(work_id work, call_answer answer, time_point now)
+void gate::record_answer(work_id work, call_answer answer, time_point now)
 {
     deferred_calls deferred;
     {
--- a/src/libcyclamenrun/outcomes/gate.hpp
+++ b/src/libcyclamenrun/outcomes/gate.hpp
@@ -81,9 +81,9 @@
 
     // Events of the upstream. Events of work that is not running are ignored.
     void record_token(work_id work, const std::string& text, time_point now);
-    void finished(work_id work, const std::string& finish_reason,
-                  time_point now);
-    void answered(work_id work, call_answer answer, time_point now);
+    void record_finish(work_id work, const std::string& finish_reason,
+                       time_point now);
+    void record_answer(work_id work, call_answer answer, time_point now);
     void run_failed(work_id work, const refusal& why, time_point now);
     /** Handles the end of the engine's process: all running work is lost. */
     void engine_lost(time_point now);
--- a/tests/decisions/test_limits.cpp
+++ b/tests/decisions/test_limits.cpp
@@ -47,7 +47,7 @@
     limiter.set_entries(100); // the share is at least one
     EXPECT_TRUE(limiter.admit("survey", limits, 10, start));
     EXPECT_FALSE(limiter.admit("survey", limits, 10, start));
-    limiter.finished("survey");
+    limiter.record_end("survey");
     EXPECT_TRUE(limiter.admit("survey", limits, 10, start));
 }
 
@@ -73,11 +73,11 @@
     team_limiter limiter(2);
     const team_limits limits{0, 100};
     ASSERT_TRUE(limiter.admit("debtor", limits, 5'000, start));
-    limiter.finished("debtor");
+    limiter.record_end("debtor");
     for (int i = 0; i < 10; ++i) {
         const std::string team = "team-" + std::to_string(i);
         ASSERT_TRUE(limiter.admit(team, limits, 1, start));
-        limiter.finished(team);
+        limiter.record_end(team);
     }
     EXPECT_LE(limiter.size(), 2U);
     EXPECT_FALSE(limiter.admit("debtor", limits, 1, start + 1s));
--- a/tests/decisions/test_router.cpp
+++ b/tests/decisions/test_router.cpp
@@ -64,7 +64,7 @@
         const auto chosen = routes.choose(request, candidates, start);
         ASSERT_TRUE(chosen);
         ++sent[*chosen];
-        routes.dispatched(candidates[*chosen].upstream, request, start);
+        routes.record_dispatch(candidates[*chosen].upstream, request, start);
     }
     for (const auto& [index, count] : sent)
         EXPECT_NEAR(count, 10, 1) << index;
@@ -81,7 +81,7 @@
         routes.update_report(report_of(one.upstream, 1s), start);
     const auto request = request_of(0);
     for (int i = 0; i < 5; ++i)
-        routes.dispatched("runner-0", request, start + 3s);
+        routes.record_dispatch("runner-0", request, start + 3s);
     routes.update_report(report_of("runner-0", 2s), start + 3s + 1ms);
     EXPECT_EQ(routes.choose(request, candidates, start + 3s).value(), 1U);
     routes.update_report(report_of("runner-0", 5s), start + 4s);
@@ -89,7 +89,7 @@
     busy.memory_tokens_used = 100;
     routes.update_report(busy, start + 4s);
     for (int i = 0; i < 5; ++i)
-        routes.completed("runner-0", start + 4s);
+        routes.record_completion("runner-0", start + 4s);
     EXPECT_EQ(routes.choose(request, candidates, start + 4s).value(), 0U);
 }
 
--- a/tests/faults/fake_upstream.cpp
+++ b/tests/faults/fake_upstream.cpp
@@ -155,7 +155,7 @@
     const auto finisher = running.owner;
     runs_.erase(id);
     if (finisher != nullptr)
-        finisher->finished(work, "stop", time_.now());
+        finisher->record_finish(work, "stop", time_.now());
 }
 
 void fake_upstream::finish_call(std::uint64_t id, run& running)
@@ -176,7 +176,8 @@
                           time_.now());
         return;
     }
-    owner->answered(work, {200, "text/plain", std::to_string(id)}, time_.now());
+    owner->record_answer(work, {200, "text/plain", std::to_string(id)},
+                         time_.now());
 }
 
 void fake_upstream::record(event_kind kind, std::uint64_t id,
--- a/tests/faults/test_guards.cpp
+++ b/tests/faults/test_guards.cpp
@@ -183,7 +183,7 @@
 
     unrelated.set_request_id("i.2");
     ASSERT_TRUE(tested_gate->submit(unrelated, start));
-    tested_gate->finished(started.back(), "stop", start);
+    tested_gate->record_finish(started.back(), "stop", start);
     ASSERT_TRUE(tested_gate->submit(generation("p.2"), start));
     tested_gate->engine_lost(start);
     tested_gate->engine_ready(0, start);
--- a/tests/gateway/test_upstream_registry.cpp
+++ b/tests/gateway/test_upstream_registry.cpp
@@ -90,7 +90,7 @@
     EXPECT_EQ(reported.id, "after");
     EXPECT_EQ(reported.slots, 10U);
     EXPECT_EQ(registry.find_at(reported.address)->record.id, "after");
-    registry.dispatched("after", 100, at(10));
+    registry.record_dispatch("after", 100, at(10));
     // The directory lists the same process with its own record.
     auto listed = record("after");
     listed.started_ms = 777;
@@ -136,7 +136,7 @@
 TEST_F(upstream_registry_test, ignores_monitor_reports_of_a_dropped_upstream)
 {
     put(record("a"));
-    registry.dispatched("a", 100, at(0));
+    registry.record_dispatch("a", 100, at(0));
     remove("a");
     put(record("next"));
     registry.update_identity(record("x").address, "a", at(10));
@@ -175,12 +175,12 @@
 TEST_F(upstream_registry_test, keeps_a_removed_upstream_while_requests_run)
 {
     put(record("a"));
-    registry.dispatched("a", 100, at(0));
+    registry.record_dispatch("a", 100, at(0));
     remove("a");
     EXPECT_EQ(usable(), 0U);
     EXPECT_EQ(leaving_ids.size(), 1U);
     EXPECT_TRUE(erased_ids.empty());
-    registry.completed("a");
+    registry.record_completion("a");
     EXPECT_EQ(erased_ids, std::vector<std::string>{"a"});
 }
 
@@ -256,7 +256,7 @@
     engine_load idle;
     idle.memory_total = 10000;
     registry.update_load({"10.0.0.1", 80}, idle, at(0));
-    registry.dispatched("a", 3500, at(10));
+    registry.record_dispatch("a", 3500, at(10));
     const auto wait = [&](int ms) {
         return placement_of(*registry.find("a"), request, at(ms)).wait;
     };
@@ -306,7 +306,7 @@
 TEST_F(upstream_registry_test, counts_other_gateways_without_a_load_report)
 {
     put(record("a"));
-    registry.dispatched("a", 1000, at(0));
+    registry.record_dispatch("a", 1000, at(0));
     placement_request request;
     request.engine_memory_tokens = 10000;
     request.prompt_tokens = 1000;
