--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -182,7 +182,7 @@
                               since(requested_at, context_.reactor->now()));
         start_found(engine);
     };
-    on.skipped = [this] {
+    on.passed_over = [this] {
         if (!may_refuse())
             return;
         recorder_.start_passed_over(search_->requested_count());
--- a/src/libcyclamenrun/gateway/start_search.cpp
+++ b/src/libcyclamenrun/gateway/start_search.cpp
@@ -139,7 +139,7 @@
     if (found == requested_.end())
         return;
     found->responded = true;
-    found->skips_request = denial == start_denial::passed_over;
+    found->passed_over = denial == start_denial::passed_over;
     if (denial == start_denial::refused) {
         requested_.erase(found);
         request_more(1);
@@ -148,24 +148,24 @@
     if (choice_pending_ && all_responded())
         choose();
     else
-        report_if_skipped();
+        report_if_passed_over();
 }
 
-bool start_search::is_skipped() const
+bool start_search::is_passed_over() const
 {
-    const auto skipping = static_cast<std::size_t>(std::count_if(
+    const auto passing_over = static_cast<std::size_t>(std::count_if(
         requested_.begin(), requested_.end(),
-        [](const requested_engine& each) { return each.skips_request; }));
-    return !choice_pending_ && skipping > requested_.size() / 2;
+        [](const requested_engine& each) { return each.passed_over; }));
+    return !choice_pending_ && passing_over > requested_.size() / 2;
 }
 
-void start_search::report_if_skipped()
+void start_search::report_if_passed_over()
 {
-    if (over_ || !is_skipped())
+    if (over_ || !is_passed_over())
         return;
     // Copied, since the call may destroy the exchange and this search.
-    const auto skipped = on_.skipped;
-    skipped();
+    const auto passed_over = on_.passed_over;
+    passed_over();
 }
 
 bool start_search::may_use(const requested_engine& requested) const
--- a/src/libcyclamenrun/gateway/start_search.hpp
+++ b/src/libcyclamenrun/gateway/start_search.hpp
@@ -36,10 +36,10 @@
         /** The generation starts at this engine. */
         std::function<void(const upstream_record&)> found;
         /**
-         * Most of the requested engines skip the request; the search goes on
-         * unless it is cancelled.
+         * Most of the requested engines pass over the request; the search goes
+         * on unless it is cancelled.
          */
-        std::function<void()> skipped;
+        std::function<void()> passed_over;
         /** No monitor responded within the timeout. */
         std::function<void()> no_response;
     };
@@ -56,8 +56,8 @@
 private:
     struct requested_engine {
         upstream_record engine;
-        bool responded = false;     ///< its monitor has responded
-        bool skips_request = false; ///< other requests have priority there
+        bool responded = false;   ///< its monitor has responded
+        bool passed_over = false; ///< other requests have priority there
         /** Set if the start is granted. */
         std::optional<engine_occupancy> occupancy;
     };
@@ -73,8 +73,8 @@
     bool may_use(const requested_engine& requested) const;
     void choose();
     void handle_wait(const std::string& host, start_denial denial);
-    bool is_skipped() const;
-    void report_if_skipped();
+    bool is_passed_over() const;
+    void report_if_passed_over();
     void release_others(const std::string& host);
     std::vector<requested_engine>::iterator find(const std::string& host);
 
--- a/src/libcyclamenrun/links/client_stream.cpp
+++ b/src/libcyclamenrun/links/client_stream.cpp
@@ -62,7 +62,7 @@
 {
     const auto connection = connection_.lock();
     if (connection && !ended_)
-        connection->return_window(id_, bytes);
+        connection->return_credit(id_, bytes);
 }
 
 bool client_stream::handle_data(std::string_view data)
--- a/src/libcyclamenrun/links/link_client_connection.cpp
+++ b/src/libcyclamenrun/links/link_client_connection.cpp
@@ -193,7 +193,7 @@
     fail(link_failure::cancelled);
 }
 
-void link_client_connection::return_window(std::int32_t stream,
+void link_client_connection::return_credit(std::int32_t stream,
                                            std::size_t bytes)
 {
     return_stream_credit(stream, bytes);
--- a/src/libcyclamenrun/links/link_client_connection.hpp
+++ b/src/libcyclamenrun/links/link_client_connection.hpp
@@ -40,7 +40,7 @@
     void open(const std::shared_ptr<client_stream>& stream);
     void cancel(const std::shared_ptr<client_stream>& stream);
     /** Returns flow control credit; see return_stream_credit(). */
-    void return_window(std::int32_t stream, std::size_t bytes);
+    void return_credit(std::int32_t stream, std::size_t bytes);
     /**
      * Number of the owner's streams, including those that wait for the
      * handshake.
--- a/tests/gateway/test_start_search.cpp
+++ b/tests/gateway/test_start_search.cpp
@@ -256,7 +256,7 @@
                 second_engine->arrived().empty());
 }
 
-// Guards against a premature refusal: only one of two engines skips the
+// Guards against a premature refusal: only one of two engines passes over the
 // request, and the other may have room later.
 TEST_F(start_searches, wait_while_one_engine_may_have_room)
 {
