--- a/src/libcyclamenrun/decisions/attempt_policy.cpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.cpp
@@ -78,20 +78,21 @@
 }
 
 std::optional<milliseconds>
-attempt_response_timeout(const attempt_state& state, milliseconds objective,
+attempt_response_timeout(const attempt_state& state,
+                         milliseconds response_objective,
                          std::optional<milliseconds> usual_bound)
 {
     // The current attempt counts as a run if it times out.
     const bool can_retry = state.idempotent &&
                            state.runs + 1 < state.max_attempts &&
                            state.sends < max_sends;
-    if (!can_retry || objective <= milliseconds::zero())
+    if (!can_retry || response_objective <= milliseconds::zero())
         return std::nullopt;
     // An attempt that begins after the lower bound can still meet the
     // objective. One that begins after the upper bound can hardly respond
     // before the caller times out.
-    const auto lowest = min_timeout_objectives * objective.count();
-    const auto highest = max_timeout_objectives * objective.count();
+    const auto lowest = min_timeout_objectives * response_objective.count();
+    const auto highest = max_timeout_objectives * response_objective.count();
     const auto usual =
         usual_bound ? static_cast<double>(usual_bound->count()) : highest;
     return milliseconds(std::llround(std::clamp(usual, lowest, highest)));
--- a/src/libcyclamenrun/decisions/attempt_policy.hpp
+++ b/src/libcyclamenrun/decisions/attempt_policy.hpp
@@ -61,14 +61,15 @@
  * of the engines unresponsive, 7.4% of the requests failed without a timeout
  * and 4.7% with it.
  *
- * `objective` is the longest response time that counts as on time; zero
- * disables the timeout. `usual_bound` is the longest usual response time, see
- * response_time. A fixed timeout of 0.6 times the objective takes requests out
- * of queues whenever many callers make all queues long, and cost these callers
- * 0.017 of their requests' value.
+ * `response_objective` is the longest response time that counts as on time;
+ * zero disables the timeout. `usual_bound` is the longest usual response time,
+ * see response_time. A fixed timeout of 0.6 times the objective takes requests
+ * out of queues whenever many callers make all queues long, and cost these
+ * callers 0.017 of their requests' value.
  */
 std::optional<milliseconds>
-attempt_response_timeout(const attempt_state& state, milliseconds objective,
+attempt_response_timeout(const attempt_state& state,
+                         milliseconds response_objective,
                          std::optional<milliseconds> usual_bound);
 
 /**
--- a/src/libcyclamenrun/decisions/fair_share.cpp
+++ b/src/libcyclamenrun/decisions/fair_share.cpp
@@ -12,16 +12,16 @@
     account& opened = found->second;
     if (is_new)
         opened.team = team;
-    else if (opened.holders == 0)
+    else if (opened.open_count == 0)
         --idle_;
     opened.weight = std::max(weight, 1U);
-    ++opened.holders;
+    ++opened.open_count;
     return opened;
 }
 
 void fair_share::close(account& target)
 {
-    if (--target.holders > 0)
+    if (--target.open_count > 0)
         return;
     ++idle_;
     if (idle_ > max_idle_)
@@ -35,9 +35,12 @@
     // the idle accounts above the virtual time are dropped too, to keep the
     // bound.
     const auto at_virtual_time = [this](const auto& item) {
-        return item.second.holders == 0 && item.second.counter <= virtual_time_;
+        return item.second.open_count == 0 &&
+               item.second.counter <= virtual_time_;
+    };
+    const auto idle = [](const auto& item) {
+        return item.second.open_count == 0;
     };
-    const auto idle = [](const auto& item) { return item.second.holders == 0; };
     idle_ -= std::erase_if(accounts_, at_virtual_time);
     if (idle_ > max_idle_)
         idle_ -= std::erase_if(accounts_, idle);
--- a/src/libcyclamenrun/decisions/fair_share.hpp
+++ b/src/libcyclamenrun/decisions/fair_share.hpp
@@ -23,8 +23,8 @@
     struct account {
         std::string team;
         double weight = 1.0;
-        double counter = 0.0;      ///< charged tokens, divided by the weight
-        std::uint32_t holders = 0; ///< calls of open() without a close()
+        double counter = 0.0;         ///< charged tokens, divided by the weight
+        std::uint32_t open_count = 0; ///< calls of open() without a close()
     };
 
     explicit fair_share(std::size_t max_idle) : max_idle_(max_idle) {}
--- a/src/libcyclamenrun/decisions/retry_budget.cpp
+++ b/src/libcyclamenrun/decisions/retry_budget.cpp
@@ -10,28 +10,28 @@
 {
 }
 
-double& retry_budget::tokens_of(const std::string& team)
+double& retry_budget::retries_of(const std::string& team)
 {
-    const auto found = tokens_.find(team);
-    if (found != tokens_.end())
+    const auto found = retries_left_.find(team);
+    if (found != retries_left_.end())
         return found->second;
-    if (tokens_.size() >= max_teams_)
-        tokens_.clear();
-    return tokens_.emplace(team, burst_).first->second;
+    if (retries_left_.size() >= max_teams_)
+        retries_left_.clear();
+    return retries_left_.emplace(team, burst_).first->second;
 }
 
 void retry_budget::record_request(const std::string& team)
 {
-    double& tokens = tokens_of(team);
-    tokens = std::min(tokens + share_, burst_);
+    double& retries = retries_of(team);
+    retries = std::min(retries + share_, burst_);
 }
 
 bool retry_budget::try_retry(const std::string& team)
 {
-    double& tokens = tokens_of(team);
-    if (tokens < 1.0)
+    double& retries = retries_of(team);
+    if (retries < 1.0)
         return false;
-    tokens -= 1.0;
+    retries -= 1.0;
     return true;
 }
 
--- a/src/libcyclamenrun/decisions/retry_budget.hpp
+++ b/src/libcyclamenrun/decisions/retry_budget.hpp
@@ -23,15 +23,15 @@
     /** Spends one retry; false if the budget is exhausted. */
     bool try_retry(const std::string& team);
 
-    std::size_t size() const { return tokens_.size(); }
+    std::size_t size() const { return retries_left_.size(); }
 
 private:
-    double& tokens_of(const std::string& team);
+    double& retries_of(const std::string& team);
 
     double share_;
     double burst_;
     std::size_t max_teams_;
-    std::unordered_map<std::string, double> tokens_;
+    std::unordered_map<std::string, double> retries_left_;
 };
 
 } // namespace cyclamenrun
--- a/src/libcyclamenrun/entry/caller_http_handler.cpp
+++ b/src/libcyclamenrun/entry/caller_http_handler.cpp
@@ -122,9 +122,9 @@
             not_run(refusal_reason::bad_request,
                     "this path does not support the HTTP method"));
     if (path == "/v1/completions")
-        return complete(completion_shape::completions, request, response);
+        return complete(completion_format::completions, request, response);
     if (path == "/v1/chat/completions")
-        return complete(completion_shape::chat, request, response);
+        return complete(completion_format::chat, request, response);
     if (const auto service = service_in(path, calls_suffix); !service.empty())
         return call(service, request, response);
     if (const auto service = service_in(path, tickets_suffix); !service.empty())
@@ -132,7 +132,7 @@
     return tl::unexpected(not_run(refusal_reason::bad_request, "unknown path"));
 }
 
-outcome<void> caller_http_handler::complete(completion_shape shape,
+outcome<void> caller_http_handler::complete(completion_format format,
                                             http_request& request,
                                             http_response& response)
 {
@@ -144,19 +144,19 @@
     if (!body)
         return tl::unexpected(body.error());
     const auto& limits = core_.settings().limits;
-    const auto parsed = parse_completion_body(shape, *body, limits);
+    const auto parsed = parse_completion_body(format, *body, limits);
     if (!parsed)
         return tl::unexpected(parsed.error());
     const auto service = core_.service(*caller, parsed->service);
     if (!service)
         return tl::unexpected(service.error());
-    auto made = make_completion_request(shape, *parsed, *body, headers,
+    auto made = make_completion_request(format, *parsed, *body, headers,
                                         **service, limits, core_.now());
     if (!made)
         return tl::unexpected(made.error());
     http_caller_writer writer(
         request, response,
-        {request_id_, parsed->service, shape, parsed->stream});
+        {request_id_, parsed->service, format, parsed->stream});
     core_.serve(*caller, std::move(*made), writer);
     return {};
 }
@@ -226,11 +226,11 @@
               {{log_key::request_id, request_id_},
                {log_key::team, caller->team->name()},
                {log_key::generation, made->resume_after->generation}});
-    const auto shape = request.getURI().ends_with("?shape=chat")
-                           ? completion_shape::chat
-                           : completion_shape::completions;
+    const auto format = request.getURI().ends_with("?shape=chat")
+                            ? completion_format::chat
+                            : completion_format::completions;
     http_caller_writer writer(request, response,
-                              {request_id_, {}, shape, true});
+                              {request_id_, {}, format, true});
     core_.serve(*caller, std::move(*made), writer);
     return {};
 }
--- a/src/libcyclamenrun/entry/caller_http_handler.hpp
+++ b/src/libcyclamenrun/entry/caller_http_handler.hpp
@@ -36,7 +36,7 @@
     using http_response = Poco::Net::HTTPServerResponse;
 
     outcome<void> route(http_request& request, http_response& response);
-    outcome<void> complete(completion_shape shape, http_request& request,
+    outcome<void> complete(completion_format format, http_request& request,
                            http_response& response);
     outcome<void> call(const std::string& service_name, http_request& request,
                        http_response& response);
--- a/src/libcyclamenrun/entry/caller_request.cpp
+++ b/src/libcyclamenrun/entry/caller_request.cpp
@@ -185,7 +185,7 @@
     return blocks;
 }
 
-outcome<completion_body> parse_completion_body(completion_shape shape,
+outcome<completion_body> parse_completion_body(completion_format format,
                                                const std::string& body,
                                                const caller_limits& limits)
 {
@@ -199,12 +199,12 @@
             invalid_request("model must be the name of a service"));
     parsed.service = *service;
 
-    const auto prompt = shape == completion_shape::chat
+    const auto prompt = format == completion_format::chat
                             ? prompt_of_messages(*object)
                             : json_string(*object, "prompt");
     if (!prompt)
         return tl::unexpected(invalid_request(
-            shape == completion_shape::chat
+            format == completion_format::chat
                 ? "messages must be a list of objects with role and content"
                 : "prompt must be a string"));
     if (prompt->size() > limits.max_prompt_bytes)
@@ -224,7 +224,7 @@
 }
 
 outcome<relay_request>
-make_completion_request(completion_shape shape, const completion_body& parsed,
+make_completion_request(completion_format format, const completion_body& parsed,
                         const std::string& body, const caller_headers& headers,
                         const v1::Service& service, const caller_limits& limits,
                         time_point now)
@@ -260,8 +260,8 @@
 
     request.kind = link::WORK_KIND_GENERATION;
     request.service = service.name();
-    request.path = shape == completion_shape::chat ? "/v1/chat/completions"
-                                                   : "/v1/completions";
+    request.path = format == completion_format::chat ? "/v1/chat/completions"
+                                                     : "/v1/completions";
     request.body = body_for_engine(body, request.max_output_tokens);
     request.fingerprint = hash64(parsed.prompt, hash64(service.name()));
     request.prefix_blocks = prefix_blocks_of(parsed.prompt);
--- a/src/libcyclamenrun/entry/caller_request.hpp
+++ b/src/libcyclamenrun/entry/caller_request.hpp
@@ -32,7 +32,7 @@
 };
 
 /** The format of a generation request and of its response. */
-enum class completion_shape : std::uint8_t { completions, chat };
+enum class completion_format : std::uint8_t { completions, chat };
 
 /** The fields of a generation request's body. */
 struct completion_body {
@@ -42,7 +42,7 @@
     bool stream = false;
 };
 
-outcome<completion_body> parse_completion_body(completion_shape shape,
+outcome<completion_body> parse_completion_body(completion_format format,
                                                const std::string& body,
                                                const caller_limits& limits);
 
@@ -51,7 +51,7 @@
  * of the requested service.
  */
 outcome<relay_request>
-make_completion_request(completion_shape shape, const completion_body& parsed,
+make_completion_request(completion_format format, const completion_body& parsed,
                         const std::string& body, const caller_headers& headers,
                         const v1::Service& service, const caller_limits& limits,
                         time_point now);
--- a/src/libcyclamenrun/entry/http_caller_writer.cpp
+++ b/src/libcyclamenrun/entry/http_caller_writer.cpp
@@ -141,7 +141,7 @@
 
 std::string http_caller_writer::token_chunk(const std::string& text) const
 {
-    const bool chat = format_.shape == completion_shape::chat;
+    const bool chat = format_.completion == completion_format::chat;
     const auto quoted = json_quoted(text);
     return chunk((chat ? "\"delta\":{\"content\":" + quoted + '}'
                        : "\"text\":" + quoted) +
@@ -151,7 +151,7 @@
 std::string
 http_caller_writer::end_chunk(const std::string& finish_reason) const
 {
-    const bool chat = format_.shape == completion_shape::chat;
+    const bool chat = format_.completion == completion_format::chat;
     return chunk(
         (chat ? std::string("\"delta\":{}") : std::string("\"text\":\"\"")) +
         ",\"finish_reason\":" + json_quoted(finish_reason));
@@ -162,7 +162,7 @@
     std::string text;
     for (const auto& token : end.whole)
         text += token;
-    const bool chat = format_.shape == completion_shape::chat;
+    const bool chat = format_.completion == completion_format::chat;
     const auto quoted = json_quoted(text);
     const auto choice =
         (chat
@@ -177,7 +177,7 @@
 
 std::string http_caller_writer::chunk(const std::string& choice) const
 {
-    const bool chat = format_.shape == completion_shape::chat;
+    const bool chat = format_.completion == completion_format::chat;
     const auto* object =
         format_.events ? (chat ? "chat.completion.chunk" : "text_completion")
                        : (chat ? "chat.completion" : "text_completion");
--- a/src/libcyclamenrun/entry/http_caller_writer.hpp
+++ b/src/libcyclamenrun/entry/http_caller_writer.hpp
@@ -20,7 +20,7 @@
 struct answer_format {
     std::string request_id;
     std::string service;
-    completion_shape shape = completion_shape::completions;
+    completion_format completion = completion_format::completions;
     bool events = false; ///< server-sent events; otherwise one JSON body
 };
 
--- a/tests/entry/test_caller_request.cpp
+++ b/tests/entry/test_caller_request.cpp
@@ -24,18 +24,19 @@
 }
 
 /** Returns why a body is refused; refusal_reason{}, no reason, if it is not. */
-refusal_reason reason_of(const std::string& body,
-                         completion_shape shape = completion_shape::completions)
+refusal_reason
+reason_of(const std::string& body,
+          completion_format format = completion_format::completions)
 {
-    const auto parsed = parse_completion_body(shape, body, limits);
+    const auto parsed = parse_completion_body(format, body, limits);
     return parsed ? refusal_reason{} : parsed.error().reason;
 }
 
 outcome<relay_request> request_with(const caller_headers& headers)
 {
-    const auto shape = completion_shape::completions;
-    const auto parsed = parse_completion_body(shape, good_body, limits);
-    return make_completion_request(shape, *parsed, good_body, headers,
+    const auto format = completion_format::completions;
+    const auto parsed = parse_completion_body(format, good_body, limits);
+    return make_completion_request(format, *parsed, good_body, headers,
                                    model_service(), limits, now);
 }
 
@@ -67,7 +68,7 @@
     for (const auto* body :
          {R"({"model":"m","messages":[]})", R"({"model":"m","messages":[1]})",
           R"({"model":"m","messages":[{"role":"user"}]})"})
-        EXPECT_EQ(reason_of(body, completion_shape::chat),
+        EXPECT_EQ(reason_of(body, completion_format::chat),
                   refusal_reason::bad_request)
             << body;
     const std::string long_prompt(limits.max_prompt_bytes + 1, 'p');
@@ -98,9 +99,9 @@
 TEST(caller_request, arbitrary_bytes_are_parsed_or_refused)
 {
     EXPECT_TRUE(rc::check([](const std::string& bytes) {
-        (void)parse_completion_body(completion_shape::completions, bytes,
+        (void)parse_completion_body(completion_format::completions, bytes,
                                     limits);
-        (void)parse_completion_body(completion_shape::chat, bytes, limits);
+        (void)parse_completion_body(completion_format::chat, bytes, limits);
         (void)ticket_authority::from_text(bytes);
         caller_headers headers;
         headers.last_event_id = bytes;
@@ -116,7 +117,7 @@
         body[at % body.size()] = byte;
         body.resize(cut % (body.size() + 1));
         const auto parsed =
-            parse_completion_body(completion_shape::completions, body, limits);
+            parse_completion_body(completion_format::completions, body, limits);
         if (parsed)
             RC_ASSERT(parse_json_object(body));
     }));
