--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -182,7 +182,7 @@
                               since(requested_at, context_.reactor->now()));
         start_found(engine);
     };
-    on.skipped = [this] {
+    on.passed_over = [this] {
         if (!may_refuse())
             return;
         recorder_.start_passed_over(search_->requested_count());
@@ -324,8 +324,8 @@
     resume_from_ = resume_from;
     answer_.prepare_next_response();
     ++sends_;
-    // A resumed generation does not read its prompt again.
-    context_.upstreams.dispatched(
+    // A resumed generation does not prefill its prompt again.
+    context_.upstreams.record_dispatch(
         upstream.id, resume_from ? 0 : facts_.prompt_tokens, attempt_began_);
     const auto self = shared_from_this();
     upstream_attempt::hooks on;
@@ -345,7 +345,7 @@
 void exchange::release_attempt()
 {
     if (attempt_) {
-        context_.upstreams.completed(attempt_->upstream().id);
+        context_.upstreams.record_completion(attempt_->upstream().id);
         // A generation that has begun is part of its engine's load, which the
         // monitor polls.
         if (uses_monitors() && !answer_.begun())
@@ -360,8 +360,8 @@
 void exchange::handle_head(http_head&& head, const response_facts& facts)
 {
     context_.upstreams.connection_succeeded(attempt_->upstream().id);
-    // A resumed generation does not read its prompt, so its response time is
-    // not typical.
+    // A resumed generation does not prefill its prompt, so its response time
+    // is not typical.
     if (!resume_from_)
         context_.route_response_times.add(
             admitted_.route->name,
