--- a/src/libcyclamenrun/gateway/upstream_registry.cpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.cpp
@@ -14,8 +14,10 @@
 {
 
 /**
- * Time in which an unconfirmed upstream must renew its record. After an outage
- * of the directory, live upstreams do so within two seconds.
+ * Time in which an unconfirmed upstream must renew its record. It counts from
+ * when this gateway learns that the record is missing. Live upstreams renew
+ * within two seconds of the end of an outage of the directory, and the gateway
+ * learns of the missing record only after that end.
  */
 constexpr milliseconds unconfirmed_timeout{1900};
 /**
--- a/src/libcyclamenrun/gateway/upstream_registry.hpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.hpp
@@ -79,9 +79,9 @@
  * Of several upstreams at one address only the one that started last can be
  * running: records of its predecessors stay in the directory for seconds, or
  * longer after an outage. A gateway that has just started and used these
- * records could send a request to predecessors max_sends times, be rejected by
- * their successor each time, and refuse the request. After a loss of all
- * gateways, such refusals cost 3.8% of the value of a day's requests.
+ * records could use all permitted sends of a request on predecessors, be
+ * rejected by their successor each time, and refuse the request. After a loss
+ * of all gateways, such refusals cost 3.8% of the value of a day's requests.
  */
 class upstream_registry
 {
--- a/src/libcyclamenrun/links/link_server.hpp
+++ b/src/libcyclamenrun/links/link_server.hpp
@@ -16,9 +16,11 @@
 class link_loop;
 
 /**
- * The server end of links, used by agents. It serves only peers that have
- * authenticated with the link key. The destructor closes all connections
- * and, unless it runs on the loop's own thread, waits for running callbacks.
+ * The server end of links: an agent serves entries with it, and a monitor's
+ * directory relay serves gateways. Only peers that have authenticated with the
+ * link key are served. The directory relay uses an empty key, with which any
+ * peer can authenticate. The destructor closes all connections and, unless it
+ * runs on the loop's own thread, waits for running callbacks.
  */
 class link_server
 {
