--- a/tests/gateway/test_upstream_registry.cpp
+++ b/tests/gateway/test_upstream_registry.cpp
@@ -24,7 +24,7 @@
     return result;
 }
 
-struct registry_fixture : testing::Test {
+struct upstream_registry_test : testing::Test {
     std::vector<std::string> leaving_ids;
     std::vector<std::string> erased_ids;
     upstream_registry registry{
@@ -45,8 +45,6 @@
     std::size_t usable() const { return registry.available("s").size(); }
 };
 
-using upstream_registry_test = registry_fixture;
-
 // After a power loss of all gateways, the directory still lists engines that
 // were reclaimed meanwhile, beside their successors at the same addresses. A
 // gateway that used the old records would be rejected four times and refuse a
--- a/tests/processes/deployment.cpp
+++ b/tests/processes/deployment.cpp
@@ -260,14 +260,14 @@
 
 std::optional<http_answer> deployment::call(const entry_process& entry,
                                             const std::string& ticket,
-                                            milliseconds limit) const
+                                            milliseconds time_limit) const
 {
     auto request = caller_request(
         "POST", "/v1/services/" + std::string(application_service) + "/calls",
         R"({"sample":"S-17","line":4})");
     if (!ticket.empty())
         request.headers["X-Ticket"] = ticket;
-    request.headers["X-Deadline-Ms"] = std::to_string(limit.count());
+    request.headers["X-Deadline-Ms"] = std::to_string(time_limit.count());
     http_exchange exchange(entry.address, {}, steady_now);
     const auto answer = exchange.run(request);
     if (!answer)
--- a/tests/processes/deployment.hpp
+++ b/tests/processes/deployment.hpp
@@ -91,13 +91,13 @@
     caller_stream resume(const entry_process& entry,
                          const std::string& last_event_id) const;
     /**
-     * Sends a call whose deadline is `limit` from now, with a ticket, or none
-     * if `ticket` is empty. Returns the answer; empty if the entry does not
-     * answer.
+     * Sends a call whose deadline is `time_limit` from now, with a ticket, or
+     * none if `ticket` is empty. Returns the answer; empty if the entry does
+     * not answer.
      */
     std::optional<http_answer> call(const entry_process& entry,
                                     const std::string& ticket,
-                                    milliseconds limit = test_limit) const;
+                                    milliseconds time_limit = test_limit) const;
     /** Requests a new ticket; empty if the entry does not issue one. */
     std::string request_ticket(const entry_process& entry) const;
 
