--- a/tests/decisions/test_thundering_herds.cpp
+++ b/tests/decisions/test_thundering_herds.cpp
@@ -380,7 +380,7 @@
 // old, all gateways send to the few engines that were empty in the reports, and
 // callers wait although the fleet has room. With start requests at several
 // engines, few first parts are late.
-TEST(thundering_herds, keep_no_callers_waiting_where_engines_grant_starts)
+TEST(thundering_herds, delay_few_callers_where_engines_grant_starts)
 {
     double late_by_reports = 0;
     double late_by_requests = 0;
