--- a/bench/bench_entry.hpp
+++ b/bench/bench_entry.hpp
@@ -25,7 +25,7 @@
                                 time_point now);
     /** Handles an upstream's load report. */
     void update_report(const load_report& latest, time_point now);
-    router& routes() { return router_; }
+    cyclamenrun::router& router() { return router_; }
     retry_budget& retries() { return retries_; }
 
     const std::string failure_domain;
@@ -40,7 +40,7 @@
                       std::span<const candidate> candidates);
 
     policy_kind kind_;
-    router router_;
+    cyclamenrun::router router_;
     retry_budget retries_;
     std::size_t next_index_; ///< of the candidate to examine first
     std::unordered_map<std::string, load_report> reports_; ///< for least_load
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -394,7 +394,7 @@
         ++upstream;
     caller.current_phase = caller_state::phase::dispatched;
     caller.upstream = upstream;
-    entry.routes().dispatched(name, incoming, now_);
+    entry.router().dispatched(name, incoming, now_);
     after(from_s(settings_.tested_deployment.one_way_ms / 1000),
           [this, id, upstream] { deliver(id, upstream); });
 }
@@ -425,7 +425,7 @@
 {
     caller_state& caller = callers_[id];
     bench_entry& entry = *entries_[caller.entry];
-    entry.routes().completed(agents_[caller.upstream]->name, now_);
+    entry.router().completed(agents_[caller.upstream]->name, now_);
     caller.excluded.push_back(agents_[caller.upstream]->name);
     caller.current_phase = caller_state::phase::not_dispatched;
     caller.upstream = SIZE_MAX;
@@ -475,7 +475,7 @@
         return;
     if (caller.current_phase == caller_state::phase::dispatched) {
         agents_[caller.upstream]->cancel(id, now_);
-        entries_[caller.entry]->routes().completed(
+        entries_[caller.entry]->router().completed(
             agents_[caller.upstream]->name, now_);
     }
     if (is_measured(caller))
@@ -573,7 +573,7 @@
 {
     caller_state& caller = callers_[id];
     caller.current_phase = caller_state::phase::done;
-    entries_[caller.entry]->routes().completed(agents_[caller.upstream]->name,
+    entries_[caller.entry]->router().completed(agents_[caller.upstream]->name,
                                                now_);
     if (in_window(now_)) {
         ++measures_.answers_in_window;
@@ -601,9 +601,9 @@
             for (auto& entry : entries_) {
                 const std::string& name = agents_[upstream]->name;
                 if (happened.stored)
-                    entry->routes().cached(name, {&happened.block, 1});
+                    entry->router().cached(name, {&happened.block, 1});
                 else
-                    entry->routes().evicted(name, happened.block);
+                    entry->router().evicted(name, happened.block);
             }
         });
     }
@@ -638,7 +638,7 @@
         retry_elsewhere(id, std::nullopt);
         return;
     }
-    entries_[caller.entry]->routes().completed(agents_[caller.upstream]->name,
+    entries_[caller.entry]->router().completed(agents_[caller.upstream]->name,
                                                now_);
     if (caller.poison && caller.losses < max_poison_attempts) {
         resend_poison(id);
