--- a/tests/product/test_change_sender.cpp
+++ b/tests/product/test_change_sender.cpp
@@ -71,11 +71,9 @@
     std::size_t find_calls = 0;
 };
 
-/**
- * Guards against reporting a failure for a change that is in force: the entry
- * appends the change and crashes before it answers, and the client treats the
- * lost answer as a failed change.
- */
+// Guards against reporting a failure for a change that is in force: the entry
+// appends the change and crashes before it answers, and the client treats the
+// lost answer as a failed change.
 TEST_F(change_sender_test, a_lost_answer_is_resolved_by_the_change_id)
 {
     const auto answer = send({apply_error(true)}, {found(true, 7)});
@@ -84,12 +82,10 @@
     EXPECT_EQ(apply_calls, 1U);
 }
 
-/**
- * Guards against reporting "nothing was changed" for a change that comes into
- * force later: the answer of the first attempt is lost, and the second attempt
- * is refused as not run because the entry is not ready. That refusal is valid
- * for the second attempt only.
- */
+// Guards against reporting "nothing was changed" for a change that comes into
+// force later: the answer of the first attempt is lost, and the second attempt
+// is refused as not run because the entry is not ready. That refusal is valid
+// for the second attempt only.
 TEST_F(change_sender_test, a_later_refusal_does_not_decide_an_earlier_attempt)
 {
     const auto answer =
--- a/tests/product/test_ctl.cpp
+++ b/tests/product/test_ctl.cpp
@@ -72,11 +72,9 @@
     EXPECT_THAT(run("show services").output, testing::HasSubstr("stall_time"));
 }
 
-/**
- * The platform's log is slow, and the answer to a change is lost after the
- * change came into force. The client must report the change as accepted and
- * must not append a second record to the log.
- */
+// The platform's log is slow, and the answer to a change is lost after the
+// change came into force. The client must report the change as accepted and
+// must not append a second record to the log.
 TEST_F(ctl_test, a_lost_answer_causes_neither_a_failure_nor_a_second_change)
 {
     entry.answer_unknown(1);
@@ -85,11 +83,9 @@
     EXPECT_EQ(entry.records(), 1);
 }
 
-/**
- * Two operators change the same service concurrently. The client of the second
- * must report the conflict and print the resource in force, and must not
- * overwrite it.
- */
+// Two operators change the same service concurrently. The client of the second
+// must report the conflict and print the resource in force, and must not
+// overwrite it.
 TEST_F(ctl_test, a_conflict_shows_the_winner)
 {
     v1::Resource winner;
--- a/tests/product/test_entry_program.cpp
+++ b/tests/product/test_entry_program.cpp
@@ -84,11 +84,9 @@
     return response.getStatus();
 }
 
-/**
- * Guards against an idle entry that serves no requests: callers that keep their
- * connections open and stop reading each block a thread in a write
- * indefinitely, until no thread is free.
- */
+// Guards against an idle entry that serves no requests: callers that keep their
+// connections open and stop reading each block a thread in a write
+// indefinitely, until no thread is free.
 TEST_F(entry_program, callers_that_stop_reading_do_not_occupy_threads)
 {
     child_process entry("cyclamenrun-entry", {"--settings", settings.path()});
@@ -101,11 +99,9 @@
     EXPECT_EQ(health_status(*address), 200);
 }
 
-/**
- * Guards against an idle entry that serves no requests: callers that send their
- * requests byte by byte each occupy a thread indefinitely, since each
- * byte arrives before the timeout of a read.
- */
+// Guards against an idle entry that serves no requests: callers that send their
+// requests byte by byte each occupy a thread indefinitely, since each
+// byte arrives before the timeout of a read.
 TEST_F(entry_program, callers_that_send_byte_by_byte_do_not_occupy_threads)
 {
     child_process entry("cyclamenrun-entry", {"--settings", settings.path()});
--- a/tests/product/test_instrumentation.cpp
+++ b/tests/product/test_instrumentation.cpp
@@ -57,11 +57,9 @@
     MOCK_METHOD(bool, is_disconnected, (), (override));
 };
 
-/**
- * The platform's log is unavailable for an hour while it is read continuously.
- * The outage must be logged as one line at its start and one at its end, not as
- * one line per attempt. A rate limit does not count as an outage.
- */
+// The platform's log is unavailable for an hour while it is read continuously.
+// The outage must be logged as one line at its start and one at its end, not as
+// one line per attempt. A rate limit does not count as an outage.
 TEST_F(instrumentation_test, an_outage_of_the_log_is_logged_in_two_lines)
 {
     NiceMock<mock_log> inner;
--- a/tests/product/test_logging.cpp
+++ b/tests/product/test_logging.cpp
@@ -113,7 +113,7 @@
     EXPECT_EQ(counts.size(), 200U);
 }
 
-/** Callers choose request ids and paths: any bytes must yield one JSON line. */
+// Callers choose request ids and paths: any bytes must yield one JSON line.
 RC_GTEST_PROP(logging, hostile_text_leaves_one_line_of_json,
               (const std::vector<std::uint8_t>& bytes))
 {
--- a/tests/product/test_rpc.cpp
+++ b/tests/product/test_rpc.cpp
@@ -86,7 +86,7 @@
     EXPECT_EQ(code_of(unknown_path), "unimplemented");
 }
 
-/** Any body must yield a response or a typed error. */
+// Any body must yield a response or a typed error.
 RC_GTEST_PROP(rpc_router, any_body_gets_an_answer_or_a_typed_error,
               (const std::vector<std::uint8_t>& bytes, bool as_json))
 {
