--- a/tests/faults/fake_upstream.cpp
+++ b/tests/faults/fake_upstream.cpp
@@ -30,7 +30,7 @@
     return body;
 }
 
-std::string exchange_of(const std::string& request_id)
+std::string caller_request_id_of(const std::string& request_id)
 {
     return request_id.substr(0, request_id.rfind('.'));
 }
@@ -186,7 +186,8 @@
     observed.kind = kind;
     observed.at_ms = time_.now_ms();
     observed.work = work_of_body(running.admitted.body);
-    observed.exchange = exchange_of(running.admitted.request_id);
+    observed.caller_request_id =
+        caller_request_id_of(running.admitted.request_id);
     observed.upstream = incarnation_name();
     observed.run = id;
     observed.index = index;
--- a/tests/faults/fake_upstream.hpp
+++ b/tests/faults/fake_upstream.hpp
@@ -86,8 +86,8 @@
 
 /** The work id that a request's body names. */
 std::string work_of_body(const std::string& body);
-/** The caller's exchange to which a request id belongs. */
-std::string exchange_of(const std::string& request_id);
+/** The id of the caller's request to which a dispatch's request id belongs. */
+std::string caller_request_id_of(const std::string& request_id);
 
 } // namespace cyclamenrun::faults
 
--- a/tests/faults/fault_world.cpp
+++ b/tests/faults/fault_world.cpp
@@ -574,12 +574,12 @@
     const auto id = ++last_session_;
     auto& current = sessions_[id];
     current.entry = entry;
-    current.exchange = "x" + std::to_string(id);
+    current.caller_request_id = "x" + std::to_string(id);
     serving_entry_ = entry;
-    record(event_kind::exchange_begun, id);
+    record(event_kind::request_sent, id);
 
     relay_request request;
-    request.id = current.exchange;
+    request.id = current.caller_request_id;
     const bool call =
         shape_ != work_shape::stream && shape_ != work_shape::whole;
     request.kind = call ? link::WORK_KIND_CALL : link::WORK_KIND_GENERATION;
@@ -633,11 +633,10 @@
     event observed;
     observed.kind = kind;
     observed.at_ms = time_.now_ms();
-    // All exchanges share one work id: a request that is sent again from the
-    // start has delivered no token, and a resume continues the tokens that the
-    // caller has.
+    // All requests share one work id: one that is sent again from the start has
+    // delivered no token, and a resume continues after the delivered tokens.
     observed.work = "work";
-    observed.exchange = sessions_.at(id).exchange;
+    observed.caller_request_id = sessions_.at(id).caller_request_id;
     observed.run = run;
     observed.index = index;
     history_.events.push_back(observed);
--- a/tests/faults/fault_world.hpp
+++ b/tests/faults/fault_world.hpp
@@ -78,7 +78,7 @@
     /** One HTTP request of the caller, served by one entry. */
     struct session {
         std::size_t entry = 0;
-        std::string exchange;
+        std::string caller_request_id;
         std::unique_ptr<relay> session_relay;
         bool finished = false; ///< the caller has an outcome or disconnected
         bool acknowledged = false;
--- a/tests/faults/history.cpp
+++ b/tests/faults/history.cpp
@@ -34,8 +34,8 @@
     void check_event(const event& observed)
     {
         switch (observed.kind) {
-        case event_kind::exchange_begun:
-            open_.insert(observed.exchange);
+        case event_kind::request_sent:
+            open_.insert(observed.caller_request_id);
             break;
         case event_kind::run_begun:
             run_begun(observed);
@@ -62,7 +62,7 @@
             refused(observed);
             break;
         case event_kind::caller_disconnected:
-            open_.erase(observed.exchange);
+            open_.erase(observed.caller_request_id);
             break;
         }
     }
@@ -75,9 +75,9 @@
                                 history_.shape != work_shape::ticket_call;
         if (!may_repeat && run_count_of_work_[observed.work] > 1)
             report("a non-idempotent call ran twice");
-        if (refused_not_run_.contains(observed.exchange))
+        if (refused_not_run_.contains(observed.caller_request_id))
             report("a request ran after its caller received not_run");
-        exchanges_that_ran_.insert(observed.exchange);
+        requests_that_ran_.insert(observed.caller_request_id);
         if (draining_.contains(observed.upstream))
             report("new work ran at an upstream whose agent is draining");
     }
@@ -100,7 +100,7 @@
 
     void end_received(const event& observed)
     {
-        open_.erase(observed.exchange);
+        open_.erase(observed.caller_request_id);
         auto& delivered = deliveries_[observed.work];
         if (delivered.next != tokens_made_[delivered.run] ||
             !ended_runs_.contains(delivered.run))
@@ -110,7 +110,7 @@
 
     void answer_received(const event& observed)
     {
-        open_.erase(observed.exchange);
+        open_.erase(observed.caller_request_id);
         if (work_of_run_[observed.run] != observed.work)
             report("a caller received the answer to another call");
         if (!ended_runs_.contains(observed.run))
@@ -119,7 +119,7 @@
 
     void refused(const event& observed)
     {
-        open_.erase(observed.exchange);
+        open_.erase(observed.caller_request_id);
         // A ticket is bound to its agent. If its first use comes while the
         // agent is draining, the call is refused as not_run, and the caller
         // needs a ticket for another agent.
@@ -132,8 +132,8 @@
                    std::string(name_of(observed.reason)));
         if (observed.refused != refusal_kind::not_run)
             return;
-        refused_not_run_.insert(observed.exchange);
-        if (exchanges_that_ran_.contains(observed.exchange))
+        refused_not_run_.insert(observed.caller_request_id);
+        if (requests_that_ran_.contains(observed.caller_request_id))
             report("a caller received not_run, but its request had run");
         if (history_.shape == work_shape::ticket_call &&
             run_count_of_work_[observed.work] > 0)
@@ -152,7 +152,7 @@
     std::vector<std::string> violations_;
     std::set<std::string> open_;
     std::set<std::string> refused_not_run_;
-    std::set<std::string> exchanges_that_ran_;
+    std::set<std::string> requests_that_ran_;
     std::set<std::string> draining_;
     std::set<std::uint64_t> ended_runs_;
     std::map<std::uint64_t, std::string> work_of_run_;
--- a/tests/faults/history.hpp
+++ b/tests/faults/history.hpp
@@ -19,7 +19,7 @@
 };
 
 enum class event_kind : std::uint8_t {
-    exchange_begun,      ///< a caller sent a request
+    request_sent,        ///< a caller sent a request
     run_begun,           ///< an upstream began to run a request
     run_token,           ///< an engine produced a token
     run_ended,           ///< an engine or runner completed a run
@@ -33,12 +33,12 @@
 
 /** An event observed by a fake. The system under test records none. */
 struct event {
-    event_kind kind = event_kind::exchange_begun;
+    event_kind kind = event_kind::request_sent;
     std::int64_t at_ms = 0;
     /** Id of the caller's work; the same for its resends and resumes. */
     std::string work;
-    /** One HTTP request of the caller. */
-    std::string exchange;
+    /** Id of one HTTP request of the caller. */
+    std::string caller_request_id;
     std::string upstream;
     std::uint64_t run = 0; ///< identifies one run at an upstream
     /** Index of a token; at the end, the number of tokens. */
@@ -52,7 +52,7 @@
     work_shape shape = work_shape::stream;
     /** Whether the caller must get its answer; see preserves_answer(). */
     bool answer_is_required = false;
-    /** Whether the caller stays, so that each exchange must have an outcome. */
+    /** Whether the caller stays, so that each request must have an outcome. */
     bool caller_stays = true;
     std::vector<event> events;
 };
--- a/tests/faults/test_history.cpp
+++ b/tests/faults/test_history.cpp
@@ -13,7 +13,7 @@
     event made;
     made.kind = kind;
     made.work = "w";
-    made.exchange = "x";
+    made.caller_request_id = "x";
     made.upstream = "u";
     made.run = run;
     made.index = index;
@@ -34,7 +34,7 @@
     return {work_shape::stream,
             false,
             true,
-            {make(exchange_begun), make(run_begun, 1), make(run_token, 1, 0),
+            {make(request_sent), make(run_begun, 1), make(run_token, 1, 0),
              make(token_received, 1, 0), make(run_token, 1, 1),
              make(token_received, 1, 1), make(run_ended, 1),
              make(end_received)}};
@@ -45,7 +45,7 @@
     return {work_shape::ticket_call,
             false,
             true,
-            {make(exchange_begun), make(run_begun, 1), make(run_ended, 1),
+            {make(request_sent), make(run_begun, 1), make(run_ended, 1),
              make(answer_received, 1)}};
 }
 
@@ -104,7 +104,7 @@
         [](auto& e) { e.insert(e.begin(), make(drain_begun)); });
     add("no_outcome", valid_call(), [](auto& e) { e.pop_back(); });
     add("refused_though_nothing_was_lost", valid_call(), [](auto& e) {
-        e = {make(exchange_begun), make_refusal(refusal_kind::not_run)};
+        e = {make(request_sent), make_refusal(refusal_kind::not_run)};
     });
     all.back().observed.answer_is_required = true;
     return all;
