--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -69,7 +69,7 @@
     std::size_t entry = 0;
     std::size_t upstream = SIZE_MAX; ///< in phase dispatched only
     std::uint32_t retries_made = 0;
-    std::uint32_t losses = 0;    ///< engine losses while it ran
+    std::uint32_t losses = 0; ///< engine losses while it ran
     std::uint32_t delivered = 0; ///< tokens
     bool poison = false;
     bool suspect = false;
@@ -239,7 +239,7 @@
              when < end_; when += every)
             at(when, [this, i, uses_cyclamenrun] {
                 const load_report sent_report = agents_[i]->report(now_);
-                const duration lag = reports_late_      ? late_report_lag
+                const duration lag = reports_late_ ? late_report_lag
                                      : uses_cyclamenrun ? agent_report_lag
                                                         : engine_report_lag;
                 after(lag, [this, sent_report] {
@@ -394,7 +394,7 @@
         ++upstream;
     caller.current_phase = caller_state::phase::dispatched;
     caller.upstream = upstream;
-    entry.routes().record_dispatch(name, incoming, now_);
+    entry.router().record_dispatch(name, incoming, now_);
     after(from_s(settings_.tested_deployment.one_way_ms / 1000),
           [this, id, upstream] { deliver(id, upstream); });
 }
@@ -425,7 +425,7 @@
 {
     caller_state& caller = callers_[id];
     bench_entry& entry = *entries_[caller.entry];
-    entry.routes().record_completion(agents_[caller.upstream]->name, now_);
+    entry.router().record_completion(agents_[caller.upstream]->name, now_);
     caller.excluded.push_back(agents_[caller.upstream]->name);
     caller.current_phase = caller_state::phase::not_dispatched;
     caller.upstream = SIZE_MAX;
@@ -475,7 +475,7 @@
         return;
     if (caller.current_phase == caller_state::phase::dispatched) {
         agents_[caller.upstream]->cancel(id, now_);
-        entries_[caller.entry]->routes().record_completion(
+        entries_[caller.entry]->router().record_completion(
             agents_[caller.upstream]->name, now_);
     }
     if (is_measured(caller))
@@ -573,7 +573,7 @@
 {
     caller_state& caller = callers_[id];
     caller.current_phase = caller_state::phase::done;
-    entries_[caller.entry]->routes().record_completion(
+    entries_[caller.entry]->router().record_completion(
         agents_[caller.upstream]->name, now_);
     if (in_window(now_)) {
         ++measures_.answers_in_window;
@@ -601,9 +601,9 @@
             for (auto& entry : entries_) {
                 const std::string& name = agents_[upstream]->name;
                 if (happened.stored)
-                    entry->routes().cached(name, {&happened.block, 1});
+                    entry->router().cached(name, {&happened.block, 1});
                 else
-                    entry->routes().evicted(name, happened.block);
+                    entry->router().evicted(name, happened.block);
             }
         });
     }
@@ -638,7 +638,7 @@
         retry_elsewhere(id, std::nullopt);
         return;
     }
-    entries_[caller.entry]->routes().record_completion(
+    entries_[caller.entry]->router().record_completion(
         agents_[caller.upstream]->name, now_);
     if (caller.poison && caller.losses < max_poison_attempts) {
         resend_poison(id);
