--- a/bench/bench_agent.cpp
+++ b/bench/bench_agent.cpp
@@ -89,7 +89,7 @@
     for (const auto id : result.tokens)
         admission_->record_output_tokens(id, 1, now);
     for (const auto id : result.finished)
-        admission_->finished(id, true, now);
+        admission_->record_end(id, true, now);
     return result;
 }
 
--- a/bench/decision_cost_command.cpp
+++ b/bench/decision_cost_command.cpp
@@ -143,7 +143,7 @@
         }
         if (running.empty())
             continue;
-        queue.finished(running.front(), true, now);
+        queue.record_end(running.front(), true, now);
         running.pop_front();
     }
     return microseconds_each(processor_time() - before, rounds);
--- a/bench/trial.cpp
+++ b/bench/trial.cpp
@@ -69,7 +69,7 @@
     std::size_t entry = 0;
     std::size_t upstream = SIZE_MAX; ///< in phase dispatched only
     std::uint32_t retries_made = 0;
-    std::uint32_t losses = 0; ///< engine losses while it ran
+    std::uint32_t losses = 0;    ///< engine losses while it ran
     std::uint32_t delivered = 0; ///< tokens
     bool poison = false;
     bool suspect = false;
@@ -239,7 +239,7 @@
              when < end_; when += every)
             at(when, [this, i, uses_cyclamenrun] {
                 const load_report sent_report = agents_[i]->report(now_);
-                const duration lag = reports_late_ ? late_report_lag
+                const duration lag = reports_late_      ? late_report_lag
                                      : uses_cyclamenrun ? agent_report_lag
                                                         : engine_report_lag;
                 after(lag, [this, sent_report] {
@@ -601,9 +601,9 @@
             for (auto& entry : entries_) {
                 const std::string& name = agents_[upstream]->name;
                 if (happened.stored)
-                    entry->router().cached(name, {&happened.block, 1});
+                    entry->router().record_cached(name, {&happened.block, 1});
                 else
-                    entry->router().evicted(name, happened.block);
+                    entry->router().record_eviction(name, happened.block);
             }
         });
     }
--- a/src/libcyclamenrun/decisions/admission.cpp
+++ b/src/libcyclamenrun/decisions/admission.cpp
@@ -380,7 +380,7 @@
     shares_.charge(*item.queue->account, count);
 }
 
-void admission::finished(work_id id, bool complete, time_point now)
+void admission::record_end(work_id id, bool complete, time_point now)
 {
     const auto found = records_.find(id);
     if (found != records_.end())
--- a/src/libcyclamenrun/decisions/admission.hpp
+++ b/src/libcyclamenrun/decisions/admission.hpp
@@ -80,7 +80,7 @@
      * Removes a work item that ended. If it was running, its length updates
      * the length predictor, as a lower bound if it is not complete.
      */
-    void finished(work_id id, bool complete, time_point now);
+    void record_end(work_id id, bool complete, time_point now);
     /** Removes a waiting or running work item; false if the id is unknown. */
     bool remove(work_id id, time_point now);
     /** Removes and returns waiting work items whose deadline has passed. */
--- a/src/libcyclamenrun/gateway/exchange.cpp
+++ b/src/libcyclamenrun/gateway/exchange.cpp
@@ -359,7 +359,7 @@
 
 void exchange::handle_head(http_head&& head, const response_facts& facts)
 {
-    context_.upstreams.connection_succeeded(attempt_->upstream().id);
+    context_.upstreams.record_connection_success(attempt_->upstream().id);
     // A resumed generation does not prefill its prompt, so its response time
     // is not typical.
     if (!resume_from_)
@@ -408,7 +408,7 @@
     const auto id = attempt_->upstream().id;
     release_attempt();
     if (answer_.relaying()) {
-        context_.upstreams.succeeded(id, context_.reactor->now());
+        context_.upstreams.record_success(id, context_.reactor->now());
         record_attempt("complete", "deliver");
         answer_.finish(context_.reactor->now());
         end(request_outcome::answered, answer_.status());
@@ -416,7 +416,7 @@
     }
     auto result = classify_response(answer_.status(), answer_.facts());
     if (!result && !answer_.begun()) {
-        context_.upstreams.succeeded(id, context_.reactor->now());
+        context_.upstreams.record_success(id, context_.reactor->now());
         record_attempt("complete", "deliver");
         deliver();
         return;
@@ -425,7 +425,7 @@
     if (!result)
         result = attempt_result::failed;
     if (*result != attempt_result::turned_away)
-        context_.upstreams.failed(id, context_.reactor->now());
+        context_.upstreams.record_failure(id, context_.reactor->now());
     if (is_misdirected(answer_.status()))
         context_.upstreams.mark_superseded(id);
     end_attempt(*result);
@@ -444,9 +444,10 @@
         return;
     }
     if (loss == attempt_loss::not_sent)
-        context_.upstreams.connection_failed(id, context_.reactor->now());
+        context_.upstreams.record_connection_failure(id,
+                                                     context_.reactor->now());
     else
-        context_.upstreams.failed(id, context_.reactor->now());
+        context_.upstreams.record_failure(id, context_.reactor->now());
     const auto* state = context_.upstreams.find(id);
     if (answer_.begun() && state != nullptr && !state->leaving)
         context_.record_crash(id);
@@ -493,7 +494,7 @@
         !context_.choice.for_request(service_, make_placement_request(), tried_,
                                      now))
         return;
-    context_.upstreams.failed(id, now);
+    context_.upstreams.record_failure(id, now);
     attempt_->cancel();
     release_attempt();
     end_attempt(attempt_result::lost);
@@ -733,8 +734,8 @@
         return;
     // The upstream may never respond; later requests should avoid it.
     if (awaits_response())
-        context_.upstreams.failed(attempt_->upstream().id,
-                                  context_.reactor->now());
+        context_.upstreams.record_failure(attempt_->upstream().id,
+                                          context_.reactor->now());
     refuse(attempt_ || sends_ > 0 ? gateway_refusal::expired
                                   : gateway_refusal::expired_unsent);
 }
--- a/src/libcyclamenrun/gateway/upstream_registry.cpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.cpp
@@ -344,25 +344,26 @@
         erase(id);
 }
 
-void upstream_registry::succeeded(const std::string& id, time_point now)
+void upstream_registry::record_success(const std::string& id, time_point now)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         update_failure_rate(found->second, 0.0, now);
 }
 
-void upstream_registry::failed(const std::string& id, time_point now)
+void upstream_registry::record_failure(const std::string& id, time_point now)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         update_failure_rate(found->second, 1.0, now);
 }
 
-void upstream_registry::connection_failed(const std::string& id, time_point now)
+void upstream_registry::record_connection_failure(const std::string& id,
+                                                  time_point now)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         found->second.unreachable_until = now + unreachable_retry_delay;
 }
 
-void upstream_registry::connection_succeeded(const std::string& id)
+void upstream_registry::record_connection_success(const std::string& id)
 {
     if (const auto found = upstreams_.find(id); found != upstreams_.end())
         found->second.unreachable_until = {};
--- a/src/libcyclamenrun/gateway/upstream_registry.hpp
+++ b/src/libcyclamenrun/gateway/upstream_registry.hpp
@@ -152,12 +152,12 @@
      */
     void record_completion(const std::string& id);
     /** Records a success in the failure rate of the upstream. */
-    void succeeded(const std::string& id, time_point now);
+    void record_success(const std::string& id, time_point now);
     /** Records a failure in the failure rate of the upstream. */
-    void failed(const std::string& id, time_point now);
-    /** No connection could be made within the timeout. */
-    void connection_failed(const std::string& id, time_point now);
-    void connection_succeeded(const std::string& id);
+    void record_failure(const std::string& id, time_point now);
+    /** Records that no connection could be made within the timeout. */
+    void record_connection_failure(const std::string& id, time_point now);
+    void record_connection_success(const std::string& id);
     /**
      * Another process responds at the upstream's address: the upstream gets no
      * new work until the directory updates its record.
--- a/src/libcyclamenrun/membership/router.cpp
+++ b/src/libcyclamenrun/membership/router.cpp
@@ -73,13 +73,13 @@
     state_of(latest.upstream).load.update_report(latest, now);
 }
 
-void router::cached(const std::string& upstream,
-                    std::span<const std::uint64_t> blocks)
+void router::record_cached(const std::string& upstream,
+                           std::span<const std::uint64_t> blocks)
 {
     state_of(upstream).cache.record_use(blocks);
 }
 
-void router::evicted(const std::string& upstream, std::uint64_t block)
+void router::record_eviction(const std::string& upstream, std::uint64_t block)
 {
     state_of(upstream).cache.record_eviction(block);
 }
--- a/src/libcyclamenrun/membership/router.hpp
+++ b/src/libcyclamenrun/membership/router.hpp
@@ -51,10 +51,10 @@
 
     void update_report(const load_report& latest, time_point now);
     /** Handles a cache event of an upstream; events may be late or lost. */
-    void cached(const std::string& upstream,
-                std::span<const std::uint64_t> blocks);
-    /** Handles a cache event, as cached() does. */
-    void evicted(const std::string& upstream, std::uint64_t block);
+    void record_cached(const std::string& upstream,
+                       std::span<const std::uint64_t> blocks);
+    /** Handles a cache event, as record_cached() does. */
+    void record_eviction(const std::string& upstream, std::uint64_t block);
 
     void record_dispatch(const std::string& upstream,
                          const route_request& request, time_point now);
--- a/src/libcyclamenrun/outcomes/gate.cpp
+++ b/src/libcyclamenrun/outcomes/gate.cpp
@@ -325,7 +325,7 @@
             return;
         session->finish_reason = finish_reason;
         poison_.clear(session->request.fingerprint(), now);
-        admission_.finished(work, true, now);
+        admission_.record_end(work, true, now);
         end(*session, now, deferred);
         admit(now, deferred);
     }
@@ -341,7 +341,7 @@
         if (session == nullptr)
             return;
         poison_.clear(session->request.fingerprint(), now);
-        admission_.finished(work, true, now);
+        admission_.record_end(work, true, now);
         if (answer.body.size() > settings_.max_answer_bytes) {
             refuse(*session, outcome_unknown(refusal_reason::answer_too_large),
                    now, deferred);
@@ -362,7 +362,7 @@
         auto* session = running_session(work);
         if (session == nullptr)
             return;
-        admission_.finished(work, false, now);
+        admission_.record_end(work, false, now);
         refuse(*session, why, now, deferred);
         admit(now, deferred);
     }
@@ -387,7 +387,7 @@
                 session.loss = loss;
                 poison_.mark(session.request.fingerprint(), loss, now);
             }
-            admission_.finished(work, false, now);
+            admission_.record_end(work, false, now);
             const refusal why =
                 session.is_call()
                     ? outcome_unknown(
@@ -525,7 +525,7 @@
         return;
     }
     deferred.stops.push_back(work);
-    admission_.finished(work, false, now);
+    admission_.record_end(work, false, now);
     refuse(session,
            session.is_call() ? outcome_unknown(reason) : failed(reason), now,
            deferred);
--- a/tests/decisions/test_admission.cpp
+++ b/tests/decisions/test_admission.cpp
@@ -36,7 +36,7 @@
                    time_point now)
 {
     controller.record_output_tokens(id, length, now);
-    controller.finished(id, true, now);
+    controller.record_end(id, true, now);
 }
 
 void learn_lengths(admission& controller, const std::string& team,
@@ -85,7 +85,7 @@
         } else if (action == 3 && !present.empty()) {
             const auto chosen = pick();
             if (chosen->second)
-                controller.finished(chosen->first, draw % 2 == 0, now);
+                controller.record_end(chosen->first, draw % 2 == 0, now);
             else
                 RC_ASSERT(controller.remove(chosen->first, now));
             present.erase(chosen);
@@ -247,7 +247,7 @@
     complete_work(controller, 1, 5, start + 11s);
     complete_work(controller, 3, 5, start + 11s);
     EXPECT_EQ(controller.admit(start + 12s), std::vector<work_id>{2});
-    controller.finished(2, true, start + 13s);
+    controller.record_end(2, true, start + 13s);
     EXPECT_EQ(controller.admit(start + 13s), std::vector<work_id>{4});
 }
 
--- a/tests/decisions/test_router.cpp
+++ b/tests/decisions/test_router.cpp
@@ -102,7 +102,7 @@
     const auto request = request_of(77);
     const std::size_t preferred = *routes.choose(request, candidates, start);
     const std::string& name = candidates[preferred].upstream;
-    routes.cached(name, request.prefix_blocks);
+    routes.record_cached(name, request.prefix_blocks);
     load_report load = report_of(name, 2s);
     load.memory_tokens_used = 2'000;
     routes.update_report(load, start + 1s);
--- a/tests/decisions/test_start_queue.cpp
+++ b/tests/decisions/test_start_queue.cpp
@@ -167,7 +167,7 @@
 
 // Late requests of a team that floods wait behind all others until their
 // callers disconnect. The queue has to report them so that they can be refused.
-TEST_F(start_queues, report_late_requests_that_are_skipped)
+TEST_F(start_queues, report_late_requests_that_are_passed_over)
 {
     run_flood(queue);
     const auto late = of_team("flood", "late", 1200);
@@ -316,7 +316,7 @@
     EXPECT_EQ(queue.waiting(), max_waiting_starts);
 }
 
-TEST(reading_speeds, start_from_the_prior_and_follow_measurements)
+TEST(prefill_speeds, start_from_the_prior_and_follow_measurements)
 {
     prefill_speed speed;
     EXPECT_DOUBLE_EQ(speed.tokens_per_ms(), 7);
@@ -335,7 +335,7 @@
 }
 
 // A corrupt report must not stop an engine permanently.
-TEST(reading_speeds, stay_within_the_plausible_range)
+TEST(prefill_speeds, stay_within_the_plausible_range)
 {
     prefill_speed speed;
     speed.record_prefill_time(std::chrono::hours(10));
--- a/tests/gateway/test_start_search.cpp
+++ b/tests/gateway/test_start_search.cpp
@@ -85,7 +85,7 @@
     return answer_starts([](const auto& id) { return start_waits(id); });
 }
 
-scripted_monitor::script skip_all()
+scripted_monitor::script pass_over_all()
 {
     return answer_starts([](const auto& id) { return start_passed_over(id); });
 }
@@ -241,10 +241,10 @@
 
 // Guards against requests that wait until their deadline in vain: their team
 // exceeds its fair share, and other teams have priority at both engines.
-TEST_F(start_searches, refuse_a_skipped_request_at_once)
+TEST_F(start_searches, refuse_a_passed_over_request_at_once)
 {
-    const auto first = monitor("127.0.0.1", skip_all());
-    const auto second = monitor("127.0.0.2", skip_all());
+    const auto first = monitor("127.0.0.1", pass_over_all());
+    const auto second = monitor("127.0.0.2", pass_over_all());
     const auto began = steady_now();
     const auto answer = send_request("/gen/x");
     EXPECT_LT(steady_now() - began, std::chrono::seconds(2));
@@ -260,7 +260,7 @@
 // request, and the other may have room later.
 TEST_F(start_searches, wait_while_one_engine_may_have_room)
 {
-    const auto full = monitor("127.0.0.1", skip_all());
+    const auto full = monitor("127.0.0.1", pass_over_all());
     std::atomic<int> requests = 0;
     const auto other =
         monitor("127.0.0.2", [&](const v1::MonitorRequest& request) -> notice {
--- a/tests/gateway/test_upstream_registry.cpp
+++ b/tests/gateway/test_upstream_registry.cpp
@@ -216,7 +216,7 @@
 TEST_F(upstream_registry_test, restarted_process_has_fresh_state)
 {
     put(record("a"));
-    registry.failed("a", at(0));
+    registry.record_failure("a", at(0));
     engine_load load;
     load.leaving = true;
     registry.update_load({"10.0.0.1", 80}, load, at(0));
@@ -274,7 +274,7 @@
 // Engines may prefill four times faster or slower than others. A gateway that
 // assumed one speed would prefer slow engines with short queues, and callers
 // would wait there. Each engine's monitor reports its prefill speed.
-TEST_F(upstream_registry_test, uses_reading_speed_reported_by_the_monitor)
+TEST_F(upstream_registry_test, uses_prefill_speed_reported_by_the_monitor)
 {
     put(record("a"));
     placement_request request;
@@ -327,18 +327,18 @@
         return placement_of(*registry.find("a"), {}, at(ms)).unreachable;
     };
     EXPECT_FALSE(unreachable(0));
-    registry.connection_failed("a", at(0));
+    registry.record_connection_failure("a", at(0));
     EXPECT_TRUE(unreachable(599));
     EXPECT_FALSE(unreachable(600));
-    registry.connection_failed("a", at(700));
-    registry.connection_succeeded("a");
+    registry.record_connection_failure("a", at(700));
+    registry.record_connection_success("a");
     EXPECT_FALSE(unreachable(710));
 }
 
 TEST_F(upstream_registry_test, failure_rate_decays_over_time)
 {
     put(record("a"));
-    registry.failed("a", at(0));
+    registry.record_failure("a", at(0));
     const auto rate = [&](int ms) {
         return placement_of(*registry.find("a"), {}, at(ms)).failure_rate;
     };
