--- a/tests/gateway/fake_upstream.cpp
+++ b/tests/gateway/fake_upstream.cpp
@@ -14,6 +14,7 @@
 {
 
 constexpr std::chrono::seconds wait_timeout{10};
+constexpr std::chrono::milliseconds wake_interval{1};
 
 } // namespace
 
@@ -86,11 +87,15 @@
 fake_upstream::~fake_upstream()
 {
     stopping_ = true;
-    try {
-        Poco::Net::StreamSocket(listener_.address()).close();
-    } catch (const Poco::Exception&) {
-        // The listener is closed already.
-        stopping_ = true;
+    // Poco's listeners set SO_REUSEPORT, so another listener can share the port
+    // and take a connection that was meant to wake the acceptor.
+    while (!acceptor_ended_) {
+        try {
+            Poco::Net::StreamSocket(listener_.address()).close();
+        } catch (const Poco::Exception&) {
+            // Tries again: only a connection ends the acceptor.
+        }
+        std::this_thread::sleep_for(wake_interval);
     }
     acceptor_.join();
     {
@@ -132,12 +137,13 @@
     while (!stopping_) {
         auto socket = listener_.acceptConnection();
         if (stopping_)
-            return;
+            break;
         socket.setNoDelay(true);
         const std::scoped_lock lock(mutex_);
         sockets_.push_back(socket);
         threads_.emplace_back([this, socket] { serve(socket); });
     }
+    acceptor_ended_ = true;
 }
 
 void fake_upstream::serve(Poco::Net::StreamSocket socket)
--- a/tests/gateway/fake_upstream.hpp
+++ b/tests/gateway/fake_upstream.hpp
@@ -90,6 +90,7 @@
     std::vector<Poco::Net::StreamSocket> sockets_;
     std::vector<std::thread> threads_;
     std::atomic<bool> stopping_ = false;
+    std::atomic<bool> acceptor_ended_ = false;
     std::thread acceptor_;
 };
 
